--- /dev/null
+++ b/node/src/test/java/embershift/WireFormatTest.java
@@ -0,0 +1,115 @@
+package embershift;
+
+import static org.testng.Assert.assertEquals;
+
+import embershift.model.HostId;
+import embershift.operations.Bans;
+import embershift.operations.Callers;
+import embershift.operations.Desk;
+import embershift.protocol.BanList;
+import embershift.testing.GoldenSamples;
+import org.testng.annotations.Test;
+
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.List;
+import java.util.TreeSet;
+
+/** What a node says to clients, hosts, discovery and operators, and the names of its counters, stay as earlier versions have them. */
+public class WireFormatTest extends Loopback {
+
+    private final GoldenSamples samples = new GoldenSamples();
+
+    private static String stable(String text, ServerSocket... servers) {
+        String stable = text.replaceAll("d=[12]\\d{3}", "d=MILLIS").replaceAll("wait_ms=\\d+", "wait_ms=MILLIS");
+        for (int i = 0; i < servers.length; i++) {
+            stable = stable.replace(String.valueOf(servers[i].getLocalPort()), "PORT-" + i);
+        }
+        return stable;
+    }
+
+    private String http(InetSocketAddress operators, String request) throws Exception {
+        Socket caller = talk(operators, request + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
+        return heard(caller);
+    }
+
+    private String request(Socket watch) throws Exception {
+        StringBuilder all = new StringBuilder();
+        for (String line = hear(watch); line != null; line = hear(watch)) {
+            all.append(line).append('\n');
+            if (line.isEmpty()) {
+                break;
+            }
+        }
+        return all.toString();
+    }
+
+    @Test
+    public void conversationIsAsBefore() throws Exception {
+        ServerSocket host = listening();
+        start("1024", host);
+        InetSocketAddress operators = on(() -> new Callers(loop, new Desk(router, new Bans(loop, router, null), () -> true), router.tally())
+                .listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
+        Socket watch = accept(discovery);
+        samples.text("call of discovery", stable(request(watch), discovery));
+        page(watch, list(3, true, entry(host, "in_service")));
+        samples.text("next call of discovery", stable(request(watch), discovery));
+        Socket client = clientsAndHosts(host);
+        operators(operators, host);
+        on(() -> {
+            router.leave(true);
+            return null;
+        });
+        samples.text("line of a node that moves its sessions", hear(client));
+        samples.text("ban list", BanList.write(List.of(new HostId("h1"), new HostId("h \"2\""))));
+        assertEquals(BanList.read(BanList.write(List.of(new HostId("h1"), new HostId("h2")))), List.of(new HostId("h1"), new HostId("h2")));
+        TreeSet<String> names = new TreeSet<>();
+        on(() -> router.tally().toString()).lines().forEach(line -> names.add(line.replaceAll(" \\d+$", "")));
+        samples.text("counters", String.join("\n", names));
+        samples.assertMatch(getClass(), "wire-format.txt");
+    }
+
+    private Socket clientsAndHosts(ServerSocket host) throws Exception {
+        Socket client = client("PING\r\nOPEN i1 k c=p,x=1,d=3000,g=room\r\nahead\r\n");
+        samples.text("answer to PING", hear(client));
+        Socket side = accept(host);
+        samples.text("first line at a host", stable(hear(side)));
+        say(side, "UP  r-1 z\r\nline of the host\r\n");
+        samples.text("first lines at a client", hear(client) + "\n" + hear(client));
+        samples.text("line that came ahead of the answer", hear(side));
+        say(client, "line of the client\r\n");
+        samples.text("line of a client at its host", hear(side));
+        samples.text("id of an open session", stable(heard(client("OPEN i1 k c=p,d=3000\r\n"))));
+        samples.text("no first line", heard(client("GET / HTTP/1.1\r\n\r\n")));
+        samples.text("no such class", heard(client("OPEN i2 k c=unheard,d=5\r\n")));
+        samples.text("nothing is asked for", heard(client("OPEN\r\n")));
+        Socket refused = client("OPEN i3 k c=p,d=3000\r\n");
+        for (int i = 0; i < 3; i++) {
+            Socket other = accept(host);
+            hear(other);
+            say(other, "ERR full\r\n");
+            other.close();
+        }
+        samples.text("answer once hosts have refused", heard(refused).replaceAll("\\d+", "N"));
+        Socket cancelled = client("OPEN i4 k c=p,d=3000\r\n");
+        Socket other = accept(host);
+        hear(other);
+        reset(cancelled);
+        samples.text("at a host once its client has gone", heard(other));
+        return client;
+    }
+
+    private void operators(InetSocketAddress operators, ServerSocket host) throws Exception {
+        samples.text("GET ready", http(operators, "GET /api/ready"));
+        samples.text("GET telemetry", http(operators, "GET /api/telemetry").replaceAll("\\d+(?=[,}\r])", "N"));
+        samples.text("POST exclude", stable(http(operators, "POST /api/exclude/" + name(host)), host));
+        samples.text("POST include", stable(http(operators, "POST /api/include/" + name(host)), host));
+        samples.text("POST exclude of no host", http(operators, "POST /api/exclude/none"));
+        samples.text("GET exclude", http(operators, "GET /api/exclude/none"));
+        samples.text("POST ready", http(operators, "POST /api/ready"));
+        samples.text("GET of nothing", http(operators, "GET /api/nothing"));
+        samples.text("no request", heard(talk(operators, "nonsense\r\n\r\n")));
+    }
+}
--- /dev/null
+++ b/storage/src/test/java/embershift/storage/StoredFormatTest.java
@@ -0,0 +1,106 @@
+package embershift.storage;
+
+import static org.testng.Assert.assertEquals;
+
+import embershift.testing.GoldenSamples;
+import org.testng.annotations.Test;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Random;
+import java.util.TreeSet;
+
+/** The files of a directory stay, byte for byte, those that earlier versions wrote and will read. */
+public class StoredFormatTest {
+
+    private static final String GOLDEN = "stored-format.txt";
+    private static final long FILE_BYTES = 120;
+
+    private static byte[] body(String text) {
+        return text.getBytes(StandardCharsets.UTF_8);
+    }
+
+    private static RecordLog.Fresh record(long mark, String text) {
+        return new RecordLog.Fresh(mark, body(text));
+    }
+
+    private static MemoryDisk written() throws IOException {
+        MemoryDisk disk = new MemoryDisk();
+        RecordLog log = RecordLog.open(disk, FILE_BYTES);
+        log.append(List.of(record(7, "first"), record(-1, "")));
+        log.append(List.of(record(Long.MAX_VALUE, "third, in the same file as those before it")));
+        log.append(List.of(record(9, "fourth")));
+        log.force();
+        Sealed.write(disk, "identity", body("who"));
+        new Snapshots(disk).write(3, body("an older snapshot"));
+        new Snapshots(disk).write(1234567, body("state"));
+        return disk;
+    }
+
+    @Test
+    public void filesAreWrittenAsBefore() throws IOException {
+        MemoryDisk disk = written();
+        GoldenSamples samples = new GoldenSamples();
+        for (String name : new TreeSet<>(disk.names())) {
+            samples.bytes(name, disk.read(name));
+        }
+        samples.assertMatch(getClass(), GOLDEN);
+    }
+
+    @Test
+    public void filesOfAnEarlierVersionAreRead() throws IOException {
+        MemoryDisk disk = new MemoryDisk();
+        for (String name : written().names()) {
+            disk.put(name, GoldenSamples.expectedBytes(getClass(), GOLDEN, name));
+        }
+        RecordLog.Found found = RecordLog.open(disk, FILE_BYTES).found();
+        assertEquals(found.cut(), 0);
+        assertEquals(found.records().stream().map(RecordLog.Kept::mark).toList(), List.of(7L, -1L, Long.MAX_VALUE, 9L));
+        assertEquals(found.records().get(2).body(), body("third, in the same file as those before it"));
+        assertEquals(Sealed.read(disk, "identity"), body("who"));
+        assertEquals(new Snapshots(disk).latest(), body("state"));
+    }
+
+    /** A directory of the system holds the same names and bytes, and its lock file. */
+    @Test
+    public void directoryHoldsTheSameFiles() throws IOException {
+        Path path = Files.createTempDirectory("stored");
+        try (Folder folder = Folder.open(path)) {
+            MemoryDisk disk = written();
+            for (String name : disk.names()) {
+                folder.replace(name, disk.read(name));
+            }
+            try (var files = Files.list(path)) {
+                assertEquals(new TreeSet<>(files.map(file -> file.getFileName().toString()).toList()),
+                        new TreeSet<>(List.of("identity", "lock", "log-0000000000000001", "log-0000000000000004",
+                                "snapshot-0000000001234567")));
+            }
+            for (String name : disk.names()) {
+                assertEquals(Files.readAllBytes(path.resolve(name)), disk.read(name));
+            }
+            Files.writeString(path.resolve("identity.new"), "left by a process that was killed");
+            assertEquals(disk.names().size(), 4);
+        }
+        Folder.open(path).close();
+        assertEquals(Files.exists(path.resolve("identity.new")), false);
+    }
+
+    /** The golden comparison is one: any byte that changes is seen. */
+    @Test
+    public void changedByteIsSeen() throws IOException {
+        MemoryDisk disk = written();
+        Random random = new Random(1);
+        for (String name : disk.names()) {
+            byte[] changed = disk.read(name);
+            changed[random.nextInt(changed.length)] ^= 1;
+            GoldenSamples samples = new GoldenSamples();
+            for (String each : disk.names()) {
+                samples.bytes(each, each.equals(name) ? changed : disk.read(each));
+            }
+            org.testng.Assert.assertThrows(AssertionError.class, () -> samples.assertMatch(getClass(), GOLDEN));
+        }
+    }
+}
