--- a/rig/src/main/java/embershift/rig/Mutation.java
+++ b/rig/src/main/java/embershift/rig/Mutation.java
@@ -10,7 +10,9 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
 import javax.tools.JavaCompiler;
@@ -27,12 +29,13 @@
     /** @throws IllegalArgumentException where the text does not stand there exactly once, or does not compile */
     public Mutation(Path source, String from, String to) throws IOException {
         String text = Files.readString(source, StandardCharsets.UTF_8);
-        if (text.split(Pattern.quote(from), -1).length != 2) {
+        Matcher found = anyLayout(from).matcher(text);
+        if (!found.find() || found.results().count() > 0) {
             throw new IllegalArgumentException("not once in " + source + ": " + from);
         }
         folder = Files.createTempDirectory("mutation");
         Path changed = folder.resolve(source.getFileName());
-        Files.writeString(changed, text.replace(from, to), StandardCharsets.UTF_8);
+        Files.writeString(changed, anyLayout(from).matcher(text).replaceFirst(Matcher.quoteReplacement(to)), StandardCharsets.UTF_8);
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler.run(null, null, null, "-proc:none", "-nowarn", "-d", folder.toString(), "-cp", classPath(),
                 changed.toString()) != 0) {
@@ -40,6 +43,12 @@
         }
     }
 
+    /** The code whatever white space is between its signs: where a formatter breaks lines is no part of a mistake. */
+    private static Pattern anyLayout(String code) {
+        return Pattern.compile(code.codePoints().filter(sign -> !Character.isWhitespace(sign))
+                .mapToObj(sign -> Pattern.quote(Character.toString(sign))).collect(Collectors.joining("\\s*")));
+    }
+
     private static String classPath() {
         return System.getProperty("java.class.path");
     }
