--- a/core/src/main/java/embershift/model/Decisions.java
+++ b/core/src/main/java/embershift/model/Decisions.java
@@ -1,6 +1,8 @@
 package embershift.model;
 
-/** Where a node's decisions go, each taking effect at once, in the order written. Times are seconds. */
+/**
+ * Where a node's decisions go, each taking effect at once, in the order written. Times are seconds.
+ */
 public interface Decisions {
 
     /** The next setup of this tunnel, numbered 0, 1, 2 in the order sent. */
@@ -8,7 +10,10 @@
 
     void cancel(TunnelId id, int setup);
 
-    /** Final answer: not taken, trying again is harmless; 0 gives no advice on when to return. The reason is only counted. */
+    /**
+     * Final answer: not taken, trying again is harmless; 0 gives no advice on when to return. The
+     * reason is only counted.
+     */
     void decline(TunnelId id, double returnAfter, DeclineReason reason);
 
     /** Final answer: failed, with no promise about its effect. */
--- a/core/src/main/java/embershift/model/DeclineReason.java
+++ b/core/src/main/java/embershift/model/DeclineReason.java
@@ -14,7 +14,10 @@
     SETUPS_HELD_BACK,
     /** No host is listed as ready and not out by hand. */
     NO_HOST_READY,
-    /** Where no host takes it, what keeps it off most of those that are ready: they did not answer when last asked. */
+    /**
+     * Where no host takes it, what keeps it off most of those that are ready: they did not answer
+     * when last asked.
+     */
     HOSTS_SILENT,
     /** Or setups failed there a moment ago. */
     HOSTS_FAILED,
--- a/core/src/main/java/embershift/model/Deployment.java
+++ b/core/src/main/java/embershift/model/Deployment.java
@@ -3,29 +3,53 @@
 import java.util.List;
 
 /**
- * What a node is told of its deployment when it starts; {@code rank}: its number among the {@code nodes}, from 0 on, below 0
- * where it is not told.
+ * What a node is told of its deployment when it starts; {@code rank}: its number among the {@code
+ * nodes}, from 0 on, below 0 where it is not told.
  */
 public record Deployment(
-        long seed, int nodes, int rank, ZoneId zone, List<Profile> profiles,
-        boolean rosterOnRequest, double mustAskWithin,
-        boolean mayProbe, boolean mayTellNodes, boolean reportsCapacity,
-        boolean mayCancel, boolean mayOverlap, int mostSetups,
-        boolean adviceOnReturn, double longestReturn, double connectTimeout, double answerSlack,
-        double drainGrace, double coldFrom, double warmAfter, double fallMultiple, double fallAfter,
-        Budget budget, boolean tunnelsPassThrough, double parkedFor) {
+        long seed,
+        int nodes,
+        int rank,
+        ZoneId zone,
+        List<Profile> profiles,
+        boolean rosterOnRequest,
+        double mustAskWithin,
+        boolean mayProbe,
+        boolean mayTellNodes,
+        boolean reportsCapacity,
+        boolean mayCancel,
+        boolean mayOverlap,
+        int mostSetups,
+        boolean adviceOnReturn,
+        double longestReturn,
+        double connectTimeout,
+        double answerSlack,
+        double drainGrace,
+        double coldFrom,
+        double warmAfter,
+        double fallMultiple,
+        double fallAfter,
+        Budget budget,
+        boolean tunnelsPassThrough,
+        double parkedFor) {
 
     /**
-     * One profile's figures: times in seconds, credit as the deployment counts it; {@code messageGoal} is how long a
-     * message of an open tunnel may take, infinite where not stated.
+     * One profile's figures: times in seconds, credit as the deployment counts it; {@code
+     * messageGoal} is how long a message of an open tunnel may take, infinite where not stated.
      */
-    public record Profile(ProfileId id, Repeat repeat, DedupScope dedupScope, double dedupWindow,
-                          double setupGoal, double clientTimeout, double messageGoal, double credit) {
-    }
+    public record Profile(
+            ProfileId id,
+            Repeat repeat,
+            DedupScope dedupScope,
+            double dedupWindow,
+            double setupGoal,
+            double clientTimeout,
+            double messageGoal,
+            double credit) {}
 
     /**
-     * Setups beyond each tunnel's first that a node may send in any {@code span} seconds: {@code free}, and
-     * {@code perTunnel} for each tunnel that it took in that time.
+     * Setups beyond each tunnel's first that a node may send in any {@code span} seconds: {@code
+     * free}, and {@code perTunnel} for each tunnel that it took in that time.
      */
     public record Budget(double free, double perTunnel, double span) {
 
@@ -34,8 +58,16 @@
     }
 
     /** What running a tunnel's setup a second time would do. */
-    public enum Repeat { REPEATABLE, REFERENCED, ONCE_ONLY }
+    public enum Repeat {
+        REPEATABLE,
+        REFERENCED,
+        ONCE_ONLY
+    }
 
     /** Which hosts drop the repeats of a referenced tunnel. */
-    public enum DedupScope { ALL, ZONE, CELL }
+    public enum DedupScope {
+        ALL,
+        ZONE,
+        CELL
+    }
 }
--- a/core/src/main/java/embershift/model/HostId.java
+++ b/core/src/main/java/embershift/model/HostId.java
@@ -1,5 +1,4 @@
 package embershift.model;
 
 /** A session host, under the name by which setups are sent to it. */
-public record HostId(String name) {
-}
+public record HostId(String name) {}
--- a/core/src/main/java/embershift/model/News.java
+++ b/core/src/main/java/embershift/model/News.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What a node hears, one call for each piece of news, in the order in which it came in. News of tunnels,
- * setups or hosts that are over or unknown has no effect. Times are seconds.
+ * What a node hears, one call for each piece of news, in the order in which it came in. News of
+ * tunnels, setups or hosts that are over or unknown has no effect. Times are seconds.
  */
 public interface News {
 
@@ -19,32 +19,49 @@
     /** A call to the roster failed, or its watch broke; what was listed before still stands. */
     void rosterLost();
 
-    /** Staff take a host out of service, or say that it may serve again, just started; whatever the roster says. */
-    default void hostByHand(HostId host, boolean out) {
-    }
+    /**
+     * Staff take a host out of service, or say that it may serve again, just started; whatever the
+     * roster says.
+     */
+    default void hostByHand(HostId host, boolean out) {}
 
     /**
-     * The node now owes this tunnel one final answer; participant, subject and group are null where not
-     * given.
+     * The node now owes this tunnel one final answer; participant, subject and group are null where
+     * not given.
      */
-    void tunnelArrived(TunnelId id, ProfileId profile, ParticipantId participant, SubjectId subject, GroupId group,
-                       double timeLeft, boolean midFlow);
+    void tunnelArrived(
+            TunnelId id,
+            ProfileId profile,
+            ParticipantId participant,
+            SubjectId subject,
+            GroupId group,
+            double timeLeft,
+            boolean midFlow);
 
     /** A tunnel that already stood when the node started; its first setup counts as number 0. */
-    void tunnelStanding(TunnelId id, ProfileId profile, ParticipantId participant, SubjectId subject, GroupId group,
-                        HostId host);
+    void tunnelStanding(
+            TunnelId id,
+            ProfileId profile,
+            ParticipantId participant,
+            SubjectId subject,
+            GroupId group,
+            HostId host);
 
     void tunnelOpened(TunnelId id, int setup, HostId host, double took);
 
-    /** The client left, or the final answer was overdue; setups still out will end by themselves. */
+    /**
+     * The client left, or the final answer was overdue; setups still out will end by themselves.
+     */
     void tunnelLeft(TunnelId id);
 
     /** {@code over}: the tunnel has had its final answer, with this end or before. */
     void setupEnded(TunnelId id, int setup, HostId host, SetupEnd end, double took, boolean over);
 
-    /** A standing tunnel's load now, in seconds of work a second; its host's own figure holds it already. */
-    default void tunnelLoadNoted(TunnelId id, double load) {
-    }
+    /**
+     * A standing tunnel's load now, in seconds of work a second; its host's own figure holds it
+     * already.
+     */
+    default void tunnelLoadNoted(TunnelId id, double load) {}
 
     /** How long a message takes at this host now. */
     void messageDelayNoted(HostId host, double delay);
@@ -57,8 +74,8 @@
     void nodeHeard(int node, byte[] content);
 
     /**
-     * This node is to stop soon: its front sends it new tunnels only for a moment more, or, where it is {@code replaced},
-     * to another process that serves at its address already.
+     * This node is to stop soon: its front sends it new tunnels only for a moment more, or, where
+     * it is {@code replaced}, to another process that serves at its address already.
      */
     void nodeLeaving(boolean replaced);
 }
--- a/core/src/main/java/embershift/model/ParticipantId.java
+++ b/core/src/main/java/embershift/model/ParticipantId.java
@@ -1,5 +1,4 @@
 package embershift.model;
 
 /** A participant. */
-public record ParticipantId(String name) {
-}
+public record ParticipantId(String name) {}
--- a/core/src/main/java/embershift/model/ProfileId.java
+++ b/core/src/main/java/embershift/model/ProfileId.java
@@ -1,5 +1,4 @@
 package embershift.model;
 
 /** A tunnel's profile. */
-public record ProfileId(String name) {
-}
+public record ProfileId(String name) {}
--- a/core/src/main/java/embershift/model/SetupEnd.java
+++ b/core/src/main/java/embershift/model/SetupEnd.java
@@ -2,8 +2,14 @@
 
 /** How a setup, or the tunnel that came of it, ended. */
 public enum SetupEnd {
-    COMPLETED(false), ERROR(false), TIMED_OUT(false), BROKEN(false), CANCELLED(false),
-    FULL(true), NO_CONNECTION(true), NOT_SENT(true);
+    COMPLETED(false),
+    ERROR(false),
+    TIMED_OUT(false),
+    BROKEN(false),
+    CANCELLED(false),
+    FULL(true),
+    NO_CONNECTION(true),
+    NOT_SENT(true);
 
     private final boolean neverRan;
 
--- a/core/src/main/java/embershift/model/SubjectId.java
+++ b/core/src/main/java/embershift/model/SubjectId.java
@@ -1,5 +1,4 @@
 package embershift.model;
 
 /** What a tunnel is about: the same on each try of one client. */
-public record SubjectId(String name) {
-}
+public record SubjectId(String name) {}
--- a/core/src/main/java/embershift/model/ZoneId.java
+++ b/core/src/main/java/embershift/model/ZoneId.java
@@ -1,5 +1,4 @@
 package embershift.model;
 
 /** A place: a data centre or site. */
-public record ZoneId(String name) {
-}
+public record ZoneId(String name) {}
--- a/core/src/main/java/embershift/policy/Chance.java
+++ b/core/src/main/java/embershift/policy/Chance.java
@@ -19,9 +19,9 @@
     }
 
     /**
-     * The same for numbers that are added up. Two nodes' checksums differ by the same bits at each draw, so
-     * that what one waits less now it often waits more next time, and who called together would again;
-     * multiplied and folded they don't.
+     * The same for numbers that are added up. Two nodes' checksums differ by the same bits at each
+     * draw, so that what one waits less now it often waits more next time, and who called together
+     * would again; multiplied and folded they don't.
      */
     public double nextApart() {
         int mixed = (int) sum() * 0x9E3779B1;
--- a/core/src/main/java/embershift/policy/Departures.java
+++ b/core/src/main/java/embershift/policy/Departures.java
@@ -4,14 +4,20 @@
 import java.util.Collection;
 import java.util.Deque;
 
-/** Open tunnels whose host or node goes away, in the order in which they are to be moved, one by one. */
+/**
+ * Open tunnels whose host or node goes away, in the order in which they are to be moved, one by
+ * one.
+ */
 final class Departures {
 
     private final Deque<Tunnel> waiting = new ArrayDeque<>();
     private double next;
     private double until;
 
-    /** Queues those that are open: all that wait go evenly over this time, what comes after it at once. */
+    /**
+     * Queues those that are open: all that wait go evenly over this time, what comes after it at
+     * once.
+     */
     void addAll(Collection<Tunnel> tunnels, double from, double over) {
         tunnels.stream().filter(tunnel -> tunnel.open && !tunnel.moving).forEach(waiting::add);
         next = from;
@@ -24,8 +30,8 @@
     }
 
     /**
-     * No turn comes before this, as tunnels find no host now: who is moved would be declined, and fares
-     * better where it stands. All that wait are that much later.
+     * No turn comes before this, as tunnels find no host now: who is moved would be declined, and
+     * fares better where it stands. All that wait are that much later.
      */
     void hold(double from) {
         double later = Math.max(0, from - next);
--- a/core/src/main/java/embershift/policy/Filling.java
+++ b/core/src/main/java/embershift/policy/Filling.java
@@ -3,14 +3,15 @@
 import embershift.model.Deployment;
 
 /**
- * How many tunnels fill a warm host, as the hosts' reports tell: what others carry is the guide to what a
- * host that starts can take, also where tunnels last so long that hardly any ends. A process that is replaced
- * tells the one that follows.
+ * How many tunnels fill a warm host, as the hosts' reports tell: what others carry is the guide to
+ * what a host that starts can take, also where tunnels last so long that hardly any ends. A process
+ * that is replaced tells the one that follows.
  */
 public final class Filling {
 
     /** Tunnels and load that tell something: below, a figure is mostly noise. */
     private static final double LEAST_TUNNELS = 4;
+
     private static final double LEAST_LOAD = 0.1;
 
     private final Deployment deployment;
@@ -34,7 +35,8 @@
 
     /** A host's latest report: load over what it can do now, and the tunnels that make it. */
     void add(Policy.Host host) {
-        // Numbers tell no part of what a host can do: what it carries counts as its fill then, or one tunnel
+        // Numbers tell no part of what a host can do: what it carries counts as its fill then, or
+        // one tunnel
         // would be taken to fill a host.
         double load = deployment.reportsCapacity() ? host.load : 1;
         if (host.heard() && host.cold() && deployment.reportsCapacity()) {
@@ -47,8 +49,8 @@
     }
 
     /**
-     * What a warm host could take of this node's tunnels in a second, if it were filled over the warm-up by
-     * all nodes. A {@code young} node sees less than there is by its own tunnels.
+     * What a warm host could take of this node's tunnels in a second, if it were filled over the
+     * warm-up by all nodes. A {@code young} node sees less than there is by its own tunnels.
      */
     double aSecond(boolean young) {
         if (tunnels >= LEAST_TUNNELS && loads >= LEAST_LOAD) {
--- a/core/src/main/java/embershift/policy/Holders.java
+++ b/core/src/main/java/embershift/policy/Holders.java
@@ -1,8 +1,7 @@
 package embershift.policy;
 
-import embershift.policy.Policy.Host;
 import embershift.model.GroupId;
-
+import embershift.policy.Policy.Host;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -15,16 +14,19 @@
 
     void add(GroupId group, Host host) {
         if (group != null) {
-            holders.computeIfAbsent(group, name -> new LinkedHashMap<>()).merge(host, 1, Integer::sum);
+            holders.computeIfAbsent(group, name -> new LinkedHashMap<>())
+                    .merge(host, 1, Integer::sum);
         }
     }
 
     void remove(GroupId group, Host host) {
         if (group != null) {
-            holders.computeIfPresent(group, (name, at) -> {
-                at.computeIfPresent(host, (there, held) -> held == 1 ? null : held - 1);
-                return at.isEmpty() ? null : at;
-            });
+            holders.computeIfPresent(
+                    group,
+                    (name, at) -> {
+                        at.computeIfPresent(host, (there, held) -> held == 1 ? null : held - 1);
+                        return at.isEmpty() ? null : at;
+                    });
         }
     }
 
--- a/core/src/main/java/embershift/policy/Partings.java
+++ b/core/src/main/java/embershift/policy/Partings.java
@@ -1,16 +1,16 @@
 package embershift.policy;
 
-import embershift.policy.Policy.Host;
 import embershift.model.SubjectId;
-
+import embershift.policy.Policy.Host;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Where the packets of each passed-through tunnel last went, for as long as their host keeps them. */
+/**
+ * Where the packets of each passed-through tunnel last went, for as long as their host keeps them.
+ */
 final class Partings {
 
-    private record Parting(Host host, double at) {
-    }
+    private record Parting(Host host, double at) {}
 
     private final Map<SubjectId, Parting> partings = new LinkedHashMap<>();
     private final double kept;
--- a/core/src/main/java/embershift/policy/Ring.java
+++ b/core/src/main/java/embershift/policy/Ring.java
@@ -1,6 +1,9 @@
 package embershift.policy;
 
-/** A measure over time: in a ring of fixed time buckets, sums of what was measured, and how often it was. */
+/**
+ * A measure over time: in a ring of fixed time buckets, sums of what was measured, and how often it
+ * was.
+ */
 final class Ring {
     private final double[] values;
     private final int[] numbers;
--- a/core/src/main/java/embershift/policy/Seats.java
+++ b/core/src/main/java/embershift/policy/Seats.java
@@ -1,7 +1,6 @@
 package embershift.policy;
 
 import embershift.policy.Policy.Host;
-
 import java.nio.charset.StandardCharsets;
 import java.util.Collections;
 import java.util.Comparator;
@@ -9,25 +8,30 @@
 import java.util.zip.CRC32;
 
 /**
- * Hosts in seats by a number of their own, alike at all nodes that know the same hosts. A number falls on
- * a host or on an empty seat; a host that is enrolled or stops taking tunnels shifts only what falls on it.
+ * Hosts in seats by a number of their own, alike at all nodes that know the same hosts. A number
+ * falls on a host or on an empty seat; a host that is enrolled or stops taking tunnels shifts only
+ * what falls on it.
  */
 final class Seats {
 
     private static final int LEAST = 1024;
 
     private Host[] seats = new Host[LEAST];
+
     /** The roll whose hosts are to be seated anew; null while they sit. */
     private List<Host> unseated;
+
     private int fillings;
 
     /**
-     * Keeps the roll in one order at all nodes, so that the intervals of the draw lie alike. Hosts are
-     * seated when they are next looked for: a list of thousands is enrolled in one round, and would be
-     * seated as often as it has hosts.
+     * Keeps the roll in one order at all nodes, so that the intervals of the draw lie alike. Hosts
+     * are seated when they are next looked for: a list of thousands is enrolled in one round, and
+     * would be seated as often as it has hosts.
      */
     Host enrol(Host host, List<Host> roll) {
-        int at = Collections.binarySearch(roll, host, Comparator.comparing((Host other) -> other.id.name()));
+        int at =
+                Collections.binarySearch(
+                        roll, host, Comparator.comparing((Host other) -> other.id.name()));
         roll.add(at < 0 ? -at - 1 : at, host);
         unseated = roll;
         return host;
--- a/core/src/main/java/embershift/policy/Tunnel.java
+++ b/core/src/main/java/embershift/policy/Tunnel.java
@@ -1,12 +1,11 @@
 package embershift.policy;
 
-import embershift.policy.Policy.Host;
 import embershift.model.DeclineReason;
 import embershift.model.Deployment.Profile;
 import embershift.model.GroupId;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
-
+import embershift.policy.Policy.Host;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -29,6 +28,7 @@
     int asks;
     Host asked;
     double askedUntil;
+
     /** Why it can't be sent now; counted where it is declined. */
     DeclineReason obstacle;
 
--- a/core/src/test/java/embershift/policy/AllowanceTest.java
+++ b/core/src/test/java/embershift/policy/AllowanceTest.java
@@ -7,13 +7,15 @@
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Repeat;
 import embershift.model.SetupEnd;
-import org.testng.annotations.Test;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Random;
+import org.testng.annotations.Test;
 
-/** Rule 5: setups beyond each tunnel's first stay within the budget in every window that ends at one. */
+/**
+ * Rule 5: setups beyond each tunnel's first stay within the budget in every window that ends at
+ * one.
+ */
 public class AllowanceTest {
 
     private static final Budget BUDGET = new Budget(3, 0.25, 2);
@@ -38,12 +40,16 @@
         assertEquals(allowance.left(12.05), 3.0);
     }
 
-    /** A thousand sequences of takings and further setups, bunched and thin, against a count of every window. */
+    /**
+     * A thousand sequences of takings and further setups, bunched and thin, against a count of
+     * every window.
+     */
     @Test
     public void noWindowIsOverdrawn() {
         for (int seed = 0; seed < 1000; seed++) {
             Random luck = new Random(seed);
-            Budget budget = new Budget(luck.nextInt(6), luck.nextDouble() / 2, 0.5 + 4 * luck.nextDouble());
+            Budget budget =
+                    new Budget(luck.nextInt(6), luck.nextDouble() / 2, 0.5 + 4 * luck.nextDouble());
             Allowance allowance = new Allowance(budget);
             List<Double> taken = new ArrayList<>();
             List<Double> further = new ArrayList<>();
@@ -57,8 +63,13 @@
                     allowance.spent(now);
                     further.add(now);
                     double from = now - budget.span();
-                    double most = budget.free() + budget.perTunnel() * taken.stream().filter(at -> at > from).count();
-                    assertTrue(further.stream().filter(at -> at >= from).count() <= most, "seed " + seed);
+                    double most =
+                            budget.free()
+                                    + budget.perTunnel()
+                                            * taken.stream().filter(at -> at > from).count();
+                    assertTrue(
+                            further.stream().filter(at -> at >= from).count() <= most,
+                            "seed " + seed);
                 }
             }
         }
@@ -66,10 +77,15 @@
 
     @Test
     public void stormOfFailuresIsAnsweredAtOnceWhenTheBudgetIsSpent() {
-        Node node = new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, 1, BUDGET, 1).loads(0.1, 0.1, 0.1, 0.1);
+        Node node =
+                new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, 1, BUDGET, 1)
+                        .loads(0.1, 0.1, 0.1, 0.1);
         node.arrive(0, 20, null);
-        List<Integer> hosts = node.said.stream().filter(line -> line.startsWith("set up"))
-                .map(line -> Integer.parseInt(line.split(" h")[1])).toList();
+        List<Integer> hosts =
+                node.said.stream()
+                        .filter(line -> line.startsWith("set up"))
+                        .map(line -> Integer.parseInt(line.split(" h")[1]))
+                        .toList();
         List<String> all = new ArrayList<>();
         for (int i = 0; i < hosts.size(); i++) {
             all.addAll(node.end(i, 0, hosts.get(i), SetupEnd.FULL));
@@ -80,7 +96,9 @@
 
     @Test
     public void setupThatWasNeverSentGivesNothingBack() {
-        Node node = new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, 1, new Budget(1, 0, 2), 1).loads(0.1, 0.1, 0.1, 0.1);
+        Node node =
+                new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, 1, new Budget(1, 0, 2), 1)
+                        .loads(0.1, 0.1, 0.1, 0.1);
         node.arrive(0, 2, null);
         node.end(0, 0, 0, SetupEnd.FULL);
         node.end(0, 1, 1, SetupEnd.NOT_SENT);
@@ -89,11 +107,16 @@
 
     @Test
     public void tunnelsThatStoodBeforeGiveNoBudget() {
-        Node node = new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, 1, new Budget(0, 1, 2), 1).loads(0.1, 0.1, 0.1, 0.1);
+        Node node =
+                new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, 1, new Budget(0, 1, 2), 1)
+                        .loads(0.1, 0.1, 0.1, 0.1);
         node.stand(10, 50, 0);
         node.arrive(0, 1, null);
-        assertEquals(node.end(0, 0, node.lastHost(), SetupEnd.FULL).stream().filter(line -> line.startsWith("set up"))
-                .count(), 1);
+        assertEquals(
+                node.end(0, 0, node.lastHost(), SetupEnd.FULL).stream()
+                        .filter(line -> line.startsWith("set up"))
+                        .count(),
+                1);
         assertTrue(node.end(0, 1, node.lastHost(), SetupEnd.FULL).get(0).startsWith("decline t0"));
     }
 }
--- a/core/src/test/java/embershift/policy/ColdHostSumTest.java
+++ b/core/src/test/java/embershift/policy/ColdHostSumTest.java
@@ -8,19 +8,19 @@
 import embershift.model.Deployment.Repeat;
 import embershift.model.HostId;
 import embershift.model.Listing;
-import org.testng.Reporter;
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
+import org.testng.Reporter;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
 
 /**
- * Rule 4 in virtual time: what all nodes together send a host that warms up, in every span in which it may be pushed
- * over, against what the settings allow in that span and chance: N and twice its root and 2.
+ * Rule 4 in virtual time: what all nodes together send a host that warms up, in every span in which
+ * it may be pushed over, against what the settings allow in that span and chance: N and twice its
+ * root and 2.
  */
 public class ColdHostSumTest {
 
@@ -32,9 +32,17 @@
     private static final int STEPS = 16;
 
     /** When a node's clients come. */
-    private enum Traffic { AMPLE, RUSH, WAVES, THIN }
+    private enum Traffic {
+        AMPLE,
+        RUSH,
+        WAVES,
+        THIN
+    }
 
-    /** Nodes of which each knows its share of what a warm host could take, and one host that has started. */
+    /**
+     * Nodes of which each knows its share of what a warm host could take, and one host that has
+     * started.
+     */
     private static final class Fleet {
 
         final Random random;
@@ -66,8 +74,18 @@
         }
 
         SlowStart node(int believes, int rank, double bornAt) {
-            Deployment deployment = Node.deployment(Repeat.REPEATABLE, DedupScope.ALL, random.nextLong(), Budget.NONE, believes,
-                    rank, COLD_FROM, WARM_AFTER, MULTIPLE, SPAN);
+            Deployment deployment =
+                    Node.deployment(
+                            Repeat.REPEATABLE,
+                            DedupScope.ALL,
+                            random.nextLong(),
+                            Budget.NONE,
+                            believes,
+                            rank,
+                            COLD_FROM,
+                            WARM_AFTER,
+                            MULTIPLE,
+                            SPAN);
             return new SlowStart(deployment, new Chance(deployment.seed()), bornAt);
         }
 
@@ -81,7 +99,10 @@
             double rushAt = START + random.nextDouble() * (WARM_AFTER - 2 * SPAN);
             double step = SPAN / STEPS;
             boolean[] begun = new boolean[nodes.length];
-            double end = Math.min(START + WARM_AFTER, lasts < WARM_AFTER ? rushAt + lasts : START + WARM_AFTER);
+            double end =
+                    Math.min(
+                            START + WARM_AFTER,
+                            lasts < WARM_AFTER ? rushAt + lasts : START + WARM_AFTER);
             double restartAt = rushAt + restartAfter;
             for (double now = lasts < WARM_AFTER ? rushAt : START; now < end; now += step) {
                 int from = random.nextInt(nodes.length);
@@ -96,13 +117,19 @@
                         begun[i] = true;
                         nodes[i].begin(new HostId(host), START, told[i]);
                     }
-                    double tries = switch (traffic) {
-                        case AMPLE -> Double.POSITIVE_INFINITY;
-                        case RUSH -> now < rushAt ? 0 : Double.POSITIVE_INFINITY;
-                        case WAVES -> (now - rushAt) % (2.3 * SPAN) < SPAN / 2 ? Double.POSITIVE_INFINITY : 0;
-                        case THIN -> poisson(demand * allowed(now - step, now) * shares[i]);
-                    };
-                    while (begun[i] && tries-- > 0 && nodes[i].mayTake(now, warmHostCanTake * shares[i])) {
+                    double tries =
+                            switch (traffic) {
+                                case AMPLE -> Double.POSITIVE_INFINITY;
+                                case RUSH -> now < rushAt ? 0 : Double.POSITIVE_INFINITY;
+                                case WAVES ->
+                                        (now - rushAt) % (2.3 * SPAN) < SPAN / 2
+                                                ? Double.POSITIVE_INFINITY
+                                                : 0;
+                                case THIN -> poisson(demand * allowed(now - step, now) * shares[i]);
+                            };
+                    while (begun[i]
+                            && tries-- > 0
+                            && nodes[i].mayTake(now, warmHostCanTake * shares[i])) {
                         nodes[i].took(now);
                         sent[many++] = now;
                     }
@@ -123,14 +150,23 @@
             return number;
         }
 
-        /** What the settings allow from one time to another: before its start, a host can do what it can then. */
+        /**
+         * What the settings allow from one time to another: before its start, a host can do what it
+         * can then.
+         */
         double allowed(double from, double to) {
             double cold = MULTIPLE * warmHostCanTake * COLD_FROM * (to - from);
             double rise = MULTIPLE * warmHostCanTake * (1 - COLD_FROM) / WARM_AFTER / 2;
-            return cold + rise * (Math.pow(Math.max(0, to - START), 2) - Math.pow(Math.max(0, from - START), 2));
+            return cold
+                    + rise
+                            * (Math.pow(Math.max(0, to - START), 2)
+                                    - Math.pow(Math.max(0, from - START), 2));
         }
 
-        /** The most by which the sum of a span passes what is allowed in it, over what chance may add. */
+        /**
+         * The most by which the sum of a span passes what is allowed in it, over what chance may
+         * add.
+         */
         double worst() {
             double worst = -1;
             int first = 0;
@@ -139,7 +175,9 @@
                     first++;
                 }
                 double allowed = Math.max(1, allowed(sent[last] - SPAN, sent[last]));
-                worst = Math.max(worst, (last - first + 1 - allowed) / (2 * Math.sqrt(allowed) + 2));
+                worst =
+                        Math.max(
+                                worst, (last - first + 1 - allowed) / (2 * Math.sqrt(allowed) + 2));
             }
             return worst;
         }
@@ -166,7 +204,9 @@
 
     private static void assertWithin(double worst, String what) {
         Reporter.log(String.format("%-60s worst %.2f", what, worst), true);
-        assertTrue(worst <= 1, what + ": passes what is allowed by " + worst + " of what chance may add");
+        assertTrue(
+                worst <= 1,
+                what + ": passes what is allowed by " + worst + " of what chance may add");
     }
 
     @Test(dataProvider = "fleets")
@@ -175,9 +215,20 @@
             for (Traffic traffic : List.of(Traffic.AMPLE, Traffic.RUSH, Traffic.WAVES)) {
                 double worst = -1;
                 for (int seed = 1; seed <= seeds(nodes); seed++) {
-                    worst = Math.max(worst, new Fleet(nodes, first, even, seed).play(traffic, 0, 1e9).worst());
+                    worst =
+                            Math.max(
+                                    worst,
+                                    new Fleet(nodes, first, even, seed)
+                                            .play(traffic, 0, 1e9)
+                                            .worst());
                 }
-                assertWithin(worst, nodes + " nodes, N " + first + (even ? ", even, " : ", uneven, ") + traffic);
+                assertWithin(
+                        worst,
+                        nodes
+                                + " nodes, N "
+                                + first
+                                + (even ? ", even, " : ", uneven, ")
+                                + traffic);
             }
         }
     }
@@ -198,7 +249,12 @@
     public void sevenInTenNodesStartAgainUnderARush(int nodes, double first) {
         double worst = -1;
         for (int seed = 1; seed <= seeds(nodes); seed++) {
-            worst = Math.max(worst, new Fleet(nodes, first, true, seed).play(Traffic.RUSH, 0, SPAN / 4).worst());
+            worst =
+                    Math.max(
+                            worst,
+                            new Fleet(nodes, first, true, seed)
+                                    .play(Traffic.RUSH, 0, SPAN / 4)
+                                    .worst());
         }
         assertWithin(worst, nodes + " nodes, N " + first + ", seven in ten start again");
     }
@@ -231,13 +287,22 @@
         assertWithin(worst, nodes + " nodes, N " + first + ", unknown rank");
     }
 
-    /** Shares as uneven as exponential ones are: 5,000 starts of each kind had 2 at most, of 100 nodes with N 5. */
+    /**
+     * Shares as uneven as exponential ones are: 5,000 starts of each kind had 2 at most, of 100
+     * nodes with N 5.
+     */
     @Test
     public void fewerThanOneStartInAThousandPassesIt() {
         int passed = 0;
         for (int seed = 1; seed <= 3000; seed++) {
             double first = seed % 2 == 0 ? 5 : 32;
-            passed += new Fleet(100, first, false, 1000 + seed).play(Traffic.RUSH, 0, 1e9, 2 * SPAN).worst() > 1 ? 1 : 0;
+            passed +=
+                    new Fleet(100, first, false, 1000 + seed)
+                                            .play(Traffic.RUSH, 0, 1e9, 2 * SPAN)
+                                            .worst()
+                                    > 1
+                            ? 1
+                            : 0;
         }
         assertTrue(passed < 3, passed + " of 3000 starts");
     }
@@ -247,22 +312,35 @@
     public void allowanceIsUsedWhereThereIsDemand(int nodes, double first) {
         StringBuilder line = new StringBuilder();
         for (boolean even : new boolean[] {true, false}) {
-            for (double demand : nodes > 1000 ? new double[] {1e9} : new double[] {0.5, 1, 2, 1e9}) {
+            for (double demand :
+                    nodes > 1000 ? new double[] {1e9} : new double[] {0.5, 1, 2, 1e9}) {
                 Traffic traffic = demand > 100 ? Traffic.AMPLE : Traffic.THIN;
                 double used = 0;
                 for (int seed = 1; seed <= 4; seed++) {
-                    used += new Fleet(nodes, first, even, seed).play(traffic, demand, 1e9).used() / 4;
+                    used +=
+                            new Fleet(nodes, first, even, seed).play(traffic, demand, 1e9).used()
+                                    / 4;
                 }
                 line.append(String.format(" %.2f", used));
                 boolean thin = demand < 2 || demand == 2 && (first < 32 || nodes > 100);
-                assertTrue(used > (demand > 100 ? 0.8 : thin ? 0 : 0.6) - (first < 5 ? 0.2 : 0), demand + ": " + used);
+                assertTrue(
+                        used > (demand > 100 ? 0.8 : thin ? 0 : 0.6) - (first < 5 ? 0.2 : 0),
+                        demand + ": " + used);
             }
             line.append(even ? " |" : "");
         }
-        Reporter.log(String.format("%d nodes, N %.0f: used at half, all, twice and any demand", nodes, first) + line, true);
+        Reporter.log(
+                String.format(
+                                "%d nodes, N %.0f: used at half, all, twice and any demand",
+                                nodes, first)
+                        + line,
+                true);
     }
 
-    /** Whole modules, in one process: quiet while one of four hosts has started, then all meet their clients together. */
+    /**
+     * Whole modules, in one process: quiet while one of four hosts has started, then all meet their
+     * clients together.
+     */
     @Test
     public void thirtyModulesThatWereQuietMeetTheirClientsTogether() {
         List<Node> nodes = new ArrayList<>();
@@ -270,7 +348,8 @@
             Node node = new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, i + 1, Budget.NONE, 30, i);
             node.filling.told(40);
             node.now = 110;
-            node.round(news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.READY, 110))));
+            node.round(
+                    news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.READY, 110))));
             nodes.add(node);
         }
         List<Double> sent = new ArrayList<>();
@@ -286,7 +365,8 @@
         }
         double worst = -1;
         for (double last : sent) {
-            // 3 times what fills the host over its warm-up in 2 s, as far as it is warm halfway through them.
+            // 3 times what fills the host over its warm-up in 2 s, as far as it is warm halfway
+            // through them.
             double allowed = 3 * 2 * 40 / 8.0 * (0.3 + 0.7 * (last - 1 - 110) / 8);
             long number = sent.stream().filter(time -> time <= last && time >= last - 2).count();
             worst = Math.max(worst, (number - allowed) / (2 * Math.sqrt(allowed) + 2));
--- a/core/src/test/java/embershift/policy/Node.java
+++ b/core/src/test/java/embershift/policy/Node.java
@@ -1,7 +1,7 @@
 package embershift.policy;
 
-import embershift.model.DeclineReason;
 import embershift.model.Decisions;
+import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.Deployment.Budget;
 import embershift.model.Deployment.DedupScope;
@@ -15,7 +15,6 @@
 import embershift.model.SetupEnd;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -30,11 +29,15 @@
 
     final Policy policy;
     final Filling filling;
+
     /** Setups sent from the start on. */
     int placed;
+
     final List<String> said = new ArrayList<>();
+
     /** Why tunnels were declined, from the start on. */
     final List<DeclineReason> reasons = new ArrayList<>();
+
     double now = 100;
     double lastTimeOut;
 
@@ -46,12 +49,29 @@
         this(profiles(repeat, scope), hosts, seed, budget, nodes, 0, true);
     }
 
-    Node(Repeat repeat, DedupScope scope, int hosts, long seed, Budget budget, int nodes, int rank) {
+    Node(
+            Repeat repeat,
+            DedupScope scope,
+            int hosts,
+            long seed,
+            Budget budget,
+            int nodes,
+            int rank) {
         this(profiles(repeat, scope), hosts, seed, budget, nodes, rank, true);
     }
 
-    /** {@code reportsCapacity}: whether hosts tell load over capacity, else they tell numbers of tunnels. */
-    Node(Repeat repeat, DedupScope scope, int hosts, long seed, Budget budget, int nodes, boolean reportsCapacity) {
+    /**
+     * {@code reportsCapacity}: whether hosts tell load over capacity, else they tell numbers of
+     * tunnels.
+     */
+    Node(
+            Repeat repeat,
+            DedupScope scope,
+            int hosts,
+            long seed,
+            Budget budget,
+            int nodes,
+            boolean reportsCapacity) {
         this(profiles(repeat, scope), hosts, seed, budget, nodes, 0, reportsCapacity);
     }
 
@@ -61,12 +81,44 @@
 
     /** A node of a hundred that has to ask the roster within {@code mustAsk} seconds. */
     static Node asking(double mustAsk, long seed) {
-        return new Node(deployment(profiles(Repeat.REPEATABLE, DedupScope.ALL), mustAsk, seed, Budget.NONE, 100, 0, true, 0.3, 8,
-                3, 2), 2);
-    }
-
-    private Node(List<Profile> profiles, int hosts, long seed, Budget budget, int nodes, int rank, boolean reportsCapacity) {
-        this(deployment(profiles, MUST_ASK, seed, budget, nodes, rank, reportsCapacity, 0.3, 8, 3, 2), hosts);
+        return new Node(
+                deployment(
+                        profiles(Repeat.REPEATABLE, DedupScope.ALL),
+                        mustAsk,
+                        seed,
+                        Budget.NONE,
+                        100,
+                        0,
+                        true,
+                        0.3,
+                        8,
+                        3,
+                        2),
+                2);
+    }
+
+    private Node(
+            List<Profile> profiles,
+            int hosts,
+            long seed,
+            Budget budget,
+            int nodes,
+            int rank,
+            boolean reportsCapacity) {
+        this(
+                deployment(
+                        profiles,
+                        MUST_ASK,
+                        seed,
+                        budget,
+                        nodes,
+                        rank,
+                        reportsCapacity,
+                        0.3,
+                        8,
+                        3,
+                        2),
+                hosts);
     }
 
     private Node(Deployment deployment, int hosts) {
@@ -83,17 +135,69 @@
         this(Repeat.REPEATABLE, DedupScope.ALL, hosts, 1);
     }
 
-    static Deployment deployment(Repeat repeat, DedupScope scope, long seed, Budget budget, int nodes, int rank,
-                                 double coldFrom, double warmAfter, double fallMultiple, double fallAfter) {
-        return deployment(profiles(repeat, scope), MUST_ASK, seed, budget, nodes, rank, true, coldFrom, warmAfter, fallMultiple,
+    static Deployment deployment(
+            Repeat repeat,
+            DedupScope scope,
+            long seed,
+            Budget budget,
+            int nodes,
+            int rank,
+            double coldFrom,
+            double warmAfter,
+            double fallMultiple,
+            double fallAfter) {
+        return deployment(
+                profiles(repeat, scope),
+                MUST_ASK,
+                seed,
+                budget,
+                nodes,
+                rank,
+                true,
+                coldFrom,
+                warmAfter,
+                fallMultiple,
                 fallAfter);
     }
 
-    private static Deployment deployment(List<Profile> profiles, double mustAsk, long seed, Budget budget, int nodes, int rank,
-                                         boolean reportsCapacity, double coldFrom, double warmAfter, double fallMultiple,
-                                         double fallAfter) {
-        return new Deployment(seed, nodes, rank, new ZoneId("near"), profiles, true, mustAsk, true, true, reportsCapacity, true,
-                false, 4, true, 1.5, 0.25, 0.016, 0.5, coldFrom, warmAfter, fallMultiple, fallAfter, budget, false, 0);
+    private static Deployment deployment(
+            List<Profile> profiles,
+            double mustAsk,
+            long seed,
+            Budget budget,
+            int nodes,
+            int rank,
+            boolean reportsCapacity,
+            double coldFrom,
+            double warmAfter,
+            double fallMultiple,
+            double fallAfter) {
+        return new Deployment(
+                seed,
+                nodes,
+                rank,
+                new ZoneId("near"),
+                profiles,
+                true,
+                mustAsk,
+                true,
+                true,
+                reportsCapacity,
+                true,
+                false,
+                4,
+                true,
+                1.5,
+                0.25,
+                0.016,
+                0.5,
+                coldFrom,
+                warmAfter,
+                fallMultiple,
+                fallAfter,
+                budget,
+                false,
+                0);
     }
 
     private static List<Profile> profiles(Repeat repeat, DedupScope scope) {
@@ -122,55 +226,75 @@
 
     /** A listing of a host that started long ago, with the weight that the roster gives it. */
     static Listing weighed(int host, double weight) {
-        return new Listing(host(host), Listing.State.READY, new ZoneId(host % 2 == 0 ? "near" : "far"), weight, 0, 0);
+        return new Listing(
+                host(host),
+                Listing.State.READY,
+                new ZoneId(host % 2 == 0 ? "near" : "far"),
+                weight,
+                0,
+                0);
     }
 
     /** One round in which hosts 0, 1, ... report these numbers of tunnels. */
     Node numbers(int... open) {
-        round(news -> {
-            for (int i = 0; i < open.length; i++) {
-                news.probeEnded(host(i), true, 0.01);
-                news.hostReported(host(i), Double.NaN, open[i], 0);
-            }
-        });
+        round(
+                news -> {
+                    for (int i = 0; i < open.length; i++) {
+                        news.probeEnded(host(i), true, 0.01);
+                        news.hostReported(host(i), Double.NaN, open[i], 0);
+                    }
+                });
         return this;
     }
 
     /** One round in which hosts 0, 1, ... report these loads over capacity. */
     Node loads(double... loads) {
-        round(news -> {
-            for (int i = 0; i < loads.length; i++) {
-                news.probeEnded(host(i), true, 0.01);
-                news.hostReported(host(i), loads[i], Double.NaN, Double.NaN);
-            }
-        });
+        round(
+                news -> {
+                    for (int i = 0; i < loads.length; i++) {
+                        news.probeEnded(host(i), true, 0.01);
+                        news.hostReported(host(i), loads[i], Double.NaN, Double.NaN);
+                    }
+                });
         return this;
     }
 
     List<String> arrive(int first, int many, String group) {
-        return round(news -> {
-            for (int i = first; i < first + many; i++) {
-                news.tunnelArrived(tun(i), new ProfileId("p"), null, null,
-                        group == null ? null : new GroupId(group), 3, false);
-            }
-        });
+        return round(
+                news -> {
+                    for (int i = first; i < first + many; i++) {
+                        news.tunnelArrived(
+                                tun(i),
+                                new ProfileId("p"),
+                                null,
+                                null,
+                                group == null ? null : new GroupId(group),
+                                3,
+                                false);
+                    }
+                });
     }
 
     /** One round in which tunnels are told to stand at a host. */
     void stand(int first, int many, int host) {
-        round(news -> {
-            for (int i = first; i < first + many; i++) {
-                news.tunnelStanding(tun(i), new ProfileId("p"), null, null, null, host(host));
-            }
-        });
-    }
-
-    /** Lets time pass with a round each hundredth of a second, and returns how many moves came in it. */
+        round(
+                news -> {
+                    for (int i = first; i < first + many; i++) {
+                        news.tunnelStanding(
+                                tun(i), new ProfileId("p"), null, null, null, host(host));
+                    }
+                });
+    }
+
+    /**
+     * Lets time pass with a round each hundredth of a second, and returns how many moves came in
+     * it.
+     */
     long later(double seconds) {
         long moves = 0;
         for (int i = 0; i < Math.round(seconds * 100); i++) {
             now += 0.01;
-            round(news -> { });
+            round(news -> {});
             moves += count("move");
         }
         return moves;
@@ -192,11 +316,15 @@
 
     int lastProbed() {
         List<String> probes = said.stream().filter(line -> line.startsWith("probe")).toList();
-        return probes.isEmpty() ? -1 : Integer.parseInt(probes.get(probes.size() - 1).split(" h")[1]);
+        return probes.isEmpty()
+                ? -1
+                : Integer.parseInt(probes.get(probes.size() - 1).split(" h")[1]);
     }
 
     long sentTo(int host) {
-        return said.stream().filter(line -> line.startsWith("set up") && line.endsWith(" h" + host)).count();
+        return said.stream()
+                .filter(line -> line.startsWith("set up") && line.endsWith(" h" + host))
+                .count();
     }
 
     long count(String start) {
--- a/core/src/test/java/embershift/policy/PolicyTest.java
+++ b/core/src/test/java/embershift/policy/PolicyTest.java
@@ -13,23 +13,26 @@
 import embershift.model.News;
 import embershift.model.ProfileId;
 import embershift.model.SetupEnd;
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.IntStream;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
 
 public class PolicyTest {
 
     @DataProvider
     public Object[][] weights() {
         return new Object[][] {
-            {0.2, 1.0, 2, 204.8}, {0.8, 1.0, 2, 51.2}, {0.5, 1.5, 3, 256 / 3.0},
-            {0, 0, 4, 64}, {0.7, 0.7, 1, 256}};
+            {0.2, 1.0, 2, 204.8},
+            {0.8, 1.0, 2, 51.2},
+            {0.5, 1.5, 3, 256 / 3.0},
+            {0, 0, 4, 64},
+            {0.7, 0.7, 1, 256}
+        };
     }
 
     @Test(dataProvider = "weights")
@@ -64,8 +67,12 @@
     @Test
     public void drainingAndGoneHostsGetNothing() {
         Node node = new Node(3).loads(0.1, 0.1, 0.1);
-        node.round(news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.DRAINING, 0),
-                Node.listing(2, Listing.State.GONE, 0))));
+        node.round(
+                news ->
+                        news.rosterChanged(
+                                List.of(
+                                        Node.listing(0, Listing.State.DRAINING, 0),
+                                        Node.listing(2, Listing.State.GONE, 0))));
         node.arrive(0, 20, null);
         assertEquals(node.sentTo(1), 20);
     }
@@ -73,7 +80,8 @@
     @Test
     public void hostAbsentFromACompleteListIsGone() {
         Node node = new Node(2).loads(0.1, 0.1);
-        node.round(news -> news.rosterListed(List.of(Node.listing(1, Listing.State.READY, 0)), false));
+        node.round(
+                news -> news.rosterListed(List.of(Node.listing(1, Listing.State.READY, 0)), false));
         node.arrive(0, 1, null);
         assertEquals(node.lastHost(), 1);
     }
@@ -102,7 +110,9 @@
 
     @Test(dataProvider = "scopes")
     public void referencedThatMayHaveRunStaysInItsGroupOfHosts(DedupScope scope) {
-        Node node = new Node(Repeat.REFERENCED, scope, 8, 1).loads(0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1);
+        Node node =
+                new Node(Repeat.REFERENCED, scope, 8, 1)
+                        .loads(0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1);
         node.arrive(0, 1, null);
         int first = node.lastHost();
         node.end(0, 0, first, SetupEnd.ERROR);
@@ -135,12 +145,13 @@
         Node node = new Node(2).loads(0.1, 0.1);
         node.arrive(0, 1, null);
         node.round(news -> news.tunnelLeft(Node.tun(0)));
-        node.round(news -> {
-            news.setupEnded(Node.tun(0), 0, Node.host(0), SetupEnd.CANCELLED, 0.1, true);
-            news.tunnelOpened(Node.tun(7), 0, Node.host(9), 0.1);
-            news.hostReported(Node.host(9), 0.5, 1, 1);
-            news.probeEnded(Node.host(9), true, 0.1);
-        });
+        node.round(
+                news -> {
+                    news.setupEnded(Node.tun(0), 0, Node.host(0), SetupEnd.CANCELLED, 0.1, true);
+                    news.tunnelOpened(Node.tun(7), 0, Node.host(9), 0.1);
+                    news.hostReported(Node.host(9), 0.5, 1, 1);
+                    news.probeEnded(Node.host(9), true, 0.1);
+                });
         assertEquals(node.count("set up") + node.count("decline"), 0);
     }
 
@@ -157,11 +168,13 @@
     @Test
     public void whereMostHostsFailTheDrawIsPlain() {
         Node node = new Node(4).loads(0.1, 0.1, 0.1, 0.1);
-        node.round(news -> {
-            for (int host = 0; host < 3; host++) {
-                news.setupEnded(Node.tun(host), 0, Node.host(host), SetupEnd.ERROR, 0.1, true);
-            }
-        });
+        node.round(
+                news -> {
+                    for (int host = 0; host < 3; host++) {
+                        news.setupEnded(
+                                Node.tun(host), 0, Node.host(host), SetupEnd.ERROR, 0.1, true);
+                    }
+                });
         node.arrive(0, 50, null);
         assertTrue(node.sentTo(3) < 50);
     }
@@ -207,19 +220,22 @@
     @Test
     public void sinkingHostLosesTheLeastHeldGroupsFirst() {
         Node node = new Node(2);
-        node.round(news -> {
-            for (int i = 0; i < 10; i++) {
-                standing(news, i, i < 8 ? "many" : "few" + i);
-            }
-        });
+        node.round(
+                news -> {
+                    for (int i = 0; i < 10; i++) {
+                        standing(news, i, i < 8 ? "many" : "few" + i);
+                    }
+                });
         node.now += 2;
         node.loads(1.0, 0.2);
-        assertEquals(node.said.stream().filter(line -> line.startsWith("move")).toList(),
+        assertEquals(
+                node.said.stream().filter(line -> line.startsWith("move")).toList(),
                 List.of("move t8", "move t9"));
     }
 
     private static void standing(News news, int i, String group) {
-        news.tunnelStanding(Node.tun(i), new ProfileId("p"), null, null, new GroupId(group), Node.host(0));
+        news.tunnelStanding(
+                Node.tun(i), new ProfileId("p"), null, null, new GroupId(group), Node.host(0));
     }
 
     @Test
@@ -228,14 +244,22 @@
         node.arrive(0, 40, null);
         List<String> sent = List.copyOf(node.said);
         node.now += 0.5;
-        node.round(news -> {
-            for (int i = 0; i < 40; i++) {
-                news.setupEnded(Node.tun(i), 0, Node.host(Integer.parseInt(sent.get(i).split(" h")[1])),
-                        SetupEnd.TIMED_OUT, 0.5, true);
-            }
-        });
+        node.round(
+                news -> {
+                    for (int i = 0; i < 40; i++) {
+                        news.setupEnded(
+                                Node.tun(i),
+                                0,
+                                Node.host(Integer.parseInt(sent.get(i).split(" h")[1])),
+                                SetupEnd.TIMED_OUT,
+                                0.5,
+                                true);
+                    }
+                });
         node.arrive(100, 40, null);
-        assertTrue(node.count("set up") < 40 && node.count("set up") > 0, "sent " + node.count("set up"));
+        assertTrue(
+                node.count("set up") < 40 && node.count("set up") > 0,
+                "sent " + node.count("set up"));
     }
 
     @Test
@@ -253,14 +277,18 @@
         Node node = new Node(2).loads(0.1, 0.1);
         setWindowToOne(node);
         node.loads(0.1, 0.1);
-        node.round(news -> {
-            news.tunnelArrived(Node.tun(900), new ProfileId("p"), null, null, null, 3, false);
-            news.tunnelArrived(Node.tun(901), new ProfileId("p"), null, null, null, 30, false);
-            news.tunnelArrived(Node.tun(902), new ProfileId("p"), null, null, null, 3.5, false);
-        });
+        node.round(
+                news -> {
+                    news.tunnelArrived(
+                            Node.tun(900), new ProfileId("p"), null, null, null, 3, false);
+                    news.tunnelArrived(
+                            Node.tun(901), new ProfileId("p"), null, null, null, 30, false);
+                    news.tunnelArrived(
+                            Node.tun(902), new ProfileId("p"), null, null, null, 3.5, false);
+                });
         assertEquals(node.count("set up"), 1);
         node.now += 3.3;
-        assertTrue(node.round(news -> { }).contains("decline t902 with advice"));
+        assertTrue(node.round(news -> {}).contains("decline t902 with advice"));
     }
 
     private static void setWindowToOne(Node node) {
@@ -269,11 +297,13 @@
             node.arrive(id, 1, null);
             int host = Math.max(0, node.lastHost());
             node.now += 0.3;
-            node.round(news -> {
-                for (int k = 0; k < 4; k++) {
-                    news.setupEnded(Node.tun(id), k, Node.host(host), SetupEnd.ERROR, 0.1, k == 0);
-                }
-            });
+            node.round(
+                    news -> {
+                        for (int k = 0; k < 4; k++) {
+                            news.setupEnded(
+                                    Node.tun(id), k, Node.host(host), SetupEnd.ERROR, 0.1, k == 0);
+                        }
+                    });
         }
     }
 
@@ -282,7 +312,7 @@
         Node node = new Node(2);
         node.arrive(0, 1, null);
         node.now += 0.125 - 5e-7;
-        assertTrue(node.round(news -> { }).contains("wake"));
+        assertTrue(node.round(news -> {}).contains("wake"));
     }
 
     @Test
@@ -302,18 +332,24 @@
     public void newHostsDoNotShrinkAColdHostsPart() {
         Node node = new Node(1).loads(0.5);
         node.arrive(0, 40, null);
-        node.round(news -> {
-            for (int i = 0; i < 40; i++) {
-                news.tunnelOpened(Node.tun(i), 0, Node.host(0), 0.1);
-                news.setupEnded(Node.tun(i), 0, Node.host(0), SetupEnd.COMPLETED, 1, true);
-            }
-            news.rosterChanged(IntStream.range(1, 30)
-                    .mapToObj(i -> Node.listing(i, Listing.State.READY, 100)).toList());
-        });
+        node.round(
+                news -> {
+                    for (int i = 0; i < 40; i++) {
+                        news.tunnelOpened(Node.tun(i), 0, Node.host(0), 0.1);
+                        news.setupEnded(Node.tun(i), 0, Node.host(0), SetupEnd.COMPLETED, 1, true);
+                    }
+                    news.rosterChanged(
+                            IntStream.range(1, 30)
+                                    .mapToObj(i -> Node.listing(i, Listing.State.READY, 100))
+                                    .toList());
+                });
         node.arrive(100, 1, null);
         node.now += 1;
         node.loads(0.5);
-        node.round(news -> IntStream.range(1, 30).forEach(i -> news.probeEnded(Node.host(i), true, 0.01)));
+        node.round(
+                news ->
+                        IntStream.range(1, 30)
+                                .forEach(i -> news.probeEnded(Node.host(i), true, 0.01)));
         node.arrive(101, 60, null);
         long cold = node.count("set up") - node.sentTo(0);
         assertTrue(cold >= 8, "sent to cold hosts: " + cold);
@@ -323,34 +359,42 @@
     public void hostsThatAllStartAgainShareWhatTheyDidWhenWarm() {
         Node node = new Node(10).loads(0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5);
         node.arrive(0, 40, null);
-        node.round(news -> {
-            for (int i = 0; i < 40; i++) {
-                news.tunnelOpened(Node.tun(i), 0, Node.host(0), 0.1);
-                news.setupEnded(Node.tun(i), 0, Node.host(0), SetupEnd.COMPLETED, 1, true);
-            }
-            news.rosterChanged(IntStream.range(0, 10)
-                    .mapToObj(i -> Node.listing(i, Listing.State.READY, 100)).toList());
-        });
+        node.round(
+                news -> {
+                    for (int i = 0; i < 40; i++) {
+                        news.tunnelOpened(Node.tun(i), 0, Node.host(0), 0.1);
+                        news.setupEnded(Node.tun(i), 0, Node.host(0), SetupEnd.COMPLETED, 1, true);
+                    }
+                    news.rosterChanged(
+                            IntStream.range(0, 10)
+                                    .mapToObj(i -> Node.listing(i, Listing.State.READY, 100))
+                                    .toList());
+                });
         node.arrive(100, 1, null);
         node.now += 1;
         node.loads(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
         node.arrive(101, 200, null);
-        // 2.5 a second ended on all ten: 3 times 0.3 and something of that is what all can take in a second.
+        // 2.5 a second ended on all ten: 3 times 0.3 and something of that is what all can take in
+        // a second.
         assertTrue(node.count("set up") <= 10, "sent " + node.count("set up"));
     }
 
-    /** A node among five hosts at 0.6 and one that reports 0.02 as the roster is out of reach or heard. */
+    /**
+     * A node among five hosts at 0.6 and one that reports 0.02 as the roster is out of reach or
+     * heard.
+     */
     private static long sentToAnEmptyHost(boolean rosterHeard, boolean wasAway) {
         Node node = new Node(6).loads(0.6, 0.6, 0.6, 0.6, 0.6, 0.6);
         node.now += 2;
-        node.round(news -> { });
-        node.round(news -> {
-            if (rosterHeard) {
-                news.rosterChanged(List.of());
-            } else {
-                news.rosterLost();
-            }
-        });
+        node.round(news -> {});
+        node.round(
+                news -> {
+                    if (rosterHeard) {
+                        news.rosterChanged(List.of());
+                    } else {
+                        news.rosterLost();
+                    }
+                });
         if (wasAway) {
             node.round(news -> news.probeEnded(Node.host(0), false, 0.1));
         }
@@ -377,7 +421,7 @@
         node.arrive(0, 40, null);
         assertEquals(node.count("decline"), 40);
         node.now += 3;
-        assertFalse(node.round(news -> { }).stream().anyMatch(line -> line.startsWith("probe")));
+        assertFalse(node.round(news -> {}).stream().anyMatch(line -> line.startsWith("probe")));
     }
 
     @Test
@@ -387,26 +431,36 @@
         node.arrive(0, 40, null);
         node.loads(0.95, 0.95, 0.95, 0.95, 0.95, 0.95, 0.95, 0.95);
         node.now += 0.5;
-        assertEquals(node.arrive(40, 40, null).stream().filter(line -> line.startsWith("probe")).count(), 0);
+        assertEquals(
+                node.arrive(40, 40, null).stream().filter(line -> line.startsWith("probe")).count(),
+                0);
         node.now += 0.75;
         int probes = 0;
         for (int i = 0; i < 50; i++) {
             node.now += 0.02;
-            probes += (int) node.arrive(80 + i, 1, null).stream().filter(line -> line.startsWith("probe")).count();
+            probes +=
+                    (int)
+                            node.arrive(80 + i, 1, null).stream()
+                                    .filter(line -> line.startsWith("probe"))
+                                    .count();
         }
         assertEquals(probes, 5);
     }
 
     @DataProvider
     public Object[][] senseless() {
-        return new Object[][] {{Double.NaN}, {-1.0}, {Double.POSITIVE_INFINITY}, {Double.NEGATIVE_INFINITY}};
+        return new Object[][] {
+            {Double.NaN}, {-1.0}, {Double.POSITIVE_INFINITY}, {Double.NEGATIVE_INFINITY}
+        };
     }
 
     @Test(dataProvider = "senseless")
     public void senselessReportDoesNotShiftTheDraw(double figure) {
         Node told = new Node(4).loads(0.2, 0.3, 0.2, 0.3);
         told.round(news -> news.hostReported(Node.host(0), figure, figure, figure));
-        assertEquals(told.arrive(0, 20, null), new Node(4).loads(0.2, 0.3, 0.2, 0.3).arrive(0, 20, null));
+        assertEquals(
+                told.arrive(0, 20, null),
+                new Node(4).loads(0.2, 0.3, 0.2, 0.3).arrive(0, 20, null));
     }
 
     @Test
@@ -430,11 +484,19 @@
         }
     }
 
-    /** Nor do they make a tunnel look so heavy that hosts which have just started get no part of them. */
+    /**
+     * Nor do they make a tunnel look so heavy that hosts which have just started get no part of
+     * them.
+     */
     @Test
     public void hostsThatHangDoNotKeepColdOnesEmpty() {
-        assertTrue(sentToTwoColdHosts(10) >= sentToTwoColdHosts(0.75), "cold hosts: " + sentToTwoColdHosts(10)
-                + " beside hosts that hang, " + sentToTwoColdHosts(0.75) + " beside full ones");
+        assertTrue(
+                sentToTwoColdHosts(10) >= sentToTwoColdHosts(0.75),
+                "cold hosts: "
+                        + sentToTwoColdHosts(10)
+                        + " beside hosts that hang, "
+                        + sentToTwoColdHosts(0.75)
+                        + " beside full ones");
     }
 
     private static int sentToTwoColdHosts(double loadOfThree) {
@@ -442,8 +504,12 @@
         for (int host = 0; host < 6; host++) {
             node.stand(30 * host, 30, host);
         }
-        node.round(news -> news.rosterChanged(List.of(Node.listing(6, Listing.State.READY, node.now),
-                Node.listing(7, Listing.State.READY, node.now))));
+        node.round(
+                news ->
+                        news.rosterChanged(
+                                List.of(
+                                        Node.listing(6, Listing.State.READY, node.now),
+                                        Node.listing(7, Listing.State.READY, node.now))));
         int sent = 0;
         for (int step = 0; step < 40; step++) {
             node.now += 0.1;
@@ -464,7 +530,10 @@
         assertEquals(node.count("decline"), 0);
     }
 
-    /** A host that reports little while messages there come late: an untrue report, or a bad way to it. */
+    /**
+     * A host that reports little while messages there come late: an untrue report, or a bad way to
+     * it.
+     */
     @Test
     public void tunnelsLeaveAHostWhoseMessagesStayLateAndNoneGoThere() {
         Node node = new Node(3).loads(0.2, 0.3, 0.3);
@@ -489,17 +558,21 @@
         node.stand(0, 40, 1);
         node.now += 3.9;
         node.loads(0.85, 0.85, 0.85, 0.85, 0.85);
-        node.round(news -> news.rosterChanged(List.of(Node.listing(5, Listing.State.READY, node.now - 4))));
+        node.round(
+                news ->
+                        news.rosterChanged(
+                                List.of(Node.listing(5, Listing.State.READY, node.now - 4))));
         long sent = 0;
         for (int i = 0; i < 40; i++) {
             node.later(0.1);
             node.loads(0.85, 0.85, 0.85, 0.85, 0.85).arrive(100 + i, 1, "g" + i);
             sent += node.sentTo(5);
             if (node.lastProbed() == 5) {
-                node.round(news -> {
-                    news.probeEnded(Node.host(5), true, 0.01);
-                    news.hostReported(Node.host(5), itsLoad, Double.NaN, Double.NaN);
-                });
+                node.round(
+                        news -> {
+                            news.probeEnded(Node.host(5), true, 0.01);
+                            news.hostReported(Node.host(5), itsLoad, Double.NaN, Double.NaN);
+                        });
                 sent += node.sentTo(5);
             }
         }
@@ -511,7 +584,10 @@
         return new Object[][] {{0.85, 0, 2}, {0.4, 5, 30}};
     }
 
-    /** One of eight hosts reports nothing: of fifty nodes in a busy fleet it gets a part from each, in a calm one all. */
+    /**
+     * One of eight hosts reports nothing: of fifty nodes in a busy fleet it gets a part from each,
+     * in a calm one all.
+     */
     @Test(dataProvider = "fleets")
     public void hostThatStandsOutAsEmptyIsRushedInACalmFleetOnly(double load, int least, int most) {
         Node node = new Node(Repeat.REPEATABLE, DedupScope.ALL, 8, 1, Budget.NONE, 50);
@@ -527,7 +603,10 @@
         assertTrue(sent >= least && sent <= most, sent + " sent");
     }
 
-    /** Many tunnels come back at once, to this node and so to all others: what they place shows in no report yet. */
+    /**
+     * Many tunnels come back at once, to this node and so to all others: what they place shows in
+     * no report yet.
+     */
     @Test
     public void rushIsTakenForOneAtAllNodes() {
         long[] sent = new long[2];
@@ -583,7 +662,10 @@
     public void whereMessagesComeLateFromAllHostsTheDrawGoesOn() {
         Node node = new Node(2).loads(0.1, 0.1);
         for (int i = 0; i < 2; i++) {
-            node.round(news -> IntStream.range(0, 2).forEach(host -> news.messageDelayNoted(Node.host(host), 0.4)));
+            node.round(
+                    news ->
+                            IntStream.range(0, 2)
+                                    .forEach(host -> news.messageDelayNoted(Node.host(host), 0.4)));
             node.now += 1;
         }
         node.loads(0.1, 0.1).arrive(0, 20, null);
@@ -596,16 +678,18 @@
         node.arrive(0, 1, "g");
         int first = node.lastProbed();
         assertEquals(node.count("probe") + node.count("set up"), 1);
-        node.round(news -> {
-            news.probeEnded(Node.host(first), true, 0.01);
-            news.hostReported(Node.host(first), 0.95, Double.NaN, Double.NaN);
-        });
+        node.round(
+                news -> {
+                    news.probeEnded(Node.host(first), true, 0.01);
+                    news.hostReported(Node.host(first), 0.95, Double.NaN, Double.NaN);
+                });
         int second = node.lastProbed();
         assertNotEquals(second, first);
-        node.round(news -> {
-            news.probeEnded(Node.host(second), true, 0.01);
-            news.hostReported(Node.host(second), 0.3, Double.NaN, Double.NaN);
-        });
+        node.round(
+                news -> {
+                    news.probeEnded(Node.host(second), true, 0.01);
+                    news.hostReported(Node.host(second), 0.3, Double.NaN, Double.NaN);
+                });
         assertEquals(node.sentTo(second), 1);
     }
 
@@ -617,10 +701,11 @@
             node.arrive(i, 1, "g" + i);
             assertTrue(node.count("probe") <= 1, "probes for one tunnel: " + node.count("probe"));
             int asked = node.lastProbed();
-            node.round(news -> {
-                news.probeEnded(Node.host(asked), true, 0.01);
-                news.hostReported(Node.host(asked), 0.01, Double.NaN, Double.NaN);
-            });
+            node.round(
+                    news -> {
+                        news.probeEnded(Node.host(asked), true, 0.01);
+                        news.hostReported(Node.host(asked), 0.01, Double.NaN, Double.NaN);
+                    });
             assertEquals(node.count("probe") + node.count("set up"), 1);
         }
     }
@@ -639,7 +724,8 @@
     private static int homeAmong(int hosts, int gone, int group) {
         Node node = new Node(hosts).loads(0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4);
         if (gone >= 0) {
-            node.round(news -> news.rosterChanged(List.of(Node.listing(gone, Listing.State.GONE, 0))));
+            node.round(
+                    news -> news.rosterChanged(List.of(Node.listing(gone, Listing.State.GONE, 0))));
         }
         node.arrive(0, 1, "g" + group);
         return node.lastHost();
@@ -660,10 +746,10 @@
     public void rosterIsWatchedAndAskedAgainWhenLost() {
         Node node = new Node(2);
         node.now += 3;
-        assertTrue(node.round(news -> { }).contains("watch roster"));
+        assertTrue(node.round(news -> {}).contains("watch roster"));
         assertFalse(node.round(News::rosterLost).contains("watch roster"));
         node.now += 5;
-        assertTrue(node.round(news -> { }).contains("watch roster"));
+        assertTrue(node.round(news -> {}).contains("watch roster"));
     }
 
     @Test
@@ -673,17 +759,20 @@
                 for (int seed = 0; seed < 10; seed++) {
                     Node node = Node.asking(mustAsk, seed);
                     node.now += mustAsk;
-                    assertTrue(node.round(news -> { }).contains("watch roster"));
+                    assertTrue(node.round(news -> {}).contains("watch roster"));
                     for (int fails = 0; fails < 8; fails++) {
                         double begun = node.now;
                         node.now += took;
                         List<String> said = node.round(News::rosterLost);
                         while (!said.contains("watch roster")) {
                             node.now += 0.01;
-                            said = node.round(news -> { });
+                            said = node.round(news -> {});
                         }
-                        // What the roster has counts as told six seconds after it is back, and an answer takes up to two.
-                        assertTrue(node.now - begun < 3.85, "called again after " + (node.now - begun));
+                        // What the roster has counts as told six seconds after it is back, and an
+                        // answer takes up to two.
+                        assertTrue(
+                                node.now - begun < 3.85,
+                                "called again after " + (node.now - begun));
                     }
                 }
             }
@@ -695,7 +784,8 @@
         Node node = new Node(2).loads(0.1, 0.1);
         node.stand(0, 30, 0);
         node.round(news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.DRAINING, 0))));
-        assertTrue(node.count("move") <= 1, "together they would push over the hosts that they go to");
+        assertTrue(
+                node.count("move") <= 1, "together they would push over the hosts that they go to");
         assertEquals(node.later(0.75), 15, 1);
         assertEquals(node.later(0.8), 15, 1);
     }
@@ -724,7 +814,8 @@
         node.loads(0.0, 0.1);
         assertEquals(node.policy.listed(true), 0);
         node.arrive(20, 50, null);
-        assertTrue(node.sentTo(0) <= 1, "it is cold, however long ago the list says that it started");
+        assertTrue(
+                node.sentTo(0) <= 1, "it is cold, however long ago the list says that it started");
     }
 
     @Test
@@ -749,13 +840,17 @@
         told.filling.told(200);
         for (Node node : List.of(told, untold)) {
             node.now += 5;
-            node.round(news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.READY, 105),
-                    Node.listing(1, Listing.State.READY, 105))));
+            node.round(
+                    news ->
+                            news.rosterChanged(
+                                    List.of(
+                                            Node.listing(0, Listing.State.READY, 105),
+                                            Node.listing(1, Listing.State.READY, 105))));
             for (int i = 0; i < 40; i++) {
                 node.now += 0.05;
                 node.loads(0.05, 0.05);
                 node.arrive(i, 1, null);
-                node.round(news -> { });
+                node.round(news -> {});
             }
         }
         assertTrue(untold.placed >= 2, "else it could never learn: " + untold.placed);
@@ -782,7 +877,8 @@
         Node node = new Node(2).loads(0.1, 0.1);
         node.arrive(0, 1, null);
         int host = node.lastHost();
-        node.round(news -> news.rosterChanged(List.of(Node.listing(host, Listing.State.DRAINING, 0))));
+        node.round(
+                news -> news.rosterChanged(List.of(Node.listing(host, Listing.State.DRAINING, 0))));
         node.stand(7, 1, host);
         assertEquals(node.count("move t7"), 1);
         node.now += 2;
@@ -813,7 +909,7 @@
         assertEquals(node.count("tell 0"), 0, "it is about to go itself");
         assertEquals(node.later(1), 0);
         node.now += 0.25;
-        node.round(news -> { });
+        node.round(news -> {});
         assertEquals(node.count("tell all"), 1, "its question may have been lost");
         assertEquals(node.later(0.98), 0);
         assertEquals(node.later(0.78), 30);
@@ -828,8 +924,12 @@
             node.round(news -> news.nodeLeaving(false));
             long moved = node.later(2.6);
             assertTrue(moved > 0 && moved < 30, "moved " + moved);
-            node.round(byHand ? news -> news.hostByHand(Node.host(0), true)
-                    : news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.DRAINING, 0))));
+            node.round(
+                    byHand
+                            ? news -> news.hostByHand(Node.host(0), true)
+                            : news ->
+                                    news.rosterChanged(
+                                            List.of(Node.listing(0, Listing.State.DRAINING, 0))));
             moved += node.count("move");
             assertEquals(moved + node.later(0.42), 30);
         }
@@ -849,11 +949,12 @@
         Node node = new Node(4).loads(0.01);
         node.arrive(0, 200, null);
         assertTrue(node.sentTo(0) > 0 && node.sentTo(0) < 100, "h0 was given " + node.sentTo(0));
-        // The host that the rest asked is late with its answer: none of them waits for another, nor do all
+        // The host that the rest asked is late with its answer: none of them waits for another, nor
+        // do all
         // go to the only host that is known.
         long sent = node.count("set up");
         node.now += 0.13;
-        node.round(news -> { });
+        node.round(news -> {});
         assertEquals(sent + node.count("set up"), 200);
         assertTrue(node.sentTo(0) < 100, "h0 was given " + node.sentTo(0));
     }
@@ -897,7 +998,8 @@
         node.stand(0, 8, 1);
         assertEquals(node.loads(0.1, 0.89).count("tell all"), 0);
         assertEquals(node.loads(0.1, 1.2).count("tell all"), 1);
-        assertEquals(new Node(2).loads(0.1, 1.2).count("tell all"), 0, "it has none there to speak of");
+        assertEquals(
+                new Node(2).loads(0.1, 1.2).count("tell all"), 0, "it has none there to speak of");
     }
 
     @Test
@@ -915,10 +1017,11 @@
     public void wordsOfUnknownHostsAreLeftAlone() {
         Node node = new Node(2).loads(0.1, 0.1);
         node.now += 0.5;
-        node.round(news -> {
-            news.nodeHeard(7, new byte[0]);
-            news.nodeHeard(-1, new byte[] {-1, 0, 'h'});
-        });
+        node.round(
+                news -> {
+                    news.nodeHeard(7, new byte[0]);
+                    news.nodeHeard(-1, new byte[] {-1, 0, 'h'});
+                });
         assertEquals(node.count("probe"), 0);
     }
 
@@ -933,22 +1036,40 @@
     }
 
     /**
-     * Two hosts of four units and two of two, which shed their newest tunnels when they hold over nine a unit; 80
-     * tunnels of 108 that all could hold. At equal numbers the small ones would get 20 each, shed, look idle by it and
-     * get all again.
+     * Two hosts of four units and two of two, which shed their newest tunnels when they hold over
+     * nine a unit; 80 tunnels of 108 that all could hold. At equal numbers the small ones would get
+     * 20 each, shed, look idle by it and get all again.
      */
     @Test(dataProvider = "weighings")
     public void smallHostsThatTellNumbersAloneAreNotFilledLikeLargeOnes(boolean lowered) {
         int[] units = {4, 4, 2, 2};
         Node node = ofNumbers(4, 1);
-        List<List<Integer>> held = List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        List<List<Integer>> held =
+                List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         int shed = 0;
         int next = 0;
         for (int step = 0; step < 300; step++) {
             node.now += 0.1;
             if (step % 10 == 0) {
-                node.round(news -> news.rosterChanged(IntStream.range(0, 4).mapToObj(i -> Node.weighed(i,
-                        lowered ? units[i] / (1.0 + held.get(i).size() / (double) units[i]) : units[i])).toList()));
+                node.round(
+                        news ->
+                                news.rosterChanged(
+                                        IntStream.range(0, 4)
+                                                .mapToObj(
+                                                        i ->
+                                                                Node.weighed(
+                                                                        i,
+                                                                        lowered
+                                                                                ? units[i]
+                                                                                        / (1.0
+                                                                                                + held.get(
+                                                                                                                        i)
+                                                                                                                .size()
+                                                                                                        / (double)
+                                                                                                                units[
+                                                                                                                        i])
+                                                                                : units[i]))
+                                                .toList()));
                 node.numbers(held.stream().mapToInt(List::size).toArray());
             }
             List<Integer> over = new ArrayList<>();
@@ -956,12 +1077,27 @@
                 int host = i;
                 while (!held.get(i).isEmpty() && held.get(i).get(0) < next - 80) {
                     int ended = held.get(i).remove(0);
-                    node.round(news -> news.setupEnded(Node.tun(ended), 0, Node.host(host), SetupEnd.COMPLETED, 8, true));
+                    node.round(
+                            news ->
+                                    news.setupEnded(
+                                            Node.tun(ended),
+                                            0,
+                                            Node.host(host),
+                                            SetupEnd.COMPLETED,
+                                            8,
+                                            true));
                 }
                 while (held.get(i).size() > 9 * units[i] - (over.isEmpty() ? 0 : units[i])) {
                     over.add(held.get(i).remove(held.get(i).size() - 1));
-                    node.round(news -> news.setupEnded(Node.tun(over.get(over.size() - 1)), 0, Node.host(host),
-                            SetupEnd.BROKEN, 1, true));
+                    node.round(
+                            news ->
+                                    news.setupEnded(
+                                            Node.tun(over.get(over.size() - 1)),
+                                            0,
+                                            Node.host(host),
+                                            SetupEnd.BROKEN,
+                                            1,
+                                            true));
                 }
             }
             shed += over.size();
@@ -977,12 +1113,18 @@
         assertTrue(shed <= 4, shed + " of 300 shed");
     }
 
-    /** What others hold is the guide to what a cold host may take: taken for full by one tunnel, it would stand idle. */
+    /**
+     * What others hold is the guide to what a cold host may take: taken for full by one tunnel, it
+     * would stand idle.
+     */
     @Test
     public void coldHostAmongHostsThatTellNumbersIsFilledByWhatOthersHold() {
         Node node = ofNumbers(4, 4);
         node.now += 20;
-        node.round(news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.READY, node.now))));
+        node.round(
+                news ->
+                        news.rosterChanged(
+                                List.of(Node.listing(0, Listing.State.READY, node.now))));
         long sent = 0;
         for (int i = 0; i < 80; i++) {
             node.now += 0.1;
--- a/core/src/test/java/embershift/policy/SeatsTest.java
+++ b/core/src/test/java/embershift/policy/SeatsTest.java
@@ -3,14 +3,13 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertSame;
 
-import org.testng.annotations.Test;
-
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
+import org.testng.annotations.Test;
 
 public class SeatsTest {
 
@@ -25,10 +24,14 @@
     }
 
     private List<Policy.Host> hosts() {
-        return new ArrayList<>(IntStream.range(0, HOSTS).mapToObj(i -> policy.new Host(Node.host(i))).toList());
+        return new ArrayList<>(
+                IntStream.range(0, HOSTS).mapToObj(i -> policy.new Host(Node.host(i))).toList());
     }
 
-    /** A list of thousands comes in one round; seated at each of its hosts, it would hold the loop up by its square. */
+    /**
+     * A list of thousands comes in one round; seated at each of its hosts, it would hold the loop
+     * up by its square.
+     */
     @Test
     public void hostsOfOneListAreSeatedOnce() {
         Seats seats = new Seats();
@@ -44,7 +47,11 @@
         List<Policy.Host> hosts = hosts();
         Seats here = new Seats();
         List<Policy.Host> roll = enrolled(here, hosts);
-        assertEquals(roll, roll.stream().sorted(Comparator.comparing((Policy.Host host) -> host.id.name())).toList());
+        assertEquals(
+                roll,
+                roll.stream()
+                        .sorted(Comparator.comparing((Policy.Host host) -> host.id.name()))
+                        .toList());
         Collections.shuffle(hosts, new Random(5));
         Seats there = new Seats();
         assertEquals(enrolled(there, hosts), roll);
--- a/door/src/main/java/embershift/door/Door.java
+++ b/door/src/main/java/embershift/door/Door.java
@@ -25,7 +25,6 @@
 import embershift.routing.Router;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.security.SecureRandom;
@@ -43,27 +42,36 @@
 import java.util.TreeMap;
 
 /**
- * A node's side of the fleet: a connection to each instance, on which it says what it does and takes orders. What is taken is decided in
- * {@code fleet}; here it is carried out. All on the node's loop. A node that hears no instance goes on by what it has.
+ * A node's side of the fleet: a connection to each instance, on which it says what it does and
+ * takes orders. What is taken is decided in {@code fleet}; here it is carried out. All on the
+ * node's loop. A node that hears no instance goes on by what it has.
  */
 public final class Door implements Companion, Router.Lists {
 
     /** How a node ends that was shut out, or left as it heard no instance any more. */
     public static final int SHUT_OUT = 5;
+
     public static final int STALE = 6;
     private static final String REVISION = "revision";
     private static final String RELEASE = "release";
+
     /** Seconds for which hosts are out for a release that nobody confirms any more. */
     private static final double RELEASE_LASTS = 30;
+
     private static final double AGAIN = 0.2;
     private static final double TRAIL_AGAIN = 2;
-    /** Seconds between two counts of tunnels in the trail, where there were any, and in any case. */
+
+    /**
+     * Seconds between two counts of tunnels in the trail, where there were any, and in any case.
+     */
     private static final double COUNTS = 15;
+
     private static final double COUNTS_IDLE = 60;
     private static final DutyId LISTS = new DutyId("lists");
     private static final DutyId ROLLOUT = new DutyId("rollout");
     private static final DutyId RELEASE_DUTY = new DutyId(RELEASE);
-    private static final List<String> TUNNELS = List.of("tunnels opened", "tunnels declined", "tunnels closed with error");
+    private static final List<String> TUNNELS =
+            List.of("tunnels opened", "tunnels declined", "tunnels closed with error");
     private static final List<String> SHORT = List.of("opened", "declined", "failed");
 
     private final DoorFile file;
@@ -81,10 +89,13 @@
     private Bans bans;
     private String name = "";
     private long incarnation;
+
     /** The way on which an incarnation was asked for, until it is known. */
     private InstanceLink registering;
+
     /** The last revision that a round went by. */
     private long actedOnNumber;
+
     private SortedMap<String, String> actedOnFields = new TreeMap<>();
     private long floor;
     private boolean welcomed;
@@ -169,14 +180,19 @@
             led = false;
             aloneDue = true;
             // Not all at once: the owner of the lists may have ended for everybody.
-            loop.after(file.spread() * chance.nextDouble(), () -> {
-                if (aloneDue && !led) {
-                    aloneDue = false;
-                    router.tally().count("lists missed, discovery asked");
-                    enter(Trace.Kind.LED, Map.of("by", "discovery"), "no list for " + file.alone() + " s");
-                    router.led(false);
-                }
-            });
+            loop.after(
+                    file.spread() * chance.nextDouble(),
+                    () -> {
+                        if (aloneDue && !led) {
+                            aloneDue = false;
+                            router.tally().count("lists missed, discovery asked");
+                            enter(
+                                    Trace.Kind.LED,
+                                    Map.of("by", "discovery"),
+                                    "no list for " + file.alone() + " s");
+                            router.led(false);
+                        }
+                    });
         }
         if (now > releaseUntil) {
             releaseUntil = Double.POSITIVE_INFINITY;
@@ -209,10 +225,21 @@
     }
 
     private ObjectNode report(double now) {
-        ObjectNode report = Words.node("report").put("clock", now).put("incarnation", incarnation).put(REVISION, revision.number())
-                .put("chain", revision.chain()).put("content", Revision.content(actedOn())).put("ready", node.serving() && ready())
-                .put("refused", revision.refused()).put("why", revision.why()).put("list-fence", hosts.fence().number())
-                .put("list", hosts.number()).put("led", led).put("open", router.openTunnels()).put("time", diary.clock().toString());
+        ObjectNode report =
+                Words.node("report")
+                        .put("clock", now)
+                        .put("incarnation", incarnation)
+                        .put(REVISION, revision.number())
+                        .put("chain", revision.chain())
+                        .put("content", Revision.content(actedOn()))
+                        .put("ready", node.serving() && ready())
+                        .put("refused", revision.refused())
+                        .put("why", revision.why())
+                        .put("list-fence", hosts.fence().number())
+                        .put("list", hosts.number())
+                        .put("led", led)
+                        .put("open", router.openTunnels())
+                        .put("time", diary.clock().toString());
         for (int i = 0; i < TUNNELS.size(); i++) {
             report.put(SHORT.get(i), router.tally().of(TUNNELS.get(i)));
         }
@@ -228,16 +255,32 @@
     /** Which orders of the fleet its parts go by, read back from them. */
     private SortedMap<String, String> actedOn() {
         SortedMap<String, String> acted = new TreeMap<>();
-        bans.of(REVISION).forEach(host -> acted.put(Revision.OUT + host.name(),
-                revision.fields().getOrDefault(Revision.OUT + host.name(), "")));
-        revision.fields().forEach((field, value) -> {
-            switch (field) {
-                case Revision.DISCOVERY -> acted.put(field, Addresses.written(router.discovery()));
-                case Revision.SOCKETS -> acted.put(field, String.valueOf(router.descriptors()));
-                case Revision.PEERS -> acted.put(field, String.join(",", router.peers().stream().map(Addresses::written).toList()));
-                default -> { }
-            }
-        });
+        bans.of(REVISION)
+                .forEach(
+                        host ->
+                                acted.put(
+                                        Revision.OUT + host.name(),
+                                        revision.fields()
+                                                .getOrDefault(Revision.OUT + host.name(), "")));
+        revision.fields()
+                .forEach(
+                        (field, value) -> {
+                            switch (field) {
+                                case Revision.DISCOVERY ->
+                                        acted.put(field, Addresses.written(router.discovery()));
+                                case Revision.SOCKETS ->
+                                        acted.put(field, String.valueOf(router.descriptors()));
+                                case Revision.PEERS ->
+                                        acted.put(
+                                                field,
+                                                String.join(
+                                                        ",",
+                                                        router.peers().stream()
+                                                                .map(Addresses::written)
+                                                                .toList()));
+                                default -> {}
+                            }
+                        });
         return acted;
     }
 
@@ -280,7 +323,10 @@
             InstanceLink link = links.get((telling + (again ? 1 : 0) + i) % links.size());
             if (link.welcome) {
                 telling = links.indexOf(link);
-                link.say(Words.node("trail").put("number", segment.number()).put("text", segment.text()));
+                link.say(
+                        Words.node("trail")
+                                .put("number", segment.number())
+                                .put("text", segment.text()));
                 return;
             }
         }
@@ -289,12 +335,13 @@
     // Fences that were forgotten.
 
     private void askFences(double now) {
-        unsure.forEach((duty, asked) -> {
-            if (gate.highest(duty) == null && now - asked >= AGAIN && !links.isEmpty()) {
-                unsure.put(duty, now);
-                links.get(asking++ % links.size()).ask(duty);
-            }
-        });
+        unsure.forEach(
+                (duty, asked) -> {
+                    if (gate.highest(duty) == null && now - asked >= AGAIN && !links.isEmpty()) {
+                        unsure.put(duty, now);
+                        links.get(asking++ % links.size()).ask(duty);
+                    }
+                });
     }
 
     // Orders.
@@ -304,9 +351,13 @@
         DutyId duty = new DutyId(order.path("duty").asText());
         Fence fence = new Fence(order.path("fence").asLong());
         Admission.Word word = admission.take(now, duty, fence, order.path("seen").asDouble());
-        ObjectNode verdict = Words.node("verdict").put("id", order.path("id").asLong()).put("duty", duty.name())
-                .put("verdict", word.verdict().name()).put("why", word.why())
-                .put("known", word.known() == null ? 0 : word.known().number());
+        ObjectNode verdict =
+                Words.node("verdict")
+                        .put("id", order.path("id").asLong())
+                        .put("duty", duty.name())
+                        .put("verdict", word.verdict().name())
+                        .put("why", word.why())
+                        .put("known", word.known() == null ? 0 : word.known().number());
         router.tally().count("orders " + word.verdict().name().toLowerCase(Locale.ROOT));
         if (word.verdict() == Admission.Verdict.TAKEN) {
             carryOut(duty, fence, order, verdict, () -> from.say(verdict));
@@ -315,13 +366,24 @@
         if (word.verdict() == Admission.Verdict.UNSURE) {
             unsure.putIfAbsent(duty, Double.NEGATIVE_INFINITY);
         } else {
-            enter(Trace.Kind.ORDER, Map.of("duty", duty.name(), "fence", String.valueOf(fence.number()), "verdict",
-                    word.verdict().name(), "id", order.path("id").asText()), word.why());
+            enter(
+                    Trace.Kind.ORDER,
+                    Map.of(
+                            "duty",
+                            duty.name(),
+                            "fence",
+                            String.valueOf(fence.number()),
+                            "verdict",
+                            word.verdict().name(),
+                            "id",
+                            order.path("id").asText()),
+                    word.why());
         }
         from.say(verdict);
     }
 
-    private void carryOut(DutyId duty, Fence fence, ObjectNode order, ObjectNode verdict, Runnable answer) {
+    private void carryOut(
+            DutyId duty, Fence fence, ObjectNode order, ObjectNode verdict, Runnable answer) {
         String what = order.path("what").asText();
         if (what.equals("hosts") && duty.equals(LISTS)) {
             verdict.put("end", hosts(fence, order).name());
@@ -338,27 +400,40 @@
                 enter(Trace.Kind.ORDER, traceOfOut(duty, fence, before, out), "");
             }
             // Behind the round that takes it.
-            loop.execute(() -> {
-                answer.run();
-                reportNow();
-            });
+            loop.execute(
+                    () -> {
+                        answer.run();
+                        reportNow();
+                    });
         } else {
             // Of a later version than this program: nothing of it is done.
-            verdict.put("verdict", "REFUSED").put("why", "no such order: " + duty.name() + " " + what);
+            verdict.put("verdict", "REFUSED")
+                    .put("why", "no such order: " + duty.name() + " " + what);
             answer.run();
         }
     }
 
-    private static Map<String, String> traceOfOut(DutyId duty, Fence fence, Set<HostId> before, Set<HostId> out) {
-        Map<String, String> fields = new TreeMap<>(Map.of("duty", duty.name(), "fence", String.valueOf(fence.number())));
-        out.stream().filter(host -> !before.contains(host)).forEach(host -> fields.put("out." + host.name(), "1"));
-        before.stream().filter(host -> !out.contains(host)).forEach(host -> fields.put("back." + host.name(), "1"));
+    private static Map<String, String> traceOfOut(
+            DutyId duty, Fence fence, Set<HostId> before, Set<HostId> out) {
+        Map<String, String> fields =
+                new TreeMap<>(Map.of("duty", duty.name(), "fence", String.valueOf(fence.number())));
+        out.stream()
+                .filter(host -> !before.contains(host))
+                .forEach(host -> fields.put("out." + host.name(), "1"));
+        before.stream()
+                .filter(host -> !out.contains(host))
+                .forEach(host -> fields.put("back." + host.name(), "1"));
         return fields;
     }
 
     private HostsHeld.End hosts(Fence fence, ObjectNode order) {
-        HostsChange change = new HostsChange(order.path("number").asLong(), order.path("base").asLong(),
-                order.path("generation").asLong(), Words.texts(order.path("changed")), Words.list(order.path("gone")));
+        HostsChange change =
+                new HostsChange(
+                        order.path("number").asLong(),
+                        order.path("base").asLong(),
+                        order.path("generation").asLong(),
+                        Words.texts(order.path("changed")),
+                        Words.list(order.path("gone")));
         HostsHeld.End end = hosts.take(fence, change);
         if (end != HostsHeld.End.TAKEN && end != HostsHeld.End.SAME) {
             return end;
@@ -367,13 +442,22 @@
         aloneDue = false;
         if (!led) {
             led = true;
-            enter(Trace.Kind.LED, Map.of("by", "list", "fence", String.valueOf(fence.number()), "number",
-                    String.valueOf(change.number())), "");
+            enter(
+                    Trace.Kind.LED,
+                    Map.of(
+                            "by",
+                            "list",
+                            "fence",
+                            String.valueOf(fence.number()),
+                            "number",
+                            String.valueOf(change.number())),
+                    "");
             router.led(true);
             router.listed(whole());
         } else if (end == HostsHeld.End.TAKEN) {
             router.tally().count("lists taken");
-            router.listed(change.base() == 0 ? whole() : page(false, change.changed(), change.gone()));
+            router.listed(
+                    change.base() == 0 ? whole() : page(false, change.changed(), change.gone()));
         }
         return end;
     }
@@ -389,13 +473,20 @@
     }
 
     private RosterPage page(boolean whole, Map<String, String> entries, Set<String> gone) {
-        StringBuilder text = new StringBuilder("{\"generation\":" + hosts.number() + ",\"reset\":" + whole + ",\"instances\":[");
+        StringBuilder text =
+                new StringBuilder(
+                        "{\"generation\":"
+                                + hosts.number()
+                                + ",\"reset\":"
+                                + whole
+                                + ",\"instances\":[");
         text.append(String.join(",", entries.values())).append("]}");
         RosterPage page;
         try {
             page = RosterPage.read(text.toString());
         } catch (Unreadable e) {
-            // Entries are objects, or they would not have been told; an empty list is no word at all.
+            // Entries are objects, or they would not have been told; an empty list is no word at
+            // all.
             node.log("a list that can't be read: " + e.getMessage());
             page = new RosterPage(0, false, List.of(), Map.of(), 1);
         }
@@ -403,20 +494,42 @@
             return page;
         }
         List<Listing> listings = new ArrayList<>(page.listings());
-        gone.forEach(host -> listings.add(new Listing(new HostId(host), Listing.State.GONE, null, 1, 0, 0)));
-        return new RosterPage(page.generation(), false, listings, page.addresses(), page.unreadable());
+        gone.forEach(
+                host ->
+                        listings.add(
+                                new Listing(new HostId(host), Listing.State.GONE, null, 1, 0, 0)));
+        return new RosterPage(
+                page.generation(), false, listings, page.addresses(), page.unreadable());
     }
 
     private void revision(Fence fence, ObjectNode order, ObjectNode verdict, Runnable answer) {
         long number = order.path("number").asLong();
         // Whatever has been answered until now was answered by the revision before.
         countTunnels(false);
-        RevisionHeld.Taken taken = revision.take(number, order.path("base").asLong(), order.path("chain").asText(),
-                order.path("content").asText(), Words.texts(order.path("fields")), this::act);
+        RevisionHeld.Taken taken =
+                revision.take(
+                        number,
+                        order.path("base").asLong(),
+                        order.path("chain").asText(),
+                        order.path("content").asText(),
+                        Words.texts(order.path("fields")),
+                        this::act);
         verdict.put("end", taken.end().name()).put("why", taken.why());
-        Map<String, String> fields = new TreeMap<>(Map.of(REVISION, String.valueOf(number), "fence", String.valueOf(fence.number())));
+        Map<String, String> fields =
+                new TreeMap<>(
+                        Map.of(
+                                REVISION,
+                                String.valueOf(number),
+                                "fence",
+                                String.valueOf(fence.number())));
         if (taken.end() == RevisionHeld.End.REFUSED) {
-            node.log("revision " + number + " is refused, " + revision.number() + " stays: " + taken.why());
+            node.log(
+                    "revision "
+                            + number
+                            + " is refused, "
+                            + revision.number()
+                            + " stays: "
+                            + taken.why());
             enter(Trace.Kind.REFUSED, fields, taken.why());
         }
         if (taken.end() != RevisionHeld.End.TAKEN) {
@@ -425,36 +538,42 @@
             return;
         }
         // Behind the round that takes it: from then on it is acted on.
-        loop.execute(() -> {
-            if (revision.number() != number) {
-                // The next one came in the same turn, as they do to one that stood still: no round ever went by this one.
-                answer.run();
-                return;
-            }
-            fields.put("from", String.valueOf(actedOnNumber));
-            fields.put("content", Revision.content(actedOn()));
-            Set<HostId> was = outOf(actedOnFields);
-            actedOnNumber = number;
-            actedOnFields = revision.fields();
-            Set<HostId> is = outOf(revision.fields());
-            fields.putAll(traceOfOut(ROLLOUT, fence, was, is));
-            enter(Trace.Kind.TOOK, fields, "");
-            setUpsCounted.keySet().retainAll(is);
-            is.forEach(host -> setUpsCounted.putIfAbsent(host, router.setUps(host)));
-            node.log("goes by revision " + number);
-            answer.run();
-            reportNow();
-        });
+        loop.execute(
+                () -> {
+                    if (revision.number() != number) {
+                        // The next one came in the same turn, as they do to one that stood still:
+                        // no round ever went by this one.
+                        answer.run();
+                        return;
+                    }
+                    fields.put("from", String.valueOf(actedOnNumber));
+                    fields.put("content", Revision.content(actedOn()));
+                    Set<HostId> was = outOf(actedOnFields);
+                    actedOnNumber = number;
+                    actedOnFields = revision.fields();
+                    Set<HostId> is = outOf(revision.fields());
+                    fields.putAll(traceOfOut(ROLLOUT, fence, was, is));
+                    enter(Trace.Kind.TOOK, fields, "");
+                    setUpsCounted.keySet().retainAll(is);
+                    is.forEach(host -> setUpsCounted.putIfAbsent(host, router.setUps(host)));
+                    node.log("goes by revision " + number);
+                    answer.run();
+                    reportNow();
+                });
     }
 
     private static Set<HostId> outOf(SortedMap<String, String> fields) {
         Set<HostId> out = new LinkedHashSet<>();
-        fields.keySet().stream().filter(field -> field.startsWith(Revision.OUT))
+        fields.keySet().stream()
+                .filter(field -> field.startsWith(Revision.OUT))
                 .forEach(field -> out.add(new HostId(field.substring(Revision.OUT.length()))));
         return out;
     }
 
-    /** Has a revision acted on, all of it between two rounds of the module; the reason where it can't be, and then nothing is. */
+    /**
+     * Has a revision acted on, all of it between two rounds of the module; the reason where it
+     * can't be, and then nothing is.
+     */
     private String act(SortedMap<String, String> fields) {
         InetSocketAddress toDiscovery = null;
         Integer toSockets = null;
@@ -465,19 +584,27 @@
                 switch (field.getKey()) {
                     case Revision.DISCOVERY -> toDiscovery = Addresses.read(value);
                     case Revision.SOCKETS -> {
-                        if (!value.matches("\\d{1,6}") || Integer.parseInt(value) < 2 * Router.OPERATORS) {
-                            return "sockets: " + value + " is no number of at least " + 2 * Router.OPERATORS;
+                        if (!value.matches("\\d{1,6}")
+                                || Integer.parseInt(value) < 2 * Router.OPERATORS) {
+                            return "sockets: "
+                                    + value
+                                    + " is no number of at least "
+                                    + 2 * Router.OPERATORS;
                         }
                         toSockets = Integer.parseInt(value);
                     }
                     case Revision.PEERS -> {
                         toPeers = new ArrayList<>();
-                        for (String peer : value.isEmpty() ? List.<String>of() : Arrays.asList(value.split(","))) {
+                        for (String peer :
+                                value.isEmpty()
+                                        ? List.<String>of()
+                                        : Arrays.asList(value.split(","))) {
                             toPeers.add(Addresses.read(peer));
                         }
                     }
                     default -> {
-                        if (!field.getKey().startsWith(Revision.OUT) || field.getKey().length() == Revision.OUT.length()) {
+                        if (!field.getKey().startsWith(Revision.OUT)
+                                || field.getKey().length() == Revision.OUT.length()) {
                             return field.getKey() + " is not known here";
                         }
                     }
@@ -528,8 +655,10 @@
         private double notBefore;
         private double dialledAt;
         private double heard;
+
         /** The instance's clock, in the latest of its words. */
         private double instanceAt;
+
         private final Map<Long, DutyId> asked = new LinkedHashMap<>();
         private long calls;
 
@@ -542,7 +671,8 @@
                 if (now >= notBefore) {
                     dial(now);
                 }
-            } else if (!welcome && (greeted || !connected) && now - dialledAt > STUCK || link.backedUp() && now - heard > STUCK) {
+            } else if (!welcome && (greeted || !connected) && now - dialledAt > STUCK
+                    || link.backedUp() && now - heard > STUCK) {
                 drop(now);
             }
         }
@@ -582,7 +712,10 @@
 
         /** Only one instance is asked for an incarnation: two would give two. */
         private void greet() {
-            if (greeted || !connected || link == null || incarnation == 0 && registering != null && registering != this) {
+            if (greeted
+                    || !connected
+                    || link == null
+                    || incarnation == 0 && registering != null && registering != this) {
                 return;
             }
             greeted = true;
@@ -590,14 +723,24 @@
             if (incarnation == 0) {
                 registering = this;
             }
-            link.write(Words.piece(Frames.NODE, Words.node("here").put("version", 1).put("name", name).put("boot", boot)
-                    .put("incarnation", incarnation).put("clock", loop.now())));
+            link.write(
+                    Words.piece(
+                            Frames.NODE,
+                            Words.node("here")
+                                    .put("version", 1)
+                                    .put("name", name)
+                                    .put("boot", boot)
+                                    .put("incarnation", incarnation)
+                                    .put("clock", loop.now())));
         }
 
         void say(ObjectNode words) {
             // By that its owner tells how old this word is, by its own clock alone.
             words.put("echo", instanceAt);
-            if (welcome && link != null && !link.backedUp() && !link.write(Words.piece(Frames.NODE, words))) {
+            if (welcome
+                    && link != null
+                    && !link.backedUp()
+                    && !link.write(Words.piece(Frames.NODE, words))) {
                 drop(loop.now());
             }
         }
@@ -605,8 +748,14 @@
         void ask(DutyId duty) {
             if (link != null && connected) {
                 asked.put(++calls, duty);
-                link.write(Words.piece(Frames.CALL, Words.node().put("call", "get").put("key", duty.fenceKey()).put("id", calls)
-                        .put("version", 1)));
+                link.write(
+                        Words.piece(
+                                Frames.CALL,
+                                Words.node()
+                                        .put("call", "get")
+                                        .put("key", duty.fenceKey())
+                                        .put("id", calls)
+                                        .put("version", 1)));
             }
         }
 
@@ -620,17 +769,19 @@
         public void received(ByteBuffer bytes) {
             heard = loop.now();
             try {
-                frames.take(bytes, piece -> {
-                    try {
-                        if (piece[0] == Frames.ORDER) {
-                            taken(Words.read(piece));
-                        } else if (piece[0] == Frames.ANSWER) {
-                            answered(Words.read(piece));
-                        }
-                    } catch (Frames.Unreadable e) {
-                        drop(loop.now());
-                    }
-                });
+                frames.take(
+                        bytes,
+                        piece -> {
+                            try {
+                                if (piece[0] == Frames.ORDER) {
+                                    taken(Words.read(piece));
+                                } else if (piece[0] == Frames.ANSWER) {
+                                    answered(Words.read(piece));
+                                }
+                            } catch (Frames.Unreadable e) {
+                                drop(loop.now());
+                            }
+                        });
             } catch (Frames.Unreadable e) {
                 drop(loop.now());
             }
@@ -670,7 +821,7 @@
                     tellTrail(false);
                 }
                 case "out" -> out(words.path("why").asText());
-                default -> { }
+                default -> {}
             }
         }
 
--- a/door/src/main/java/embershift/door/Frames.java
+++ b/door/src/main/java/embershift/door/Frames.java
@@ -5,24 +5,29 @@
 import java.util.zip.CRC32C;
 
 /**
- * What goes over a connection, cut into pieces: length, CRC32C, content, whose first byte tells its kind. Fed bytes in any
- * split; a piece that was changed ends the connection, as nothing behind it can be trusted.
+ * What goes over a connection, cut into pieces: length, CRC32C, content, whose first byte tells its
+ * kind. Fed bytes in any split; a piece that was changed ends the connection, as nothing behind it
+ * can be trusted.
  */
 public final class Frames {
 
     /** What the first byte of a piece says. */
     public static final byte HELLO = 1;
+
     public static final byte WELCOME = 2;
     public static final byte NO = 3;
     public static final byte MESSAGE = 4;
     public static final byte CALL = 5;
     public static final byte ANSWER = 6;
+
     /** From a node to an instance, and back: see {@link Words}. */
     public static final byte NODE = 7;
+
     public static final byte ORDER = 8;
 
     /** Bytes of one piece at the most. */
     public static final int LONGEST = 4 << 20;
+
     private static final int HEAD = 8;
 
     /** Bytes that are no such pieces. */
@@ -41,8 +46,9 @@
     public void take(ByteBuffer bytes, Consumer<byte[]> piece) throws Unreadable {
         if (waiting.remaining() < bytes.remaining()) {
             int wanted = waiting.position() + bytes.remaining();
-            waiting = ByteBuffer.allocate(Math.max(wanted, Math.min(2 * waiting.capacity(), LONGEST)))
-                    .put(waiting.flip());
+            waiting =
+                    ByteBuffer.allocate(Math.max(wanted, Math.min(2 * waiting.capacity(), LONGEST)))
+                            .put(waiting.flip());
         }
         waiting.put(bytes).flip();
         while (waiting.remaining() >= HEAD) {
@@ -68,7 +74,11 @@
         byte[] whole = new byte[1 + content.length];
         whole[0] = kind;
         System.arraycopy(content, 0, whole, 1, content.length);
-        return ByteBuffer.allocate(HEAD + whole.length).putInt(whole.length).putInt(checksum(whole)).put(whole).flip();
+        return ByteBuffer.allocate(HEAD + whole.length)
+                .putInt(whole.length)
+                .putInt(checksum(whole))
+                .put(whole)
+                .flip();
     }
 
     private static int checksum(byte[] content) {
--- a/door/src/main/java/embershift/door/Main.java
+++ b/door/src/main/java/embershift/door/Main.java
@@ -7,7 +7,6 @@
 import embershift.program.Service;
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Unreadable;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -21,14 +20,18 @@
     private static final int USAGE = 2;
     private static final int CANNOT_START = 4;
 
-    private Main() {
-    }
+    private Main() {}
 
     private static class Given {
-        @Parameter(names = "--configuration", description = "The node's file; else the one that LB_CONFIG names")
+        @Parameter(
+                names = "--configuration",
+                description = "The node's file; else the one that LB_CONFIG names")
         String configuration = System.getenv("LB_CONFIG");
 
-        @Parameter(names = "--door", description = "The file that names the instances", required = true)
+        @Parameter(
+                names = "--door",
+                description = "The file that names the instances",
+                required = true)
         String door;
 
         DoorFile door() throws Toml.Unusable {
@@ -37,13 +40,16 @@
 
         NodeConfiguration read() throws Unreadable {
             if (configuration == null || configuration.isEmpty()) {
-                throw new Unreadable("no configuration: set LB_CONFIG or give --configuration FILE");
+                throw new Unreadable(
+                        "no configuration: set LB_CONFIG or give --configuration FILE");
             }
             try {
-                return NodeConfiguration.read(Files.readString(Path.of(configuration), StandardCharsets.UTF_8),
+                return NodeConfiguration.read(
+                        Files.readString(Path.of(configuration), StandardCharsets.UTF_8),
                         System.getenv("LB_MANAGEMENT"));
             } catch (IOException | InvalidPathException e) {
-                throw new Unreadable("configuration " + configuration + " can't be read: " + e.getMessage());
+                throw new Unreadable(
+                        "configuration " + configuration + " can't be read: " + e.getMessage());
             } catch (Unreadable e) {
                 throw new Unreadable("configuration " + configuration + ": " + e.getMessage());
             }
@@ -51,16 +57,17 @@
     }
 
     @Parameters(commandDescription = "Be a node that takes the fleet's orders")
-    private static final class Serve extends Given {
-    }
+    private static final class Serve extends Given {}
 
     @Parameters(commandDescription = "Say whether a node could run by these files")
-    private static final class Check extends Given {
-    }
+    private static final class Check extends Given {}
 
     /** Of the program, and of each command. */
     private static final class Help {
-        @Parameter(names = {"--help", "-h"}, description = "Say what there is", help = true)
+        @Parameter(
+                names = {"--help", "-h"},
+                description = "Say what there is",
+                help = true)
         private boolean wanted;
     }
 
@@ -76,18 +83,30 @@
         Serve serve = new Serve();
         Check check = new Check();
         Help help = new Help();
-        JCommander line = JCommander.newBuilder().programName("embershift-door").addObject(help).addCommand("serve", List.of(serve, help))
-                .addCommand("check", List.of(check, help)).build();
+        JCommander line =
+                JCommander.newBuilder()
+                        .programName("embershift-door")
+                        .addObject(help)
+                        .addCommand("serve", List.of(serve, help))
+                        .addCommand("check", List.of(check, help))
+                        .build();
         try {
             line.parse(args);
             if (help.wanted) {
-                (line.getParsedCommand() == null ? line : line.getCommands().get(line.getParsedCommand())).usage();
+                (line.getParsedCommand() == null
+                                ? line
+                                : line.getCommands().get(line.getParsedCommand()))
+                        .usage();
                 return 0;
             } else if ("serve".equals(line.getParsedCommand())) {
                 Service.start(serve::read, new Door(serve.door()));
                 return -1;
             } else if ("check".equals(line.getParsedCommand())) {
-                System.out.println("sound: " + check.read().name() + " takes orders of " + String.join(", ", check.door().instances()));
+                System.out.println(
+                        "sound: "
+                                + check.read().name()
+                                + " takes orders of "
+                                + String.join(", ", check.door().instances()));
                 return 0;
             } else {
                 throw new ParameterException("serve or check is wanted");
--- a/door/src/main/java/embershift/door/Toml.java
+++ b/door/src/main/java/embershift/door/Toml.java
@@ -9,7 +9,6 @@
 import com.networknt.schema.JsonSchemaFactory;
 import com.networknt.schema.SpecVersion;
 import com.networknt.schema.ValidationMessage;
-
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -31,8 +30,7 @@
         }
     }
 
-    private Toml() {
-    }
+    private Toml() {}
 
     public static String text(Path file) throws Unusable {
         try {
@@ -42,22 +40,40 @@
         }
     }
 
-    /** Reads by the schema that stands beside the type, {@code SCHEMA.schema.json}; {@code usual} puts in what was left out. */
-    public static <T> T read(String text, String file, String schema, Consumer<ObjectNode> usual, Class<T> type) throws Unusable {
+    /**
+     * Reads by the schema that stands beside the type, {@code SCHEMA.schema.json}; {@code usual}
+     * puts in what was left out.
+     */
+    public static <T> T read(
+            String text, String file, String schema, Consumer<ObjectNode> usual, Class<T> type)
+            throws Unusable {
         try (InputStream rules = type.getResourceAsStream(schema + ".schema.json")) {
             JsonNode tree = new TomlMapper().readTree(text);
-            ValidationMessage wrong = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(rules)
-                    .validate(tree).stream().min((one, other) -> one.getMessage().compareTo(other.getMessage()))
-                    .orElse(null);
+            ValidationMessage wrong =
+                    JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+                            .getSchema(rules)
+                            .validate(tree)
+                            .stream()
+                            .min((one, other) -> one.getMessage().compareTo(other.getMessage()))
+                            .orElse(null);
             if (wrong != null) {
-                throw new Unusable(file + ": " + wrong.getMessage().replaceFirst("^\\$[.:]? ?", ""));
+                throw new Unusable(
+                        file + ": " + wrong.getMessage().replaceFirst("^\\$[.:]? ?", ""));
             }
             usual.accept((ObjectNode) tree);
-            return JsonMapper.builder().enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
-                    .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build().treeToValue(tree, type);
+            return JsonMapper.builder()
+                    .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
+                    .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .build()
+                    .treeToValue(tree, type);
         } catch (JacksonException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new Unusable(file + ":" + line + ": " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new Unusable(
+                    file
+                            + ":"
+                            + line
+                            + ": "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         } catch (IOException e) {
             throw new Unusable(file + ": " + e.getMessage());
         }
@@ -65,11 +81,13 @@
 
     /** Whether this is HOST:PORT. */
     public static boolean isAddress(String text) {
-        return text.matches("[^:\\s]+:\\d{1,5}") && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= 65_535;
+        return text.matches("[^:\\s]+:\\d{1,5}")
+                && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= 65_535;
     }
 
     public static InetSocketAddress socket(String address) {
         int colon = address.lastIndexOf(':');
-        return new InetSocketAddress(address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
+        return new InetSocketAddress(
+                address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
     }
 }
--- a/door/src/main/java/embershift/door/Words.java
+++ b/door/src/main/java/embershift/door/Words.java
@@ -5,7 +5,6 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.Collection;
@@ -15,15 +14,15 @@
 import java.util.Set;
 
 /**
- * What a node and an instance say to each other, as JSON in a piece. A node says {@code here}, {@code report}, {@code verdict} and
- * {@code trail}; an instance {@code welcome}, {@code order}, {@code kept} and {@code out}. What one does not know it leaves alone.
+ * What a node and an instance say to each other, as JSON in a piece. A node says {@code here},
+ * {@code report}, {@code verdict} and {@code trail}; an instance {@code welcome}, {@code order},
+ * {@code kept} and {@code out}. What one does not know it leaves alone.
  */
 public final class Words {
 
     private static final JsonMapper JSON = new JsonMapper();
 
-    private Words() {
-    }
+    private Words() {}
 
     public static ObjectNode node() {
         return JSON.createObjectNode();
@@ -69,8 +68,14 @@
     /** The texts of an object by their names; null for those that are null. */
     public static Map<String, String> texts(JsonNode object) {
         Map<String, String> texts = new LinkedHashMap<>();
-        object.fields().forEachRemaining(field -> texts.put(field.getKey(),
-                field.getValue().isNull() ? null : field.getValue().asText()));
+        object.fields()
+                .forEachRemaining(
+                        field ->
+                                texts.put(
+                                        field.getKey(),
+                                        field.getValue().isNull()
+                                                ? null
+                                                : field.getValue().asText()));
         return texts;
     }
 
--- a/door/src/test/java/embershift/door/DoorFileTest.java
+++ b/door/src/test/java/embershift/door/DoorFileTest.java
@@ -4,9 +4,8 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import org.testng.annotations.Test;
-
 import java.nio.file.Path;
+import org.testng.annotations.Test;
 
 /** What an operator may say of a door, right and wrong. */
 public class DoorFileTest {
@@ -16,10 +15,17 @@
     @Test
     public void fileThatCannotBeUsedIsRefusedInOneLineThatNamesTheKey() throws Exception {
         assertEquals(DoorFile.read(LEAST, "x").stale(), DoorFile.Stale.SERVE);
-        assertEquals(DoorFile.read(LEAST + "stale = \"leave\"\n", "x").stale(), DoorFile.Stale.LEAVE);
-        String[][] wrong = {{"more = 1\n", "more"}, {"report-s = 0\n", "report-s"}, {"stale = \"sulk\"\n", "stale"},
-            {"oldest-order-s = 0.5\n", "oldest-order-s"}, {"trail-entries = 1\n", "trail-entries"}, {"instances = []\n", "Duplicate"},
-            {"alone-s", ""}};
+        assertEquals(
+                DoorFile.read(LEAST + "stale = \"leave\"\n", "x").stale(), DoorFile.Stale.LEAVE);
+        String[][] wrong = {
+            {"more = 1\n", "more"},
+            {"report-s = 0\n", "report-s"},
+            {"stale = \"sulk\"\n", "stale"},
+            {"oldest-order-s = 0.5\n", "oldest-order-s"},
+            {"trail-entries = 1\n", "trail-entries"},
+            {"instances = []\n", "Duplicate"},
+            {"alone-s", ""}
+        };
         for (String[] each : wrong) {
             refused(LEAST + each[0], each[1]);
         }
@@ -30,8 +36,11 @@
     }
 
     private static void refused(String text, String key) {
-        String message = expectThrows(Toml.Unusable.class, () -> DoorFile.read(text, "x")).getMessage();
-        assertTrue(message.startsWith("x") && message.contains(key) && !message.contains("\n"), message);
+        String message =
+                expectThrows(Toml.Unusable.class, () -> DoorFile.read(text, "x")).getMessage();
+        assertTrue(
+                message.startsWith("x") && message.contains(key) && !message.contains("\n"),
+                message);
     }
 
     @Test
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -10,10 +10,6 @@
 import embershift.routing.Router;
 import embershift.testing.GoldenSamples;
 import embershift.transport.Loop;
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.BeforeMethod;
-import org.testng.annotations.Test;
-
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -30,13 +26,20 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
 
-/** What a node says to a control-plane instance, and how it answers each order, stays as earlier versions have it. */
+/**
+ * What a node says to a control-plane instance, and how it answers each order, stays as earlier
+ * versions have it.
+ */
 public class NodeMessagesTest {
 
     private static final int PATIENCE_MS = 10_000;
     private static final long INCARNATION = 12;
-    private static final String CONFIGURATION = """
+    private static final String CONFIGURATION =
+            """
         {"name":"node-1","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"1",
          "settings":{"balancers":1,"az":"a","discovery":"subscribe",
           "profiles":[{"name":"p","repeat":"idempotent","setup-goal-s":0.5,"client-timeout-s":3}],
@@ -58,10 +61,15 @@
         loop = new Loop();
         instance = new ServerSocket(0, 9, InetAddress.getLoopbackAddress());
         instance.setSoTimeout(PATIENCE_MS);
-        NodeConfiguration configuration = NodeConfiguration.read(CONFIGURATION.formatted(instance.getLocalPort()), null);
-        Router router = new Router(loop, configuration, line -> { });
-        Path file = Files.writeString(Files.createTempFile("door", ".toml"),
-                "instances = [\"127.0.0.1:" + instance.getLocalPort() + "\"]\nreport-s = 0.1\n");
+        NodeConfiguration configuration =
+                NodeConfiguration.read(CONFIGURATION.formatted(instance.getLocalPort()), null);
+        Router router = new Router(loop, configuration, line -> {});
+        Path file =
+                Files.writeString(
+                        Files.createTempFile("door", ".toml"),
+                        "instances = [\"127.0.0.1:"
+                                + instance.getLocalPort()
+                                + "\"]\nreport-s = 0.1\n");
         Door door = new Door(DoorFile.read(file));
         loop.execute(() -> door.begin(node(configuration, router, new Bans(loop, router, null))));
         link = instance.accept();
@@ -147,14 +155,26 @@
 
     /** As an instance says it; what differs from run to run is left out. */
     private static String stable(ObjectNode message) {
-        return message.toString().replaceAll("\"(clock|echo|at)\":[0-9.E-]+", "\"$1\":NUMBER").replaceAll("\"boot\":\"[0-9a-f]+\"", "\"boot\":HEX")
-                .replaceAll("\"time\":\"\\d+\\.\\d+\"", "\"time\":HYBRID").replaceAll("\\d{13}\\.\\d+ ", "HYBRID ")
-                .replaceAll("boot=[0-9a-f]+", "boot=HEX").replaceAll("of \\d+ ms ago", "of NUMBER ms ago").replaceAll("(trail 1 .*? \\d+ \\d+) \\S+ [0-9a-f]{32}", "$1 CHAIN SUM");
+        return message.toString()
+                .replaceAll("\"(clock|echo|at)\":[0-9.E-]+", "\"$1\":NUMBER")
+                .replaceAll("\"boot\":\"[0-9a-f]+\"", "\"boot\":HEX")
+                .replaceAll("\"time\":\"\\d+\\.\\d+\"", "\"time\":HYBRID")
+                .replaceAll("\\d{13}\\.\\d+ ", "HYBRID ")
+                .replaceAll("boot=[0-9a-f]+", "boot=HEX")
+                .replaceAll("of \\d+ ms ago", "of NUMBER ms ago")
+                .replaceAll("(trail 1 .*? \\d+ \\d+) \\S+ [0-9a-f]{32}", "$1 CHAIN SUM");
     }
 
     private ObjectNode order(String duty, String what, long fence) {
-        return Words.node("order").put("id", ++orders).put("seen", clock).put("duty", duty).put("fence", fence).put("what", what)
-                .put("floor", 0).put("time", "1.0").put("at", 1.5);
+        return Words.node("order")
+                .put("id", ++orders)
+                .put("seen", clock)
+                .put("duty", duty)
+                .put("fence", fence)
+                .put("what", what)
+                .put("floor", 0)
+                .put("time", "1.0")
+                .put("at", 1.5);
     }
 
     private void verdict(String name, ObjectNode order) throws Exception {
@@ -172,22 +192,40 @@
         verdict("fence of " + duty + " not known", order(duty, "nothing", fence));
         ObjectNode call = message(Frames.CALL, "");
         samples.text("call: fence of " + duty, stable(call));
-        ObjectNode answer = Words.node().put("id", call.path("id").asLong()).put("end", "done").put("revision", 50);
-        answer.putArray("items").addObject().put("key", call.path("key").asText()).put("revision", fence);
+        ObjectNode answer =
+                Words.node()
+                        .put("id", call.path("id").asLong())
+                        .put("end", "done")
+                        .put("revision", 50);
+        answer.putArray("items")
+                .addObject()
+                .put("key", call.path("key").asText())
+                .put("revision", fence);
         say(Frames.ANSWER, answer);
     }
 
     private ObjectNode revision(Revision revision, long base, Map<String, String> fields) {
-        ObjectNode order = order("rollout", "revision", 30).put("number", revision.number()).put("base", base)
-                .put("chain", revision.chain()).put("content", revision.content());
+        ObjectNode order =
+                order("rollout", "revision", 30)
+                        .put("number", revision.number())
+                        .put("base", base)
+                        .put("chain", revision.chain())
+                        .put("content", revision.content());
         Words.texts(order.putObject("fields"), fields);
         return order;
     }
 
     private ObjectNode hosts(long number, long base, long fence) {
-        ObjectNode order = order("lists", "hosts", fence).put("number", number).put("base", base).put("generation", 5);
-        order.putObject("changed").put("h1", "{\"instanceId\":\"h1\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"a\","
-                + "\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":0}");
+        ObjectNode order =
+                order("lists", "hosts", fence)
+                        .put("number", number)
+                        .put("base", base)
+                        .put("generation", 5);
+        order.putObject("changed")
+                .put(
+                        "h1",
+                        "{\"instanceId\":\"h1\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"a\","
+                                + "\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":0}");
         order.putArray("gone").add("h2");
         return order;
     }
@@ -195,20 +233,44 @@
     @Test
     public void conversationIsAsBefore() throws Exception {
         samples.text("here", stable(message(Frames.NODE, "here")));
-        say(Frames.ORDER, Words.node("welcome").put("incarnation", INCARNATION).put("floor", 0).put("time", "1.0").put("at", 1.0));
+        say(
+                Frames.ORDER,
+                Words.node("welcome")
+                        .put("incarnation", INCARNATION)
+                        .put("floor", 0)
+                        .put("time", "1.0")
+                        .put("at", 1.0));
         samples.text("report: first", stable(message(Frames.NODE, "report")));
         ObjectNode trail = message(Frames.NODE, "trail");
         samples.text("trail: first", stable(trail));
-        say(Frames.ORDER, Words.node("kept").put("number", trail.path("number").asLong()).put("time", "1.0").put("at", 1.2));
+        say(
+                Frames.ORDER,
+                Words.node("kept")
+                        .put("number", trail.path("number").asLong())
+                        .put("time", "1.0")
+                        .put("at", 1.2));
         verdicts();
         ObjectNode report = message(Frames.NODE, "report");
         samples.text("report: after orders", stable(report));
-        say(Frames.ORDER, Words.node("out").put("why", "because").put("time", "1.0").put("at", 9.0));
+        say(
+                Frames.ORDER,
+                Words.node("out").put("why", "because").put("time", "1.0").put("at", 9.0));
         assertEquals(exit.get(PATIENCE_MS, TimeUnit.MILLISECONDS).intValue(), 5);
         samples.text("exit status: shut out and stale", Door.SHUT_OUT + " " + Door.STALE);
-        for (byte kind : new byte[] {Frames.HELLO, Frames.WELCOME, Frames.NO, Frames.MESSAGE, Frames.CALL, Frames.ANSWER, Frames.NODE,
-            Frames.ORDER}) {
-            samples.text("frame of kind " + kind, HexFormat.of().formatHex(Frames.piece(kind, new byte[] {1, 2, 3}).array()));
+        for (byte kind :
+                new byte[] {
+                    Frames.HELLO,
+                    Frames.WELCOME,
+                    Frames.NO,
+                    Frames.MESSAGE,
+                    Frames.CALL,
+                    Frames.ANSWER,
+                    Frames.NODE,
+                    Frames.ORDER
+                }) {
+            samples.text(
+                    "frame of kind " + kind,
+                    HexFormat.of().formatHex(Frames.piece(kind, new byte[] {1, 2, 3}).array()));
         }
         samples.assertMatch(getClass(), "node-messages.txt");
     }
@@ -216,7 +278,9 @@
     @Test
     public void settingsHaveTheKeysOfBefore() throws Exception {
         try (InputStream schema = DoorFile.class.getResourceAsStream("door.schema.json")) {
-            new GoldenSamples().text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8)).assertMatch(getClass(), "settings.txt");
+            new GoldenSamples()
+                    .text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8))
+                    .assertMatch(getClass(), "settings.txt");
         }
     }
 
@@ -230,7 +294,9 @@
         verdict("list behind discovery", hosts(11, 0, 21).put("generation", 4));
         tellFence("rollout", 30);
         Revision first = Revision.NONE.next(Map.of("out/h1", "why", "sockets", "500"));
-        verdict("revision against one not held", revision(first.next(Map.of("out/h3", "x")), 1, Map.of("out/h3", "x")));
+        verdict(
+                "revision against one not held",
+                revision(first.next(Map.of("out/h3", "x")), 1, Map.of("out/h3", "x")));
         verdict("whole revision", revision(first, 0, first.fields()));
         verdict("revision once more, by difference", revision(first, 1, Map.of()));
         Revision refused = first.next(Map.of("unknown", "x"));
--- a/emulator/src/main/java/embershift/emulator/Main.java
+++ b/emulator/src/main/java/embershift/emulator/Main.java
@@ -18,7 +18,6 @@
 import embershift.emulator.report.Report;
 import embershift.emulator.sockets.SocketDay;
 import embershift.emulator.world.Trace;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -35,8 +34,7 @@
     private static final int BROKEN = 1;
     private static final int USAGE = 2;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** A sub-command; returns the program's exit status. */
     private interface Command {
@@ -49,10 +47,14 @@
         @Parameter(description = "FILE", required = true)
         List<String> files = new ArrayList<>();
 
-        @Parameter(names = "--size", description = "Another fleet, as NODESxHOSTS; the traffic follows the hosts")
+        @Parameter(
+                names = "--size",
+                description = "Another fleet, as NODESxHOSTS; the traffic follows the hosts")
         String size;
 
-        @Parameter(names = "--set", description = "KEY=VALUE in place of the file's, such as traffic.load=0.7")
+        @Parameter(
+                names = "--set",
+                description = "KEY=VALUE in place of the file's, such as traffic.load=0.7")
         List<String> set = new ArrayList<>();
 
         Path file() {
@@ -88,7 +90,11 @@
         List<String> known(List<String> names) {
             for (String name : names) {
                 if (Baselines.of(name) == null) {
-                    throw new ParameterException("there is no " + name + " among " + String.join(", ", Baselines.names()));
+                    throw new ParameterException(
+                            "there is no "
+                                    + name
+                                    + " among "
+                                    + String.join(", ", Baselines.names()));
                 }
             }
             return names;
@@ -100,13 +106,16 @@
         @Override
         public int run() throws UnreadableDay {
             Day day = day();
-            System.out.printf("sound: %s, %d nodes, %d hosts, %d troubles%n", day.name(), day.fleet().nodes(),
-                    day.fleet().hosts(), day.trouble().size());
+            System.out.printf(
+                    "sound: %s, %d nodes, %d hosts, %d troubles%n",
+                    day.name(), day.fleet().nodes(), day.fleet().hosts(), day.trouble().size());
             return 0;
         }
     }
 
-    @Parameters(commandDescription = "Play a day once and tell what became of it; exit 1 where a rule was broken")
+    @Parameters(
+            commandDescription =
+                    "Play a day once and tell what became of it; exit 1 where a rule was broken")
     private static final class Run extends Days implements Command {
         @Parameter(names = "--seed", description = "Seed of all chance")
         long seed = 1;
@@ -114,14 +123,19 @@
         @Parameter(names = "--with", description = "Who decides: the module or a baseline")
         String with = Baselines.OWN;
 
-        @Parameter(names = "--trace", description = "Tell all of one tunnel, caller (c12), host or node, in order")
+        @Parameter(
+                names = "--trace",
+                description = "Tell all of one tunnel, caller (c12), host or node, in order")
         String trace;
 
         @Parameter(names = "--out", description = "A file for the result, as one line of JSON")
         String out;
 
-        @Parameter(names = "--sockets", description = "Play it on loopback too, in real time, and tell how far apart they "
-                + "are: nodes in this process (here) or in their own (forked)")
+        @Parameter(
+                names = "--sockets",
+                description =
+                        "Play it on loopback too, in real time, and tell how far apart they "
+                                + "are: nodes in this process (here) or in their own (forked)")
         String sockets;
 
         private int playOnSockets() throws IOException, UnreadableDay {
@@ -150,16 +164,30 @@
             Trace told = trace == null ? Trace.NONE : new Trace(trace, System.out::println);
             Play.Timed played = Play.of(day(), with, seed).play(Baselines.of(with), told, true);
             Result result = played.result();
-            System.out.printf(Locale.ROOT, "%s, %d x %d, seed %d, %s%n", result.day(), result.nodes(), result.hosts(), seed,
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s, %d x %d, seed %d, %s%n",
+                    result.day(),
+                    result.nodes(),
+                    result.hosts(),
+                    seed,
                     with);
-            System.out.printf(Locale.ROOT, "service %.4f, worst 10 s %.4f, worst profile %.4f, worst participant %.4f%n",
-                    result.service(), result.worstTen(), result.worstProfile(), result.worstParticipant());
+            System.out.printf(
+                    Locale.ROOT,
+                    "service %.4f, worst 10 s %.4f, worst profile %.4f, worst participant %.4f%n",
+                    result.service(),
+                    result.worstTen(),
+                    result.worstProfile(),
+                    result.worstParticipant());
             System.out.println("counted " + result.counts());
             System.out.println("costs   " + result.costs());
             System.out.println("to open " + result.opening());
             result.breaches().forEach(System.out::println);
-            System.err.printf(Locale.ROOT, "took %.2f s, %.2f s of it in the module; %.0f tunnels a second; %d MB%n",
-                    played.nanos() / 1e9, played.moduleNanos() / 1e9,
+            System.err.printf(
+                    Locale.ROOT,
+                    "took %.2f s, %.2f s of it in the module; %.0f tunnels a second; %d MB%n",
+                    played.nanos() / 1e9,
+                    played.moduleNanos() / 1e9,
                     result.counts().get("tunnels") / (played.nanos() / 1e9),
                     (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20);
             if (out != null) {
@@ -169,7 +197,9 @@
         }
     }
 
-    @Parameters(commandDescription = "Play a day by many seeds, the module beside baselines, and compare them in pairs")
+    @Parameters(
+            commandDescription =
+                    "Play a day by many seeds, the module beside baselines, and compare them in pairs")
     private static final class Compare extends Days implements Command {
         @Parameter(names = "--with", description = "Baselines, separated by commas")
         List<String> with = List.of("random", "p2c", "paper", "top");
@@ -197,9 +227,14 @@
         }
     }
 
-    @Parameters(commandDescription = "Play a grid of days; ended and started again, it goes on where it stood")
+    @Parameters(
+            commandDescription =
+                    "Play a grid of days; ended and started again, it goes on where it stood")
     private static final class Grid extends Days implements Command {
-        @Parameter(names = "--vary", description = "KEY=A,B,C; may be given again for another key", required = true,
+        @Parameter(
+                names = "--vary",
+                description = "KEY=A,B,C; may be given again for another key",
+                required = true,
                 splitter = Whole.class)
         List<String> vary = new ArrayList<>();
 
@@ -212,7 +247,10 @@
         @Parameter(names = "--cores", description = "Days played at once")
         int cores = Runtime.getRuntime().availableProcessors();
 
-        @Parameter(names = "--out", description = "The file of results, as JSON Lines", required = true)
+        @Parameter(
+                names = "--out",
+                description = "The file of results, as JSON Lines",
+                required = true)
         String out;
 
         @Override
@@ -239,12 +277,15 @@
         }
     }
 
-    @Parameters(commandDescription = "Look for the day on which the module loses most, and shrink it")
+    @Parameters(
+            commandDescription = "Look for the day on which the module loses most, and shrink it")
     private static final class Chase extends Days implements Command {
         @Parameter(names = "--minutes", description = "How long to look; shrinking comes after")
         double minutes = 5;
 
-        @Parameter(names = "--days", description = "Draw so many days instead, however long it takes")
+        @Parameter(
+                names = "--days",
+                description = "Draw so many days instead, however long it takes")
         int days;
 
         @Parameter(names = "--seed", description = "Seed of what is drawn")
@@ -260,15 +301,33 @@
         public int run() throws IOException, UnreadableDay {
             String text = Files.readString(file(), StandardCharsets.UTF_8);
             long end = System.nanoTime() + (long) (minutes * 60e9);
-            Hunt.Find found = new Hunt(reader, reader.tree(text, file().toString()), file().toString(), seed, cores).hunt(
-                    4 * cores, played -> days > 0 ? played < days : System.nanoTime() < end, System.err::println);
+            Hunt.Find found =
+                    new Hunt(
+                                    reader,
+                                    reader.tree(text, file().toString()),
+                                    file().toString(),
+                                    seed,
+                                    cores)
+                            .hunt(
+                                    4 * cores,
+                                    played -> days > 0 ? played < days : System.nanoTime() < end,
+                                    System.err::println);
             if (found == null) {
                 System.out.println("nothing was played");
                 return 0;
             }
-            String told = String.format(Locale.ROOT, "# Found by hunting with seed %d; shows with --seed %d.%n"
-                    + "# embershift %.4f, top %.4f%s%n", seed, found.seed(), found.own().service(), found.top().service(),
-                    found.own().breaches().isEmpty() ? "" : "; " + found.own().breaches().get(0));
+            String told =
+                    String.format(
+                            Locale.ROOT,
+                            "# Found by hunting with seed %d; shows with --seed %d.%n"
+                                    + "# embershift %.4f, top %.4f%s%n",
+                            seed,
+                            found.seed(),
+                            found.own().service(),
+                            found.top().service(),
+                            found.own().breaches().isEmpty()
+                                    ? ""
+                                    : "; " + found.own().breaches().get(0));
             Files.writeString(Path.of(out), told + found.text(), StandardCharsets.UTF_8);
             System.out.print(told + found.text());
             return found.own().breaches().isEmpty() ? 0 : BROKEN;
@@ -289,7 +348,10 @@
 
     /** Of the program, and of each command. */
     private static final class Help {
-        @Parameter(names = {"--help", "-h"}, description = "Say what there is", help = true)
+        @Parameter(
+                names = {"--help", "-h"},
+                description = "Say what there is",
+                help = true)
         private boolean wanted;
     }
 
@@ -315,17 +377,22 @@
         try {
             line.parse(args);
             if (help.wanted) {
-                (line.getParsedCommand() == null ? line : line.getCommands().get(line.getParsedCommand())).usage();
+                (line.getParsedCommand() == null
+                                ? line
+                                : line.getCommands().get(line.getParsedCommand()))
+                        .usage();
                 return 0;
             }
             if (line.getParsedCommand() == null) {
-                throw new ParameterException("a sub-command is wanted: " + String.join(", ", commands.keySet()));
+                throw new ParameterException(
+                        "a sub-command is wanted: " + String.join(", ", commands.keySet()));
             }
             return commands.get(line.getParsedCommand()).run();
         } catch (ParameterException | UnreadableDay e) {
             System.err.println("embershift-emulator: " + e.getMessage());
         } catch (IOException e) {
-            System.err.println("embershift-emulator: " + e.getClass().getSimpleName() + ": " + e.getMessage());
+            System.err.println(
+                    "embershift-emulator: " + e.getClass().getSimpleName() + ": " + e.getMessage());
         }
         return USAGE;
     }
--- a/emulator/src/main/java/embershift/emulator/baseline/Baselines.java
+++ b/emulator/src/main/java/embershift/emulator/baseline/Baselines.java
@@ -5,13 +5,11 @@
 import embershift.model.HostId;
 import embershift.policy.Filling;
 import embershift.policy.Policy;
-
-import org.apache.commons.rng.UniformRandomProvider;
-
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.apache.commons.rng.UniformRandomProvider;
 
 /** The ways to decide that can be played, by name. */
 public final class Baselines {
@@ -22,17 +20,19 @@
     private static final Map<String, Module.Maker> MAKERS = new LinkedHashMap<>();
 
     static {
-        MAKERS.put(OWN, (deployment, truth) -> new Policy(deployment, new Filling(deployment))::round);
+        MAKERS.put(
+                OWN, (deployment, truth) -> new Policy(deployment, new Filling(deployment))::round);
         MAKERS.put("random", (deployment, truth) -> new Plain(deployment, random(deployment)));
-        MAKERS.put("round-robin", (deployment, truth) -> new Plain(deployment, roundRobin(deployment)));
+        MAKERS.put(
+                "round-robin",
+                (deployment, truth) -> new Plain(deployment, roundRobin(deployment)));
         MAKERS.put("least", (deployment, truth) -> new Plain(deployment, least(deployment)));
         MAKERS.put("p2c", (deployment, truth) -> new Plain(deployment, twoChoices(deployment)));
         MAKERS.put("paper", (deployment, truth) -> new Plain(deployment, new Paper(deployment)));
         MAKERS.put("top", (deployment, truth) -> new Plain(deployment, new Top(deployment, truth)));
     }
 
-    private Baselines() {
-    }
+    private Baselines() {}
 
     public static Set<String> names() {
         return MAKERS.keySet();
@@ -58,12 +58,16 @@
         UniformRandomProvider chance = Plain.random(deployment, 2);
         return (eligible, group) -> {
             int fewest = eligible.stream().mapToInt(host -> host.own.size()).min().orElse(0);
-            List<Plain.Host> equals = eligible.stream().filter(host -> host.own.size() == fewest).toList();
+            List<Plain.Host> equals =
+                    eligible.stream().filter(host -> host.own.size() == fewest).toList();
             return equals.get(chance.nextInt(equals.size()));
         };
     }
 
-    /** The one of two with fewer of this node's tunnels (Mitzenmacher, The Power of Two Choices, 1996). */
+    /**
+     * The one of two with fewer of this node's tunnels (Mitzenmacher, The Power of Two Choices,
+     * 1996).
+     */
     private static Plain.Choice twoChoices(Deployment deployment) {
         UniformRandomProvider chance = Plain.random(deployment, 2);
         return (eligible, group) -> {
@@ -74,8 +78,8 @@
     }
 
     /**
-     * The source's weighted draw and nothing else (PAPER, section III.A): weights from figures probed once a second,
-     * a host not heard from at the others' mean.
+     * The source's weighted draw and nothing else (PAPER, section III.A): weights from figures
+     * probed once a second, a host not heard from at the others' mean.
      */
     private static final class Paper implements Plain.Choice {
         private static final double SPAN = 256;
@@ -93,8 +97,12 @@
         @Override
         public Plain.Host choose(List<Plain.Host> eligible, String group) {
             int n = eligible.size();
-            double mean = eligible.stream().mapToDouble(host -> host.load).filter(load -> !Double.isNaN(load))
-                    .average().orElse(0);
+            double mean =
+                    eligible.stream()
+                            .mapToDouble(host -> host.load)
+                            .filter(load -> !Double.isNaN(load))
+                            .average()
+                            .orElse(0);
             double total = 0;
             for (Plain.Host host : eligible) {
                 total += Double.isNaN(host.load) ? mean : host.load;
@@ -102,7 +110,10 @@
             double mark = chance.nextDouble() * SPAN;
             for (Plain.Host host : eligible) {
                 double load = Double.isNaN(host.load) ? mean : host.load;
-                mark -= n == 1 ? SPAN : total <= 0 ? SPAN / n : SPAN * (total - load) / (total * (n - 1));
+                mark -=
+                        n == 1
+                                ? SPAN
+                                : total <= 0 ? SPAN / n : SPAN * (total - load) / (total * (n - 1));
                 if (mark < 0) {
                     return host;
                 }
@@ -112,9 +123,10 @@
     }
 
     /**
-     * Sees each host as it is at this moment, and is what can be hoped for: near the least loaded host, a host that
-     * holds the group counting as lighter and one in another zone as heavier; nothing to hosts that fail, nothing over
-     * what a cold one bears, and what is too much for a host is moved off it.
+     * Sees each host as it is at this moment, and is what can be hoped for: near the least loaded
+     * host, a host that holds the group counting as lighter and one in another zone as heavier;
+     * nothing to hosts that fail, nothing over what a cold one bears, and what is too much for a
+     * host is moved off it.
      */
     private static final class Top implements Plain.Choice {
         private static final double FULL = 0.92;
@@ -144,8 +156,11 @@
                 return Double.POSITIVE_INFINITY;
             }
             double load = truth.load(id);
-            return load > FULL ? Double.POSITIVE_INFINITY : load + (host.near(deployment) ? 0 : CROSSING)
-                    - (group != null && truth.holds(id, group) ? HELD : 0);
+            return load > FULL
+                    ? Double.POSITIVE_INFINITY
+                    : load
+                            + (host.near(deployment) ? 0 : CROSSING)
+                            - (group != null && truth.holds(id, group) ? HELD : 0);
         }
 
         @Override
--- a/emulator/src/main/java/embershift/emulator/baseline/Plain.java
+++ b/emulator/src/main/java/embershift/emulator/baseline/Plain.java
@@ -1,8 +1,8 @@
 package embershift.emulator.baseline;
 
 import embershift.emulator.world.Module;
-import embershift.model.DeclineReason;
 import embershift.model.Decisions;
+import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Profile;
@@ -16,10 +16,6 @@
 import embershift.model.SetupEnd;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
-
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -27,10 +23,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A node that does its chores as plainly as the rules allow - the roster watched, each tunnel set up, tried again
- * elsewhere, declined or closed with error - and leaves the choice of host to a {@link Choice}.
+ * A node that does its chores as plainly as the rules allow - the roster watched, each tunnel set
+ * up, tried again elsewhere, declined or closed with error - and leaves the choice of host to a
+ * {@link Choice}.
  */
 final class Plain implements Module, News {
 
@@ -40,7 +39,10 @@
         /** The host, or null to decline. */
         Host choose(List<Host> eligible, String group);
 
-        /** For how many setup goals a setup may take that is not the last one; 0 for as long as its client waits. */
+        /**
+         * For how many setup goals a setup may take that is not the last one; 0 for as long as its
+         * client waits.
+         */
         default double patience() {
             return 3;
         }
@@ -116,7 +118,8 @@
     }
 
     static UniformRandomProvider random(Deployment deployment, long purpose) {
-        return RandomSource.XO_SHI_RO_256_PP.create(new long[] {deployment.seed(), purpose, ~deployment.seed(), 1});
+        return RandomSource.XO_SHI_RO_256_PP.create(
+                new long[] {deployment.seed(), purpose, ~deployment.seed(), 1});
     }
 
     @Override
@@ -134,14 +137,18 @@
         double every = choice.probesEvery();
         if (every > 0 && now >= probesAt) {
             probesAt = now + every;
-            hosts.values().stream().filter(host -> host.state == Listing.State.READY)
+            hosts.values().stream()
+                    .filter(host -> host.state == Listing.State.READY)
                     .forEach(host -> out.probe(host.id));
         }
         if (now >= movesAt) {
             movesAt = now + 1;
             hosts.values().forEach(this::moveOff);
         }
-        double next = Math.min(rosterAt, Math.min(movesAt, every > 0 ? probesAt : Double.POSITIVE_INFINITY));
+        double next =
+                Math.min(
+                        rosterAt,
+                        Math.min(movesAt, every > 0 ? probesAt : Double.POSITIVE_INFINITY));
         out.wakeAfter(Math.max(0.001, next - now));
     }
 
@@ -169,7 +176,8 @@
     @Override
     public void rosterChanged(List<Listing> listings) {
         for (Listing listing : listings) {
-            Host host = hosts.computeIfAbsent(listing.host().name(), name -> new Host(listing.host()));
+            Host host =
+                    hosts.computeIfAbsent(listing.host().name(), name -> new Host(listing.host()));
             host.state = listing.state();
             host.listing = listing;
         }
@@ -183,17 +191,38 @@
     // ---- Tunnels ----
 
     @Override
-    public void tunnelArrived(TunnelId id, ProfileId profile, ParticipantId participant, SubjectId subject,
-                              GroupId group, double timeLeft, boolean midFlow) {
-        Row row = new Row(id, profiles.get(profile), group == null ? null : group.name(), now + timeLeft);
+    public void tunnelArrived(
+            TunnelId id,
+            ProfileId profile,
+            ParticipantId participant,
+            SubjectId subject,
+            GroupId group,
+            double timeLeft,
+            boolean midFlow) {
+        Row row =
+                new Row(
+                        id,
+                        profiles.get(profile),
+                        group == null ? null : group.name(),
+                        now + timeLeft);
         rows.put(id, row);
         place(row);
     }
 
     @Override
-    public void tunnelStanding(TunnelId id, ProfileId profile, ParticipantId participant, SubjectId subject,
-                               GroupId group, HostId at) {
-        Row row = new Row(id, profiles.get(profile), group == null ? null : group.name(), Double.POSITIVE_INFINITY);
+    public void tunnelStanding(
+            TunnelId id,
+            ProfileId profile,
+            ParticipantId participant,
+            SubjectId subject,
+            GroupId group,
+            HostId at) {
+        Row row =
+                new Row(
+                        id,
+                        profiles.get(profile),
+                        group == null ? null : group.name(),
+                        Double.POSITIVE_INFINITY);
         row.setups = 1;
         row.open = true;
         row.host = hosts.computeIfAbsent(at.name(), name -> new Host(at));
@@ -202,22 +231,25 @@
     }
 
     private boolean mayRunAgain(Row row) {
-        return !row.mayHaveRun || switch (row.profile.repeat()) {
-            case REPEATABLE -> true;
-            case REFERENCED -> now < row.firstSentAt + row.profile.dedupWindow();
-            case ONCE_ONLY -> false;
-        };
+        return !row.mayHaveRun
+                || switch (row.profile.repeat()) {
+                    case REPEATABLE -> true;
+                    case REFERENCED -> now < row.firstSentAt + row.profile.dedupWindow();
+                    case ONCE_ONLY -> false;
+                };
     }
 
     private boolean dropsRepeats(Row row, Host host) {
         if (!row.mayHaveRun || row.profile.repeat() != Repeat.REFERENCED) {
             return true;
         }
-        return row.ranAt != null && row.ranAt.listing != null && switch (row.profile.dedupScope()) {
-            case ALL -> true;
-            case ZONE -> row.ranAt.listing.zone().equals(host.listing.zone());
-            case CELL -> row.ranAt.listing.cell() == host.listing.cell();
-        };
+        return row.ranAt != null
+                && row.ranAt.listing != null
+                && switch (row.profile.dedupScope()) {
+                    case ALL -> true;
+                    case ZONE -> row.ranAt.listing.zone().equals(host.listing.zone());
+                    case CELL -> row.ranAt.listing.cell() == host.listing.cell();
+                };
     }
 
     private void place(Row row) {
@@ -237,22 +269,29 @@
         }
         if (host == null) {
             rows.remove(row.id);
-            if (mayRunAgain(row) && (!row.mayHaveRun || row.profile.repeat() != Repeat.REFERENCED
-                    || row.profile.dedupScope() == DedupScope.ALL)) {
+            if (mayRunAgain(row)
+                    && (!row.mayHaveRun
+                            || row.profile.repeat() != Repeat.REFERENCED
+                            || row.profile.dedupScope() == DedupScope.ALL)) {
                 decisions.decline(row.id, 0, DeclineReason.NO_HOST_READY);
             } else {
                 decisions.closeWithError(row.id);
             }
             return;
         }
-        boolean last = row.setups + 1 >= deployment.mostSetups() || row.profile.repeat() == Repeat.ONCE_ONLY;
+        boolean last =
+                row.setups + 1 >= deployment.mostSetups()
+                        || row.profile.repeat() == Repeat.ONCE_ONLY;
         if (row.setups == 0) {
             row.firstSentAt = now;
         }
         row.setups++;
         row.host = host;
         host.own.put(row.id, row);
-        decisions.setUp(row.id, host.id, last ? 0 : Math.min(left, choice.patience() * row.profile.setupGoal()));
+        decisions.setUp(
+                row.id,
+                host.id,
+                last ? 0 : Math.min(left, choice.patience() * row.profile.setupGoal()));
     }
 
     @Override
@@ -281,7 +320,8 @@
     }
 
     @Override
-    public void setupEnded(TunnelId id, int setup, HostId at, SetupEnd end, double took, boolean over) {
+    public void setupEnded(
+            TunnelId id, int setup, HostId at, SetupEnd end, double took, boolean over) {
         Row row = rows.get(id);
         if (row == null || setup != row.setups - 1) {
             return;
@@ -312,7 +352,8 @@
     }
 
     @Override
-    public void hostReported(HostId at, double loadOverCapacity, double openTunnels, double queued) {
+    public void hostReported(
+            HostId at, double loadOverCapacity, double openTunnels, double queued) {
         Host host = hosts.get(at.name());
         if (host != null) {
             host.load = loadOverCapacity;
@@ -326,6 +367,9 @@
 
     @Override
     public void nodeLeaving(boolean replaced) {
-        rows.values().stream().filter(row -> row.open).toList().forEach(row -> decisions.move(row.id));
+        rows.values().stream()
+                .filter(row -> row.open)
+                .toList()
+                .forEach(row -> decisions.move(row.id));
     }
 }
--- a/emulator/src/main/java/embershift/emulator/day/DayReader.java
+++ b/emulator/src/main/java/embershift/emulator/day/DayReader.java
@@ -13,7 +13,6 @@
 import com.networknt.schema.JsonSchemaFactory;
 import com.networknt.schema.SpecVersion;
 import com.networknt.schema.ValidationMessage;
-
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.UncheckedIOException;
@@ -27,25 +26,30 @@
 import java.util.Set;
 
 /**
- * Reads days: TOML, checked against {@code day.schema.json}, laid over {@code usual.toml}, then checked for what no
- * schema can tell. Whatever is wrong is one line: file, line, key and what was expected.
+ * Reads days: TOML, checked against {@code day.schema.json}, laid over {@code usual.toml}, then
+ * checked for what no schema can tell. Whatever is wrong is one line: file, line, key and what was
+ * expected.
  */
 public final class DayReader {
 
     private static final double SUM_SLACK = 1e-6;
 
     private final TomlMapper toml = new TomlMapper();
-    private final JsonMapper json = JsonMapper.builder()
-            .propertyNamingStrategy(PropertyNamingStrategies.KEBAB_CASE)
-            .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
-            .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
-            .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES).build();
+    private final JsonMapper json =
+            JsonMapper.builder()
+                    .propertyNamingStrategy(PropertyNamingStrategies.KEBAB_CASE)
+                    .enable(MapperFeature.ACCEPT_CASE_INSENSITIVE_ENUMS)
+                    .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
+                    .build();
     private final JsonSchema schema;
     private final ObjectNode usual;
 
     public DayReader() {
-        try (InputStream rules = resource("day.schema.json"); InputStream days = resource("usual.toml")) {
-            schema = JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(rules);
+        try (InputStream rules = resource("day.schema.json");
+                InputStream days = resource("usual.toml")) {
+            schema =
+                    JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(rules);
             usual = (ObjectNode) toml.readTree(days);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -56,7 +60,10 @@
         return DayReader.class.getResourceAsStream(name);
     }
 
-    /** Reads the file, with {@code key=value} pairs in its place: {@code traffic.load=0.9}, {@code trouble.0.at=5}. */
+    /**
+     * Reads the file, with {@code key=value} pairs in its place: {@code traffic.load=0.9}, {@code
+     * trouble.0.at=5}.
+     */
     public Day read(Path file, Map<String, String> changes) throws UnreadableDay {
         String text;
         try {
@@ -85,7 +92,12 @@
             return (ObjectNode) toml.readTree(text);
         } catch (JacksonException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new UnreadableDay(file + ":" + line + ": " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new UnreadableDay(
+                    file
+                            + ":"
+                            + line
+                            + ": "
+                            + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
@@ -103,29 +115,48 @@
         KeyLines lines = new KeyLines(text);
         Set<ValidationMessage> wrong = schema.validate(tree);
         if (!wrong.isEmpty()) {
-            ValidationMessage first = wrong.stream().min(Comparator.<ValidationMessage>comparingInt(message ->
-                    lines.of(pointer(message))).thenComparing(ValidationMessage::getMessage)).orElseThrow();
-            throw unreadable(file, lines, pointer(first), first.getMessage().replaceFirst("^[^:]*: ", ""));
+            ValidationMessage first =
+                    wrong.stream()
+                            .min(
+                                    Comparator.<ValidationMessage>comparingInt(
+                                                    message -> lines.of(pointer(message)))
+                                            .thenComparing(ValidationMessage::getMessage))
+                            .orElseThrow();
+            throw unreadable(
+                    file, lines, pointer(first), first.getMessage().replaceFirst("^[^:]*: ", ""));
         }
         Day day;
         try {
             day = json.treeToValue(laidOver(usual, tree), Day.class);
         } catch (JacksonException e) {
-            throw new UnreadableDay(file + ":1: " + e.getOriginalMessage().lines().findFirst().orElse(""));
+            throw new UnreadableDay(
+                    file + ":1: " + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
         check(day, file, lines);
         return day;
     }
 
     private static String pointer(ValidationMessage message) {
-        String at = message.getInstanceLocation().toString().replace("$", "").replace('.', '/')
-                .replace('[', '/').replace("]", "");
+        String at =
+                message.getInstanceLocation()
+                        .toString()
+                        .replace("$", "")
+                        .replace('.', '/')
+                        .replace('[', '/')
+                        .replace("]", "");
         return message.getProperty() == null ? at : at + "/" + message.getProperty();
     }
 
-    private static UnreadableDay unreadable(String file, KeyLines lines, String pointer, String expected) {
-        return new UnreadableDay(file + ":" + lines.of(pointer) + ": "
-                + pointer.substring(Math.min(1, pointer.length())).replace('/', '.') + ": " + expected);
+    private static UnreadableDay unreadable(
+            String file, KeyLines lines, String pointer, String expected) {
+        return new UnreadableDay(
+                file
+                        + ":"
+                        + lines.of(pointer)
+                        + ": "
+                        + pointer.substring(Math.min(1, pointer.length())).replace('/', '.')
+                        + ": "
+                        + expected);
     }
 
     private static void change(ObjectNode tree, String key, JsonNode value) {
@@ -151,7 +182,8 @@
         try {
             return Integer.parseInt(text);
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("there is no " + key + " to change: " + text + " is no number");
+            throw new IllegalArgumentException(
+                    "there is no " + key + " to change: " + text + " is no number");
         }
     }
 
@@ -159,10 +191,12 @@
     private static JsonNode laidOver(JsonNode usual, JsonNode own) {
         if (usual.isObject() && own.isObject()) {
             ObjectNode both = usual.deepCopy();
-            for (Iterator<Map.Entry<String, JsonNode>> keys = own.fields(); keys.hasNext();) {
+            for (Iterator<Map.Entry<String, JsonNode>> keys = own.fields(); keys.hasNext(); ) {
                 Map.Entry<String, JsonNode> key = keys.next();
                 JsonNode under = usual.get(key.getKey());
-                both.set(key.getKey(), under == null ? key.getValue() : laidOver(under, key.getValue()));
+                both.set(
+                        key.getKey(),
+                        under == null ? key.getValue() : laidOver(under, key.getValue()));
             }
             if (usual.has("trouble") && !own.has("trouble")) {
                 both.putArray("trouble");
@@ -194,7 +228,8 @@
     private static void sumsToOne(double sum, String list, String key, String file, KeyLines lines)
             throws UnreadableDay {
         if (Math.abs(sum - 1) > SUM_SLACK) {
-            throw unreadable(file, lines, list + "/0/" + key, "all together must be 1, not " + (float) sum);
+            throw unreadable(
+                    file, lines, list + "/0/" + key, "all together must be 1, not " + (float) sum);
         }
     }
 
@@ -208,18 +243,30 @@
         }
         Whom whom = aimed(day, trouble.whom(), at + "/whom", file, lines);
         if (!trouble.what().canBefall(whom.sort())) {
-            throw unreadable(file, lines, at + "/whom",
-                    trouble.what().written() + " befalls " + trouble.what().aims() + ", not " + whom.sort());
+            throw unreadable(
+                    file,
+                    lines,
+                    at + "/whom",
+                    trouble.what().written()
+                            + " befalls "
+                            + trouble.what().aims()
+                            + ", not "
+                            + whom.sort());
         }
         if (!trouble.peer().isEmpty()) {
             Whom peer = aimed(day, trouble.peer(), at + "/peer", file, lines);
             if (!List.of("hosts", "nodes", "roster").contains(peer.sort())) {
-                throw unreadable(file, lines, at + "/peer", "a cut lies between hosts, nodes and the roster");
+                throw unreadable(
+                        file,
+                        lines,
+                        at + "/peer",
+                        "a cut lies between hosts, nodes and the roster");
             }
         }
     }
 
-    private static Whom aimed(Day day, String words, String at, String file, KeyLines lines) throws UnreadableDay {
+    private static Whom aimed(Day day, String words, String at, String file, KeyLines lines)
+            throws UnreadableDay {
         Whom whom;
         try {
             whom = Whom.read(words);
@@ -227,17 +274,34 @@
             throw unreadable(file, lines, at, e.getMessage());
         }
         boolean zone = whom.zone() == null || day.fleet().zones().contains(whom.zone());
-        boolean kind = whom.kind() == null || day.kind().stream().anyMatch(row -> row.name().equals(whom.kind()));
-        boolean profile = whom.profile() == null
-                || day.profile().stream().anyMatch(row -> row.name().equals(whom.profile()));
+        boolean kind =
+                whom.kind() == null
+                        || day.kind().stream().anyMatch(row -> row.name().equals(whom.kind()));
+        boolean profile =
+                whom.profile() == null
+                        || day.profile().stream()
+                                .anyMatch(row -> row.name().equals(whom.profile()));
         int many = whom.sort().equals("nodes") ? day.fleet().nodes() : day.fleet().hosts();
         char first = whom.sort().charAt(0);
-        boolean named = whom.named().stream().allMatch(name -> name.matches(first + "\\d{1,6}")
-                && Integer.parseInt(name.substring(1)) < many);
+        boolean named =
+                whom.named().stream()
+                        .allMatch(
+                                name ->
+                                        name.matches(first + "\\d{1,6}")
+                                                && Integer.parseInt(name.substring(1)) < many);
         if (!zone || !kind || !profile || !named) {
-            throw unreadable(file, lines, at, "aimed at nobody: there is no " + (!zone ? "zone " + whom.zone()
-                    : !kind ? "kind " + whom.kind() : !profile ? "profile " + whom.profile()
-                    : "one of " + String.join(",", whom.named())));
+            throw unreadable(
+                    file,
+                    lines,
+                    at,
+                    "aimed at nobody: there is no "
+                            + (!zone
+                                    ? "zone " + whom.zone()
+                                    : !kind
+                                            ? "kind " + whom.kind()
+                                            : !profile
+                                                    ? "profile " + whom.profile()
+                                                    : "one of " + String.join(",", whom.named())));
         }
         return whom;
     }
--- a/emulator/src/main/java/embershift/emulator/day/DayWriter.java
+++ b/emulator/src/main/java/embershift/emulator/day/DayWriter.java
@@ -2,21 +2,22 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
 import java.util.Iterator;
 import java.util.Map;
 
-/** Writes a day's own keys as the TOML that an author would write: plain keys first, then tables, then lists of tables. */
+/**
+ * Writes a day's own keys as the TOML that an author would write: plain keys first, then tables,
+ * then lists of tables.
+ */
 public final class DayWriter {
 
-    private DayWriter() {
-    }
+    private DayWriter() {}
 
     /** The text of a day whose tree holds what {@link DayReader#tree} read, or changes of it. */
     public static String write(ObjectNode tree) {
         StringBuilder text = new StringBuilder();
         plain(tree, text);
-        for (Iterator<Map.Entry<String, JsonNode>> keys = tree.fields(); keys.hasNext();) {
+        for (Iterator<Map.Entry<String, JsonNode>> keys = tree.fields(); keys.hasNext(); ) {
             Map.Entry<String, JsonNode> key = keys.next();
             if (key.getValue().isObject()) {
                 text.append("\n[").append(key.getKey()).append("]\n");
@@ -36,7 +37,7 @@
     }
 
     private static void plain(JsonNode table, StringBuilder text) {
-        for (Iterator<Map.Entry<String, JsonNode>> keys = table.fields(); keys.hasNext();) {
+        for (Iterator<Map.Entry<String, JsonNode>> keys = table.fields(); keys.hasNext(); ) {
             Map.Entry<String, JsonNode> key = keys.next();
             if (!key.getValue().isObject() && !isTables(key.getValue())) {
                 // Numbers, texts, truths and lists of them are written alike in JSON and in TOML.
--- a/emulator/src/main/java/embershift/emulator/day/KeyLines.java
+++ b/emulator/src/main/java/embershift/emulator/day/KeyLines.java
@@ -6,9 +6,9 @@
 import java.util.regex.Pattern;
 
 /**
- * The line of each key in a TOML text, by its JSON pointer ({@code /trouble/1/whom}). The parser forgets where a value
- * stood; its author wants to know. Only the forms that days are written in are followed: headers of tables and of
- * lists of tables, and keys at the start of a line.
+ * The line of each key in a TOML text, by its JSON pointer ({@code /trouble/1/whom}). The parser
+ * forgets where a value stood; its author wants to know. Only the forms that days are written in
+ * are followed: headers of tables and of lists of tables, and keys at the start of a line.
  */
 final class KeyLines {
 
@@ -41,9 +41,14 @@
         }
     }
 
-    /** The line where this value, or else the innermost that holds it, is written; 1 where none is known. */
+    /**
+     * The line where this value, or else the innermost that holds it, is written; 1 where none is
+     * known.
+     */
     int of(String pointer) {
-        for (String at = pointer; !at.isEmpty(); at = at.substring(0, Math.max(0, at.lastIndexOf('/')))) {
+        for (String at = pointer;
+                !at.isEmpty();
+                at = at.substring(0, Math.max(0, at.lastIndexOf('/')))) {
             Integer line = lines.get(at);
             if (line != null) {
                 return line;
--- a/emulator/src/main/java/embershift/emulator/day/Whom.java
+++ b/emulator/src/main/java/embershift/emulator/day/Whom.java
@@ -3,13 +3,16 @@
 import java.util.List;
 
 /**
- * Whom a trouble befalls: {@code hosts}, {@code nodes}, {@code clients}, {@code store} or {@code roster}, then any of
- * {@code zone NAME}, {@code kind NAME}, {@code profile NAME}, {@code named ID,ID} and {@code share PART}. A share is
- * drawn among those that the rest leaves, at least one of them.
+ * Whom a trouble befalls: {@code hosts}, {@code nodes}, {@code clients}, {@code store} or {@code
+ * roster}, then any of {@code zone NAME}, {@code kind NAME}, {@code profile NAME}, {@code named
+ * ID,ID} and {@code share PART}. A share is drawn among those that the rest leaves, at least one of
+ * them.
  */
-public record Whom(String sort, String zone, String kind, String profile, List<String> named, double share) {
+public record Whom(
+        String sort, String zone, String kind, String profile, List<String> named, double share) {
 
-    private static final List<String> SORTS = List.of("hosts", "nodes", "clients", "store", "roster");
+    private static final List<String> SORTS =
+            List.of("hosts", "nodes", "clients", "store", "roster");
 
     /** Reads the words; the exception's message says in one line what is wrong with them. */
     public static Whom read(String words) throws UnreadableDay {
@@ -33,7 +36,11 @@
                 case "profile" -> profile = value;
                 case "named" -> named = List.of(value.split(","));
                 case "share" -> share = share(value);
-                default -> throw new UnreadableDay("\"" + parts[i] + "\" is none of zone, kind, profile, named, share");
+                default ->
+                        throw new UnreadableDay(
+                                "\""
+                                        + parts[i]
+                                        + "\" is none of zone, kind, profile, named, share");
             }
         }
         return new Whom(parts[0], zone, kind, profile, named, share);
--- a/emulator/src/main/java/embershift/emulator/experiment/Comparison.java
+++ b/emulator/src/main/java/embershift/emulator/experiment/Comparison.java
@@ -2,16 +2,17 @@
 
 import embershift.emulator.baseline.Baselines;
 import embershift.emulator.day.Day;
-
-import org.apache.commons.statistics.distribution.TDistribution;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import org.apache.commons.statistics.distribution.TDistribution;
 
-/** One day, many seeds, several ways to decide: each seed is the same day for all, so differences are taken in pairs. */
+/**
+ * One day, many seeds, several ways to decide: each seed is the same day for all, so differences
+ * are taken in pairs.
+ */
 public final class Comparison {
 
     private static final double CONFIDENCE = 0.95;
@@ -19,7 +20,8 @@
     private final Map<String, List<Result>> results = new LinkedHashMap<>();
 
     /** Plays {@code day} with each, by seeds 1 to {@code seeds}. */
-    public static Comparison of(Day day, List<String> with, int seeds, int cores, java.io.PrintStream progress) {
+    public static Comparison of(
+            Day day, List<String> with, int seeds, int cores, java.io.PrintStream progress) {
         List<Play> plays = new ArrayList<>();
         List<String> all = new ArrayList<>(List.of(Baselines.OWN));
         with.stream().filter(name -> !name.equals(Baselines.OWN)).forEach(all::add);
@@ -29,8 +31,14 @@
             }
         }
         Comparison comparison = new Comparison();
-        new Many(cores, progress).play(plays, (play, result) ->
-                comparison.results.computeIfAbsent(play.with(), name -> new ArrayList<>()).add(result));
+        new Many(cores, progress)
+                .play(
+                        plays,
+                        (play, result) ->
+                                comparison
+                                        .results
+                                        .computeIfAbsent(play.with(), name -> new ArrayList<>())
+                                        .add(result));
         return comparison;
     }
 
@@ -44,7 +52,10 @@
         return results.get(name).stream().mapToDouble(Result::service).average().orElse(Double.NaN);
     }
 
-    /** Mean and half width of the confidence interval of the paired differences of service, own less the other's. */
+    /**
+     * Mean and half width of the confidence interval of the paired differences of service, own less
+     * the other's.
+     */
     public double[] difference(String other) {
         List<Result> own = results.get(Baselines.OWN);
         List<Result> theirs = results.get(other);
@@ -65,7 +76,10 @@
         return new double[] {mean, t * Math.sqrt(squares / (n - 1) / n)};
     }
 
-    /** Where embershift stands between random choice (0) and the one that sees everything (1); NaN without them. */
+    /**
+     * Where embershift stands between random choice (0) and the one that sees everything (1); NaN
+     * without them.
+     */
     public double standing() {
         if (!results.containsKey("random") || !results.containsKey("top")) {
             return Double.NaN;
@@ -76,26 +90,55 @@
 
     /** A table for people. */
     public String table() {
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%-12s %8s %8s %9s %7s %7s %21s %8s %8s%n", "with",
-                "service", "worst 10", "profile", "opened", "broken", "embershift less it", "declined", "moves"));
-        results.forEach((name, all) -> {
-            double[] less = name.equals(Baselines.OWN) ? null : difference(name);
-            text.append(String.format(Locale.ROOT, "%-12s %8.4f %8.4f %9.4f %7.0f %7d %21s %8.0f %8.4f%n", name, mean(name),
-                    average(all, Result::worstTen), average(all, Result::worstProfile),
-                    average(all, result -> result.counts().get("opened")),
-                    all.stream().filter(result -> result.counts().get("breaches") > 0).count(),
-                    less == null ? "" : String.format(Locale.ROOT, "%+.4f ± %.4f", less[0], less[1]),
-                    average(all, result -> result.counts().get("declined")),
-                    average(all, result -> result.costs().get("moves"))));
-        });
+        StringBuilder text =
+                new StringBuilder(
+                        String.format(
+                                Locale.ROOT,
+                                "%-12s %8s %8s %9s %7s %7s %21s %8s %8s%n",
+                                "with",
+                                "service",
+                                "worst 10",
+                                "profile",
+                                "opened",
+                                "broken",
+                                "embershift less it",
+                                "declined",
+                                "moves"));
+        results.forEach(
+                (name, all) -> {
+                    double[] less = name.equals(Baselines.OWN) ? null : difference(name);
+                    text.append(
+                            String.format(
+                                    Locale.ROOT,
+                                    "%-12s %8.4f %8.4f %9.4f %7.0f %7d %21s %8.0f %8.4f%n",
+                                    name,
+                                    mean(name),
+                                    average(all, Result::worstTen),
+                                    average(all, Result::worstProfile),
+                                    average(all, result -> result.counts().get("opened")),
+                                    all.stream()
+                                            .filter(result -> result.counts().get("breaches") > 0)
+                                            .count(),
+                                    less == null
+                                            ? ""
+                                            : String.format(
+                                                    Locale.ROOT, "%+.4f ± %.4f", less[0], less[1]),
+                                    average(all, result -> result.counts().get("declined")),
+                                    average(all, result -> result.costs().get("moves"))));
+                });
         double standing = standing();
         if (!Double.isNaN(standing)) {
-            text.append(String.format(Locale.ROOT, "embershift stands at %.2f between random (0) and top (1)%n", standing));
+            text.append(
+                    String.format(
+                            Locale.ROOT,
+                            "embershift stands at %.2f between random (0) and top (1)%n",
+                            standing));
         }
         return text.toString();
     }
 
-    private static double average(List<Result> results, java.util.function.ToDoubleFunction<Result> of) {
+    private static double average(
+            List<Result> results, java.util.function.ToDoubleFunction<Result> of) {
         return results.stream().mapToDouble(of).average().orElse(0);
     }
 }
