--- a/emulator/src/main/java/embershift/emulator/experiment/Hunt.java
+++ b/emulator/src/main/java/embershift/emulator/experiment/Hunt.java
@@ -9,10 +9,6 @@
 import embershift.emulator.day.DayWriter;
 import embershift.emulator.day.Trouble.What;
 import embershift.emulator.day.UnreadableDay;
-
-import org.apache.commons.rng.UniformRandomProvider;
-import org.apache.commons.rng.simple.RandomSource;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -21,26 +17,34 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.function.Consumer;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Looks for days on which the module does badly: draws troubles, sizes and loads, plays each day with the module and
- * with the baseline that sees everything, and keeps the one that shows the largest loss - a broken rule first of all.
- * What is found is shrunk: everything is left out or made smaller that the loss does not need.
+ * Looks for days on which the module does badly: draws troubles, sizes and loads, plays each day
+ * with the module and with the baseline that sees everything, and keeps the one that shows the
+ * largest loss - a broken rule first of all. What is found is shrunk: everything is left out or
+ * made smaller that the loss does not need.
  */
 public final class Hunt {
 
-    /** A found day: its text, the seed by which it shows, and how bad it is: 2 and more where a rule is broken. */
-    public record Find(String text, long seed, double badness, Result own, Result top) {
-    }
+    /**
+     * A found day: its text, the seed by which it shows, and how bad it is: 2 and more where a rule
+     * is broken.
+     */
+    public record Find(String text, long seed, double badness, Result own, Result top) {}
 
-    private record Draft(ObjectNode tree, long seed) {
-    }
+    private record Draft(ObjectNode tree, long seed) {}
 
     private static final double BROKEN = 2;
+
     /** Part of a loss that a smaller day must still show to stand for the larger one. */
     private static final double STILL = 0.8;
+
     private static final int ROUNDS_OF_SHRINKING = 6;
-    private static final int[][] SIZES = {{1, 4}, {2, 6}, {3, 12}, {5, 16}, {8, 24}, {30, 30}, {60, 40}};
+    private static final int[][] SIZES = {
+        {1, 4}, {2, 6}, {3, 12}, {5, 16}, {8, 24}, {30, 30}, {60, 40}
+    };
 
     private final DayReader reader;
     private final ObjectNode base;
@@ -57,7 +61,10 @@
         this.chance = RandomSource.XO_SHI_RO_256_PP.create(new long[] {seed, ~seed, 7, 11});
     }
 
-    /** Hunts until {@code done} is reached, in steps of {@code days} drawn days each, then shrinks the worst. */
+    /**
+     * Hunts until {@code done} is reached, in steps of {@code days} drawn days each, then shrinks
+     * the worst.
+     */
     public Find hunt(int days, java.util.function.IntPredicate goesOn, Consumer<String> progress)
             throws UnreadableDay {
         ExecutorService threads = Executors.newFixedThreadPool(cores);
@@ -79,7 +86,13 @@
                     if (find != null && (worst == null || find.badness > worst.badness)) {
                         worst = find;
                         worstDraft = drafts.get(i);
-                        progress.accept(String.format(Locale.ROOT, "day %d: %.3f %s", played, worst.badness, told(worst)));
+                        progress.accept(
+                                String.format(
+                                        Locale.ROOT,
+                                        "day %d: %.3f %s",
+                                        played,
+                                        worst.badness,
+                                        told(worst)));
                     }
                 }
             }
@@ -90,8 +103,13 @@
     }
 
     private static String told(Find find) {
-        return find.badness >= BROKEN ? find.own.breaches().get(0)
-                : String.format(Locale.ROOT, "(service %.3f, the top %.3f)", find.own.service(), find.top.service());
+        return find.badness >= BROKEN
+                ? find.own.breaches().get(0)
+                : String.format(
+                        Locale.ROOT,
+                        "(service %.3f, the top %.3f)",
+                        find.own.service(),
+                        find.top.service());
     }
 
     private static Find get(Future<Find> future) throws UnreadableDay {
@@ -117,12 +135,14 @@
             if (draft.tree.path("trouble").size() == 0) {
                 throw e;
             }
-            return null;  // a smaller fleet may lack a host or zone that a trouble names
+            return null; // a smaller fleet may lack a host or zone that a trouble names
         }
         Result own = Play.of(day, Baselines.OWN, draft.seed).result();
         Result top = Play.of(day, "top", draft.seed).result();
-        double badness = own.counts().get("breaches") > 0 ? BROKEN + Math.min(1, own.counts().get("breaches") / 100.0)
-                : Math.max(0, top.score() - own.service());
+        double badness =
+                own.counts().get("breaches") > 0
+                        ? BROKEN + Math.min(1, own.counts().get("breaches") / 100.0)
+                        : Math.max(0, top.score() - own.service());
         return new Find(text, draft.seed, badness, own, top);
     }
 
@@ -157,15 +177,19 @@
         What[] all = What.values();
         What what = all[chance.nextInt(all.length)];
         String sort = what.aims().split(" or ")[chance.nextInt(what.aims().split(" or ").length)];
-        boolean shared = List.of("hosts", "nodes", "clients").contains(sort) && what != What.TRAFFIC
-                && what != What.COSTLY;
+        boolean shared =
+                List.of("hosts", "nodes", "clients").contains(sort)
+                        && what != What.TRAFFIC
+                        && what != What.COSTLY;
         double share = Math.max(0.1, within(0.1, 1));
         trouble.put("what", what.written());
         trouble.put("whom", sort + (shared ? " share " + share : ""));
         trouble.put("at", within(2, lasts * 0.8));
         switch (what) {
-            case STALL, FLAP -> trouble.put("for", within(0.1, 1.5)).put("every", within(2, 6))
-                    .put("times", 2 + chance.nextInt(6));
+            case STALL, FLAP ->
+                    trouble.put("for", within(0.1, 1.5))
+                            .put("every", within(2, 6))
+                            .put("times", 2 + chance.nextInt(6));
             case PAUSE -> trouble.put("for", within(0.2, 2));
             case DROP -> trouble.put("for", within(0.3, 3));
             default -> trouble.put("for", within(1, 20));
@@ -177,11 +201,16 @@
             case ROSTER_OLD -> trouble.put("factor", within(2, 15));
             case FAIL_FAST, HALF_ANSWER, NEIGHBOUR, RESTART, ROSTER_SHRINKS ->
                     trouble.put("part", Math.max(0.1, within(0.2, 0.9)));
-            case CUT -> trouble.put("direction", List.of("in", "out", "both").get(chance.nextInt(3)))
-                    .put("peer", sort.equals("hosts") ? "nodes share " + Math.max(0.1, within(0.2, 1))
-                            : List.of("hosts share 0.5", "roster").get(chance.nextInt(2)));
+            case CUT ->
+                    trouble.put("direction", List.of("in", "out", "both").get(chance.nextInt(3)))
+                            .put(
+                                    "peer",
+                                    sort.equals("hosts")
+                                            ? "nodes share " + Math.max(0.1, within(0.2, 1))
+                                            : List.of("hosts share 0.5", "roster")
+                                                    .get(chance.nextInt(2)));
             case VANISH -> trouble.put("other-address", chance.nextBoolean());
-            default -> { }
+            default -> {}
         }
     }
 
@@ -206,14 +235,19 @@
                     draft = new Draft(steps.get(i), draft.seed);
                     best = find;
                     smaller = true;
-                    round = -1;  // each step makes it smaller, so this ends
+                    round = -1; // each step makes it smaller, so this ends
                 }
             }
             if (!smaller) {
                 break;
             }
-            progress.accept(String.format(Locale.ROOT, "shrunk to %d troubles, %s: %.3f",
-                    draft.tree.path("trouble").size(), draft.tree.path("fleet"), best.badness));
+            progress.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "shrunk to %d troubles, %s: %.3f",
+                            draft.tree.path("trouble").size(),
+                            draft.tree.path("fleet"),
+                            best.badness));
         }
         return best;
     }
@@ -246,8 +280,13 @@
         return steps;
     }
 
-    private static void halved(ObjectNode tree, List<ObjectNode> steps, int trouble, String key, double value,
-                               double least) {
+    private static void halved(
+            ObjectNode tree,
+            List<ObjectNode> steps,
+            int trouble,
+            String key,
+            double value,
+            double least) {
         if (value >= least && tree.get("trouble").get(trouble).has(key)) {
             ObjectNode step = tree.deepCopy();
             ObjectNode changed = (ObjectNode) step.get("trouble").get(trouble);
--- a/emulator/src/main/java/embershift/emulator/experiment/Lines.java
+++ b/emulator/src/main/java/embershift/emulator/experiment/Lines.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.json.JsonMapper;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -17,12 +16,13 @@
 /** Results as JSON Lines: one result a line, the same bytes for the same result. */
 public final class Lines {
 
-    private static final JsonMapper JSON = JsonMapper.builder()
-            .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
-            .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
+    private static final JsonMapper JSON =
+            JsonMapper.builder()
+                    .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
+                    .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
+                    .build();
 
-    private Lines() {
-    }
+    private Lines() {}
 
     public static String line(Result result) {
         try {
@@ -32,9 +32,16 @@
         }
     }
 
-    /** Adds one line to a file, whole or (if the program ends now) cut off, which {@link #read} passes over. */
+    /**
+     * Adds one line to a file, whole or (if the program ends now) cut off, which {@link #read}
+     * passes over.
+     */
     static void append(Path file, Result result) throws IOException {
-        Files.writeString(file, line(result) + "\n", StandardCharsets.UTF_8, StandardOpenOption.CREATE,
+        Files.writeString(
+                file,
+                line(result) + "\n",
+                StandardCharsets.UTF_8,
+                StandardOpenOption.CREATE,
                 StandardOpenOption.APPEND);
     }
 
@@ -44,10 +51,14 @@
         results.forEach(result -> text.append(line(result)).append('\n'));
         Path beside = file.resolveSibling(file.getFileName() + ".new");
         Files.writeString(beside, text, StandardCharsets.UTF_8);
-        Files.move(beside, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Files.move(
+                beside, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** The results in a file; lines that are no result, such as one cut off at the end, are passed over. */
+    /**
+     * The results in a file; lines that are no result, such as one cut off at the end, are passed
+     * over.
+     */
     public static List<Result> read(Path file) throws IOException {
         List<Result> results = new ArrayList<>();
         if (Files.exists(file)) {
--- a/emulator/src/main/java/embershift/emulator/experiment/Many.java
+++ b/emulator/src/main/java/embershift/emulator/experiment/Many.java
@@ -11,8 +11,9 @@
 import java.util.function.BiConsumer;
 
 /**
- * Plays many days on several cores, each on one thread of its own. What comes back is in the order of the plays, so no
- * result depends on how many cores there were; progress and the time that is left are told on the way.
+ * Plays many days on several cores, each on one thread of its own. What comes back is in the order
+ * of the plays, so no result depends on how many cores there were; progress and the time that is
+ * left are told on the way.
  */
 final class Many {
 
@@ -24,9 +25,13 @@
         this.progress = progress;
     }
 
-    /** {@code each} is called with a play and its result, in the order of the plays, as soon as all before are done. */
+    /**
+     * {@code each} is called with a play and its result, in the order of the plays, as soon as all
+     * before are done.
+     */
     List<Result> play(List<Play> plays, BiConsumer<Play, Result> each) {
-        ExecutorService threads = Executors.newFixedThreadPool(Math.max(1, Math.min(cores, plays.size())));
+        ExecutorService threads =
+                Executors.newFixedThreadPool(Math.max(1, Math.min(cores, plays.size())));
         long began = System.nanoTime();
         try {
             List<Future<Result>> futures = new ArrayList<>();
@@ -51,7 +56,12 @@
 
     private void tell(int done, int all, double seconds) {
         if (progress != null) {
-            progress.printf(Locale.ROOT, "\r%d of %d, %.0f s left   ", done, all, seconds / done * (all - done));
+            progress.printf(
+                    Locale.ROOT,
+                    "\r%d of %d, %.0f s left   ",
+                    done,
+                    all,
+                    seconds / done * (all - done));
             if (done == all) {
                 progress.print("\r                                        \r");
             }
--- a/emulator/src/main/java/embershift/emulator/judge/Breach.java
+++ b/emulator/src/main/java/embershift/emulator/judge/Breach.java
@@ -7,7 +7,12 @@
 
     @Override
     public String toString() {
-        return String.format(Locale.ROOT, "rule %d at %.4f%s: %s", rule, at, tunnel.isEmpty() ? "" : ", tunnel " + tunnel,
+        return String.format(
+                Locale.ROOT,
+                "rule %d at %.4f%s: %s",
+                rule,
+                at,
+                tunnel.isEmpty() ? "" : ", tunnel " + tunnel,
                 seen);
     }
 }
--- a/emulator/src/main/java/embershift/emulator/judge/Judge.java
+++ b/emulator/src/main/java/embershift/emulator/judge/Judge.java
@@ -2,7 +2,6 @@
 
 import embershift.emulator.day.Day;
 import embershift.emulator.world.Witness;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -11,14 +10,17 @@
 import java.util.Map;
 
 /**
- * Keeps the four rules in a ledger of its own. It knows what clients heard, what hosts ran, what passed on the wire
- * and what the roster delivered; no node's word is taken for anything.
+ * Keeps the four rules in a ledger of its own. It knows what clients heard, what hosts ran, what
+ * passed on the wire and what the roster delivered; no node's word is taken for anything.
  *
  * <ol>
- * <li>Each tunnel taken by a node that runs gets exactly one final answer before its client gives up.</li>
- * <li>No effect twice: see {@link #ran} and {@link #answered}; and never two setups of a tunnel at once.</li>
- * <li>Nothing new to a host later than the grace after that node was told that it drains or is gone.</li>
- * <li>No host that has just started is pushed over.</li>
+ *   <li>Each tunnel taken by a node that runs gets exactly one final answer before its client gives
+ *       up.
+ *   <li>No effect twice: see {@link #ran} and {@link #answered}; and never two setups of a tunnel
+ *       at once.
+ *   <li>Nothing new to a host later than the grace after that node was told that it drains or is
+ *       gone.
+ *   <li>No host that has just started is pushed over.
  * </ol>
  */
 public final class Judge implements Witness {
@@ -26,8 +28,7 @@
     /** On the way to the client a decline may pass the end of a window that it was decided in. */
     private static final double ON_ITS_WAY = 0.05;
 
-    private record Run(double at, String host, String zone, int cell) {
-    }
+    private record Run(double at, String host, String zone, int cell) {}
 
     private static final class Row {
         final int profile;
@@ -36,6 +37,7 @@
         double answeredAt;
         boolean gaveUp;
         final List<Run> runs = new ArrayList<>(1);
+
         /** Setups that are out on the wire, by host, since when. */
         final Map<String, Double> out = new LinkedHashMap<>(2);
 
@@ -47,8 +49,10 @@
 
     private final Day day;
     private final Map<String, Row> rows = new HashMap<>();
+
     /** By node and host: since when the node knows that nothing new may go there. */
     private final Map<String, Map<String, Double>> unwanted = new HashMap<>();
+
     private final List<Breach> breaches = new ArrayList<>();
 
     public Judge(Day day) {
@@ -76,7 +80,15 @@
             return;
         }
         if (row.answer != null) {
-            breach(1, at, tunnel, "answered %s by %s at %.4f and %s now", row.answer, row.node, row.answeredAt, answer);
+            breach(
+                    1,
+                    at,
+                    tunnel,
+                    "answered %s by %s at %.4f and %s now",
+                    row.answer,
+                    row.node,
+                    row.answeredAt,
+                    answer);
         } else if (row.gaveUp) {
             breach(1, at, tunnel, "%s by %s after its client had given up", answer, row.node);
         }
@@ -92,14 +104,33 @@
         Day.Profile profile = day.profile().get(row.profile);
         Run first = row.runs.get(0);
         if (profile.repeat() == Day.Repeat.ONCE_ONLY) {
-            breach(2, at, tunnel, "declined by %s though %s had run it at %.4f, once only", row.node, first.host, first.at);
+            breach(
+                    2,
+                    at,
+                    tunnel,
+                    "declined by %s though %s had run it at %.4f, once only",
+                    row.node,
+                    first.host,
+                    first.at);
         } else if (profile.repeat() == Day.Repeat.REFERENCED) {
             if (profile.scope() != Day.Scope.ALL) {
-                breach(2, at, tunnel, "declined by %s though %s had run it at %.4f: not all hosts drop its repeats",
-                        row.node, first.host, first.at);
+                breach(
+                        2,
+                        at,
+                        tunnel,
+                        "declined by %s though %s had run it at %.4f: not all hosts drop its repeats",
+                        row.node,
+                        first.host,
+                        first.at);
             } else if (at > first.at + profile.window() + ON_ITS_WAY) {
-                breach(2, at, tunnel, "declined by %s though %s had run it at %.4f, longer ago than repeats are dropped",
-                        row.node, first.host, first.at);
+                breach(
+                        2,
+                        at,
+                        tunnel,
+                        "declined by %s though %s had run it at %.4f, longer ago than repeats are dropped",
+                        row.node,
+                        first.host,
+                        first.at);
             }
         }
     }
@@ -110,8 +141,15 @@
         if (row != null && row.answer == null) {
             row.gaveUp = true;
             if (!excused) {
-                breach(1, at, tunnel, "%s gave no final answer before its client gave up%s", row.node,
-                        row.out.isEmpty() ? "" : "; setups out at " + String.join(", ", row.out.keySet()));
+                breach(
+                        1,
+                        at,
+                        tunnel,
+                        "%s gave no final answer before its client gave up%s",
+                        row.node,
+                        row.out.isEmpty()
+                                ? ""
+                                : "; setups out at " + String.join(", ", row.out.keySet()));
             }
         }
     }
@@ -121,13 +159,28 @@
         Map<String, Double> told = unwanted.get(node);
         Double since = told == null ? null : told.get(host);
         if (since != null && at > since + day.rules().drainGrace()) {
-            breach(3, at, tunnel, "%s sent a setup to %s, %.3f s after it was told that it drains or is gone", node, host,
+            breach(
+                    3,
+                    at,
+                    tunnel,
+                    "%s sent a setup to %s, %.3f s after it was told that it drains or is gone",
+                    node,
+                    host,
                     at - since);
         }
         Row row = rows.get(tunnel);
         if (row != null) {
-            row.out.forEach((other, sent) ->
-                    breach(2, at, tunnel, "%s sent a setup to %s while one to %s was out since %.4f", node, host, other, sent));
+            row.out.forEach(
+                    (other, sent) ->
+                            breach(
+                                    2,
+                                    at,
+                                    tunnel,
+                                    "%s sent a setup to %s while one to %s was out since %.4f",
+                                    node,
+                                    host,
+                                    other,
+                                    sent));
             row.out.put(host, at);
         }
     }
@@ -149,14 +202,24 @@
         Day.Profile profile = day.profile().get(row.profile);
         if (!row.runs.isEmpty() && profile.repeat() != Day.Repeat.REPEATABLE) {
             Run first = row.runs.get(0);
-            boolean dropped = profile.repeat() == Day.Repeat.REFERENCED && at <= first.at + profile.window()
-                    + ON_ITS_WAY && switch (profile.scope()) {
-                        case ALL -> true;
-                        case ZONE -> first.zone.equals(zone);
-                        case CELL -> first.cell == cell;
-                    };
+            boolean dropped =
+                    profile.repeat() == Day.Repeat.REFERENCED
+                            && at <= first.at + profile.window() + ON_ITS_WAY
+                            && switch (profile.scope()) {
+                                case ALL -> true;
+                                case ZONE -> first.zone.equals(zone);
+                                case CELL -> first.cell == cell;
+                            };
             if (!dropped) {
-                breach(2, at, tunnel, "run by %s at %.4f and again by %s, sent by %s", first.host, first.at, host, row.node);
+                breach(
+                        2,
+                        at,
+                        tunnel,
+                        "run by %s at %.4f and again by %s, sent by %s",
+                        first.host,
+                        first.at,
+                        host,
+                        row.node);
             }
         }
         row.runs.add(new Run(at, host, zone, cell));
@@ -179,7 +242,15 @@
 
     @Override
     public void pushedOver(double at, String host, double rate, double allowed) {
-        breach(4, at, "", "%s, just started, was sent %.2f setups a second by all nodes together, and too many for "
-                + "%.2f s; it can bear %.2f", host, rate, day.rules().fallAfter(), allowed);
+        breach(
+                4,
+                at,
+                "",
+                "%s, just started, was sent %.2f setups a second by all nodes together, and too many for "
+                        + "%.2f s; it can bear %.2f",
+                host,
+                rate,
+                day.rules().fallAfter(),
+                allowed);
     }
 }
--- a/emulator/src/main/java/embershift/emulator/sockets/ClientStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/ClientStand.java
@@ -8,15 +8,18 @@
 import embershift.protocol.Line;
 import embershift.protocol.Unreadable;
 import embershift.transport.Link;
-
 import java.nio.ByteBuffer;
 import java.util.Locale;
 
-/** One try of a client on a socket: its first line, the answer, and then a line every two seconds until it ends. */
+/**
+ * One try of a client on a socket: its first line, the answer, and then a line every two seconds
+ * until it ends.
+ */
 final class ClientStand implements Link.Events {
 
     /** What a line may take more on sockets than in the emulated host. */
     private static final double SLACK = 0.02;
+
     /** How much longer each limit is on sockets. */
     private static final double LONGER = 0.05;
 
@@ -35,8 +38,7 @@
     private double heardAfter = Double.POSITIVE_INFINITY;
 
     /** Where a tunnel stood before the day began. */
-    record Host(String name) {
-    }
+    record Host(String name) {}
 
     ClientStand(SocketDay day, Caller caller, int node, Host at) {
         this.day = day;
@@ -44,7 +46,11 @@
         this.node = node;
         this.at = at;
         this.profile = day.day().profile().get(caller.profile);
-        this.attempt = new Attempt(new TunnelId("t" + caller.number + "." + caller.tries++), caller, day.now());
+        this.attempt =
+                new Attempt(
+                        new TunnelId("t" + caller.number + "." + caller.tries++),
+                        caller,
+                        day.now());
         caller.attempt = attempt;
     }
 
@@ -59,12 +65,26 @@
     public void connected() {
         day.pump().sync();
         if (!over) {
-            link.write(Line.of(String.format(Locale.ROOT, "OPEN %s s%d c=%s,d=%d,g=g%d%s%s", attempt.id.name(), caller.number,
-                    profile.name(), Math.round(profile.patience() * 1000), caller.group,
-                    at == null ? "" : ",at=" + at.name(), caller.tries > 1 ? ",again=1" : "")));
+            link.write(
+                    Line.of(
+                            String.format(
+                                    Locale.ROOT,
+                                    "OPEN %s s%d c=%s,d=%d,g=g%d%s%s",
+                                    attempt.id.name(),
+                                    caller.number,
+                                    profile.name(),
+                                    Math.round(profile.patience() * 1000),
+                                    caller.group,
+                                    at == null ? "" : ",at=" + at.name(),
+                                    caller.tries > 1 ? ",again=1" : "")));
             if (at == null) {
-                day.witness().taken(day.now(), attempt.id.name(), "n" + node, caller.profile,
-                        attempt.began + profile.patience());
+                day.witness()
+                        .taken(
+                                day.now(),
+                                attempt.id.name(),
+                                "n" + node,
+                                caller.profile,
+                                attempt.began + profile.patience());
             }
         }
     }
@@ -122,7 +142,10 @@
 
     private void answered(String line) {
         boolean opened = line.startsWith("UP ");
-        Answer answer = opened ? Answer.OPENED : line.startsWith("BUSY") ? Answer.DECLINED : Answer.CLOSED_WITH_ERROR;
+        Answer answer =
+                opened
+                        ? Answer.OPENED
+                        : line.startsWith("BUSY") ? Answer.DECLINED : Answer.CLOSED_WITH_ERROR;
         if (at == null) {
             day.witness().answered(day.now(), attempt.id.name(), answer);
         }
@@ -163,7 +186,10 @@
         day.agenda().in(SocketDay.LINES, this::say);
     }
 
-    /** What stands when the day begins is served from then on, and says its lines in turn with the others. */
+    /**
+     * What stands when the day begins is served from then on, and says its lines in turn with the
+     * others.
+     */
     void dayBegins(double firstLineIn) {
         said = 1;
         saidAt = day.now();
@@ -171,9 +197,13 @@
         day.agenda().in(firstLineIn, this::say);
     }
 
-    /** Whether the time since the last line was well served: by when that line was back. The way is not counted. */
+    /**
+     * Whether the time since the last line was well served: by when that line was back. The way is
+     * not counted.
+     */
     void settle() {
-        if (said > 0 && heardAfter <= profile.message() + 2 * day.day().network().between()[1] + SLACK) {
+        if (said > 0
+                && heardAfter <= profile.message() + 2 * day.day().network().between()[1] + SLACK) {
             day.service().serves(caller.profile, caller.participant, saidAt, day.now(), 1);
         }
     }
--- a/emulator/src/main/java/embershift/emulator/sockets/HostStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/HostStand.java
@@ -1,11 +1,9 @@
 package embershift.emulator.sockets;
 
-import embershift.emulator.day.Day;
 import embershift.emulator.world.Attempt;
 import embershift.emulator.world.Host;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,8 +14,8 @@
 import java.util.Set;
 
 /**
- * A host on sockets: the emulator's host does the work, this one talks. It listens once for each node, so that it knows
- * which of them speaks and can be cut off from it alone.
+ * A host on sockets: the emulator's host does the work, this one talks. It listens once for each
+ * node, so that it knows which of them speaks and can be cut off from it alone.
  */
 final class HostStand {
 
@@ -41,7 +39,9 @@
         for (int i = 0; i < addresses.size(); i++) {
             if (listening.get(i) == null) {
                 int node = i;
-                Loop.Listening one = day.loop().listen(addresses.get(i), () -> true, link -> accepted(link, node));
+                Loop.Listening one =
+                        day.loop()
+                                .listen(addresses.get(i), () -> true, link -> accepted(link, node));
                 listening.set(i, one);
                 addresses.set(i, one.address());
             }
@@ -66,7 +66,7 @@
     private void accepted(Link link, int node) {
         day.pump().sync();
         if (host.refusing) {
-            link.events(new Talk(link, day.pump(), day.agenda(), day.way(host, node), line -> { }));
+            link.events(new Talk(link, day.pump(), day.agenda(), day.way(host, node), line -> {}));
             link.reset();
             return;
         }
@@ -79,7 +79,10 @@
         sides.forEach(side -> side.talk.wayChanged());
     }
 
-    /** Its program ends with resets and refuses, or the machine falls silent: what comes then is never read. */
+    /**
+     * Its program ends with resets and refuses, or the machine falls silent: what comes then is
+     * never read.
+     */
     void stop(boolean silent) {
         host.stop(silent);
         if (!silent) {
@@ -144,8 +147,16 @@
 
         private void probe(boolean wantsFigures) {
             host.probed();
-            talk.say("PONG" + (wantsFigures ? String.format(Locale.ROOT, " inflight=%d,queue=%d,x0=%.4f",
-                    host.reportedTunnels(), host.reportedQueue(), host.reportedLoad()) : ""));
+            talk.say(
+                    "PONG"
+                            + (wantsFigures
+                                    ? String.format(
+                                            Locale.ROOT,
+                                            " inflight=%d,queue=%d,x0=%.4f",
+                                            host.reportedTunnels(),
+                                            host.reportedQueue(),
+                                            host.reportedLoad())
+                                    : ""));
         }
 
         private void open(String line) {
@@ -206,23 +217,25 @@
                 waste(work);
                 refuse("ERR");
             } else {
-                day.store().call(() -> {
-                    if (launch != host.launches()) {
-                        return;
-                    }
-                    if (closed || half) {
-                        waste(work);
-                        if (half) {
-                            talk.bytes("U");
-                            talk.reset();
-                            gone();
-                        }
-                        return;
-                    }
-                    attempt.load = attempt.caller.load;
-                    host.admit(attempt);
-                    opened();
-                });
+                day.store()
+                        .call(
+                                () -> {
+                                    if (launch != host.launches()) {
+                                        return;
+                                    }
+                                    if (closed || half) {
+                                        waste(work);
+                                        if (half) {
+                                            talk.bytes("U");
+                                            talk.reset();
+                                            gone();
+                                        }
+                                        return;
+                                    }
+                                    attempt.load = attempt.caller.load;
+                                    host.admit(attempt);
+                                    opened();
+                                });
             }
         }
 
@@ -235,11 +248,14 @@
             up = true;
             attempt.host = host;
             talk.say("UP " + attempt.id.name());
-            day.agenda().at(attempt.caller.ends, () -> {
-                if (up && !dead()) {
-                    part("BYE");
-                }
-            });
+            day.agenda()
+                    .at(
+                            attempt.caller.ends,
+                            () -> {
+                                if (up && !dead()) {
+                                    part("BYE");
+                                }
+                            });
         }
 
         /** Says its last word on a tunnel that stands, and lets it go. */
@@ -254,17 +270,23 @@
         private void echo(String line) {
             double takes = host.lineTakes();
             if (takes < Double.POSITIVE_INFINITY) {
-                day.agenda().in(takes, () -> {
-                    if (!dead()) {
-                        talk.say(line);
-                    }
-                });
+                day.agenda()
+                        .in(
+                                takes,
+                                () -> {
+                                    if (!dead()) {
+                                        talk.say(line);
+                                    }
+                                });
             } else {
-                day.agenda().in(0.05, () -> {
-                    if (!dead()) {
-                        echo(line);
-                    }
-                });
+                day.agenda()
+                        .in(
+                                0.05,
+                                () -> {
+                                    if (!dead()) {
+                                        echo(line);
+                                    }
+                                });
             }
         }
 
--- a/emulator/src/main/java/embershift/emulator/sockets/NodeStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/NodeStand.java
@@ -5,7 +5,6 @@
 import embershift.rig.process.Program;
 import embershift.routing.Router;
 import embershift.transport.Loop;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -15,12 +14,21 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A real node: its router on a loop of its own in this process, or the whole program in a process of its own. */
+/**
+ * A real node: its router on a loop of its own in this process, or the whole program in a process
+ * of its own.
+ */
 interface NodeStand {
 
     /** How the platform runs it, but for the archive of classes. */
-    List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-Xms24m", "-Xmx96m", "-XX:TieredStopAtLevel=1", "-Xss256k",
-            "-XX:-UsePerfData");
+    List<String> OPTIONS =
+            List.of(
+                    "-XX:+UseSerialGC",
+                    "-Xms24m",
+                    "-Xmx96m",
+                    "-XX:TieredStopAtLevel=1",
+                    "-Xss256k",
+                    "-XX:-UsePerfData");
 
     InetSocketAddress address();
 
@@ -38,16 +46,18 @@
     static NodeStand here(String configuration) throws IOException, Unreadable {
         Loop loop = new Loop();
         NodeConfiguration read = NodeConfiguration.read(configuration, null);
-        java.util.concurrent.CompletableFuture<Router> started = new java.util.concurrent.CompletableFuture<>();
-        loop.execute(() -> {
-            try {
-                Router router = new Router(loop, read, line -> { });
-                router.listen(read.listen());
-                started.complete(router);
-            } catch (IOException | RuntimeException e) {
-                started.completeExceptionally(e);
-            }
-        });
+        java.util.concurrent.CompletableFuture<Router> started =
+                new java.util.concurrent.CompletableFuture<>();
+        loop.execute(
+                () -> {
+                    try {
+                        Router router = new Router(loop, read, line -> {});
+                        router.listen(read.listen());
+                        started.complete(router);
+                    } catch (IOException | RuntimeException e) {
+                        started.completeExceptionally(e);
+                    }
+                });
         Router router = started.join();
         return new NodeStand() {
             private boolean alive = true;
@@ -70,14 +80,16 @@
 
             @Override
             public void pause(double seconds) {
-                loop.execute(() -> {
-                    try {
-                        // The whole process stands still: nothing else may run on its thread meanwhile.
-                        TimeUnit.MILLISECONDS.sleep((long) (seconds * 1000));
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                });
+                loop.execute(
+                        () -> {
+                            try {
+                                // The whole process stands still: nothing else may run on its
+                                // thread meanwhile.
+                                TimeUnit.MILLISECONDS.sleep((long) (seconds * 1000));
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        });
             }
 
             @Override
@@ -87,13 +99,23 @@
         };
     }
 
-    /** Starts the program that serves, by the classes that this one runs from; its log goes to a file beside. */
-    static NodeStand forked(String configuration, InetSocketAddress address, Path folder, String name)
+    /**
+     * Starts the program that serves, by the classes that this one runs from; its log goes to a
+     * file beside.
+     */
+    static NodeStand forked(
+            String configuration, InetSocketAddress address, Path folder, String name)
             throws IOException {
         Path file = folder.resolve(name + ".json");
         Files.writeString(file, configuration, StandardCharsets.UTF_8);
-        Program program = Program.java(System.getProperty("java.class.path"), OPTIONS, "embershift.program.Main",
-                List.of("serve", "--configuration", file.toString()), Map.of(), folder.resolve(name + ".log"));
+        Program program =
+                Program.java(
+                        System.getProperty("java.class.path"),
+                        OPTIONS,
+                        "embershift.program.Main",
+                        List.of("serve", "--configuration", file.toString()),
+                        Map.of(),
+                        folder.resolve(name + ".log"));
         return new NodeStand() {
             @Override
             public InetSocketAddress address() {
@@ -113,14 +135,17 @@
             @Override
             public void pause(double seconds) {
                 program.stop();
-                Thread later = new Thread(() -> {
-                    try {
-                        TimeUnit.MILLISECONDS.sleep((long) (seconds * 1000));
-                    } catch (InterruptedException e) {
-                        Thread.currentThread().interrupt();
-                    }
-                    program.goOn();
-                }, "continue");
+                Thread later =
+                        new Thread(
+                                () -> {
+                                    try {
+                                        TimeUnit.MILLISECONDS.sleep((long) (seconds * 1000));
+                                    } catch (InterruptedException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                    program.goOn();
+                                },
+                                "continue");
                 later.setDaemon(true);
                 later.start();
             }
--- a/emulator/src/main/java/embershift/emulator/sockets/PeerRelay.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/PeerRelay.java
@@ -2,7 +2,6 @@
 
 import embershift.transport.Datagrams;
 import embershift.transport.Loop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -11,20 +10,31 @@
 import java.util.function.BiPredicate;
 
 /**
- * The way of datagrams from node to node: each node sees each other one under an address of its own here, and all of
- * them under one more; what comes is passed on late, or lost.
+ * The way of datagrams from node to node: each node sees each other one under an address of its own
+ * here, and all of them under one more; what comes is passed on late, or lost.
  */
 final class PeerRelay {
 
-    /** By node and other node: where the node finds the other, and from where the other's words come to it. */
+    /**
+     * By node and other node: where the node finds the other, and from where the other's words come
+     * to it.
+     */
     private final List<List<Datagrams>> ways = new ArrayList<>();
+
     private final List<Datagrams> toAll = new ArrayList<>();
     private final List<InetSocketAddress> nodes;
     private final SocketDay day;
     private final BiPredicate<Integer, Integer> passes;
 
-    /** {@code nodes}: where each node itself listens; {@code passes}: whether a datagram from one to the other arrives. */
-    PeerRelay(SocketDay day, Loop loop, List<InetSocketAddress> nodes, BiPredicate<Integer, Integer> passes)
+    /**
+     * {@code nodes}: where each node itself listens; {@code passes}: whether a datagram from one to
+     * the other arrives.
+     */
+    PeerRelay(
+            SocketDay day,
+            Loop loop,
+            List<InetSocketAddress> nodes,
+            BiPredicate<Integer, Integer> passes)
             throws IOException {
         this.day = day;
         this.nodes = nodes;
@@ -38,13 +48,16 @@
             }
             ways.add(row);
             int from = node;
-            toAll.add(loop.datagrams(any(), (sender, content) -> {
-                for (int to = 0; to < nodes.size(); to++) {
-                    if (to != from) {
-                        pass(from, to, content);
-                    }
-                }
-            }));
+            toAll.add(
+                    loop.datagrams(
+                            any(),
+                            (sender, content) -> {
+                                for (int to = 0; to < nodes.size(); to++) {
+                                    if (to != from) {
+                                        pass(from, to, content);
+                                    }
+                                }
+                            }));
         }
     }
 
@@ -56,11 +69,17 @@
         day.pump().sync();
         day.counts().datagrams++;
         if (from != to && passes.test(from, to)) {
-            day.agenda().in(day.peerDelay(from, to), () -> ways.get(to).get(from).send(nodes.get(to), content));
+            day.agenda()
+                    .in(
+                            day.peerDelay(from, to),
+                            () -> ways.get(to).get(from).send(nodes.get(to), content));
         }
     }
 
-    /** The addresses under which this node is to find the others, and itself, in the order of their numbers. */
+    /**
+     * The addresses under which this node is to find the others, and itself, in the order of their
+     * numbers.
+     */
     List<String> peers(int node) {
         return ways.get(node).stream().map(way -> text(way.address())).toList();
     }
--- a/emulator/src/main/java/embershift/emulator/sockets/Pump.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/Pump.java
@@ -6,7 +6,10 @@
 /** Lets what an agenda plans happen in real time, on a loop's thread. */
 final class Pump {
 
-    /** Seconds until it looks again at the latest: what sockets plan meanwhile is no later than that. */
+    /**
+     * Seconds until it looks again at the latest: what sockets plan meanwhile is no later than
+     * that.
+     */
     private static final double LOOK = 0.001;
 
     private final Loop loop;
@@ -16,6 +19,7 @@
     private double began;
     private boolean over;
     private boolean jumped;
+
     /** How late it was at the most: a machine that is busy makes a day void. */
     private double latest;
 
@@ -53,7 +57,11 @@
         }
         double now = loop.now() - began;
         // A jump to the day's beginning leaves behind what was planned before it.
-        latest = jumped ? 0 : Math.max(latest, now - Math.max(agenda.now(), Math.min(now, agenda.next())));
+        latest =
+                jumped
+                        ? 0
+                        : Math.max(
+                                latest, now - Math.max(agenda.now(), Math.min(now, agenda.next())));
         jumped = false;
         agenda.runUntil(Math.min(now, end));
         if (now >= end) {
--- a/emulator/src/main/java/embershift/emulator/sockets/RosterStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/RosterStand.java
@@ -8,7 +8,6 @@
 import embershift.emulator.world.Host;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -23,16 +22,19 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The roster on sockets: HTTP/1.1, the whole list or a watch that waits for what is newer; late, and sometimes away. */
+/**
+ * The roster on sockets: HTTP/1.1, the whole list or a watch that waits for what is newer; late,
+ * and sometimes away.
+ */
 final class RosterStand {
 
     private static final JsonMapper JSON = new JsonMapper();
-    private static final Pattern GET = Pattern.compile("GET /api/targets(?:\\?after=(\\d+)&wait_ms=(\\d+))? HTTP/1\\.1");
+    private static final Pattern GET =
+            Pattern.compile("GET /api/targets(?:\\?after=(\\d+)&wait_ms=(\\d+))? HTTP/1\\.1");
     private static final int LONGEST_HEAD = 8192;
 
     /** What it says of one host, and since which version. */
-    private record Entry(Host host, String lifecycle, double launchedAt, long version) {
-    }
+    private record Entry(Host host, String lifecycle, double launchedAt, long version) {}
 
     private final SocketDay day;
     private final Dice dice;
@@ -42,8 +44,10 @@
     private final List<Loop.Listening> listening = new ArrayList<>();
     private final Set<Caller> callers = new LinkedHashSet<>();
     private long version = 1;
+
     /** The version from which on all who ask get the whole list. */
     private long wholeSince;
+
     private int away;
 
     RosterStand(SocketDay day, List<Host> hosts, Dice dice) throws IOException {
@@ -53,11 +57,16 @@
         atBegin.putAll(entries);
         for (int i = 0; i < day.day().fleet().nodes(); i++) {
             int node = i;
-            listening.add(day.loop().listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, link -> {
-                Caller caller = new Caller(link, node);
-                callers.add(caller);
-                link.events(caller);
-            }));
+            listening.add(
+                    day.loop()
+                            .listen(
+                                    new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                    () -> true,
+                                    link -> {
+                                        Caller caller = new Caller(link, node);
+                                        callers.add(caller);
+                                        link.events(caller);
+                                    }));
         }
     }
 
@@ -66,19 +75,25 @@
     }
 
     void changed(Host host) {
-        String lifecycle = switch (host.state()) {
-            case RUNNING -> "in_service";
-            case DRAINING -> "terminating";
-            case DOWN, SILENT -> "terminated";
-        };
+        String lifecycle =
+                switch (host.state()) {
+                    case RUNNING -> "in_service";
+                    case DRAINING -> "terminating";
+                    case DOWN, SILENT -> "terminated";
+                };
         double launchedAt = Math.max(0, host.launchedAt());
-        day.agenda().in(dice.within(day.day().roster().lag()), () -> {
-            Entry before = entries.get(host.number);
-            if (before.launchedAt <= launchedAt) {
-                entries.put(host.number, new Entry(host, lifecycle, launchedAt, ++version));
-                tellWaiting();
-            }
-        });
+        day.agenda()
+                .in(
+                        dice.within(day.day().roster().lag()),
+                        () -> {
+                            Entry before = entries.get(host.number);
+                            if (before.launchedAt <= launchedAt) {
+                                entries.put(
+                                        host.number,
+                                        new Entry(host, lifecycle, launchedAt, ++version));
+                                tellWaiting();
+                            }
+                        });
     }
 
     private void tellWaiting() {
@@ -107,12 +122,22 @@
         Map<Integer, Entry> present = new LinkedHashMap<>(entries);
         entries.putAll(atBegin);
         wholeSince = ++version;
-        day.agenda().at(until, () -> {
-            present.forEach((number, entry) -> entries.merge(number, entry,
-                    (now, then) -> now.version > then.version ? now : then));
-            wholeSince = ++version;
-            tellWaiting();
-        });
+        day.agenda()
+                .at(
+                        until,
+                        () -> {
+                            present.forEach(
+                                    (number, entry) ->
+                                            entries.merge(
+                                                    number,
+                                                    entry,
+                                                    (now, then) ->
+                                                            now.version > then.version
+                                                                    ? now
+                                                                    : then));
+                            wholeSince = ++version;
+                            tellWaiting();
+                        });
     }
 
     void wayChanged() {
@@ -130,11 +155,20 @@
         for (Entry entry : entries.values()) {
             boolean gone = entry.lifecycle.equals("terminated");
             if (whole ? !gone && !leftOut.contains(entry.host.number) : entry.version > after) {
-                instances.addObject().put("instanceId", entry.host.name)
-                        .put("hostPort", day.stand(entry.host).address(node)).put("zone", entry.host.zone)
-                        .put("machineType", entry.host.kind.name()).put("cell", entry.host.cell)
-                        .put("lifecycle", entry.lifecycle).put("weight", 1.0).put("startedAtMs",
-                                entry.launchedAt <= 0 ? 0 : Math.round(day.pump().wall(entry.launchedAt) * 1000));
+                instances
+                        .addObject()
+                        .put("instanceId", entry.host.name)
+                        .put("hostPort", day.stand(entry.host).address(node))
+                        .put("zone", entry.host.zone)
+                        .put("machineType", entry.host.kind.name())
+                        .put("cell", entry.host.cell)
+                        .put("lifecycle", entry.lifecycle)
+                        .put("weight", 1.0)
+                        .put(
+                                "startedAtMs",
+                                entry.launchedAt <= 0
+                                        ? 0
+                                        : Math.round(day.pump().wall(entry.launchedAt) * 1000));
             }
         }
         return page;
@@ -142,7 +176,8 @@
 
     private void told(int node, boolean whole, long after) {
         for (Entry entry : entries.values()) {
-            boolean listed = entry.lifecycle.equals("in_service") && !leftOut.contains(entry.host.number);
+            boolean listed =
+                    entry.lifecycle.equals("in_service") && !leftOut.contains(entry.host.number);
             if (whole || entry.version > after) {
                 day.witness().told(day.now(), "n" + node, entry.host.name, !listed);
             }
@@ -193,11 +228,14 @@
                 waiting = true;
                 int number = ++call;
                 answerIfNewer();
-                day.agenda().in(Long.parseLong(get.group(2)) / 1e3, () -> {
-                    if (waiting && number == call) {
-                        changes();
-                    }
-                });
+                day.agenda()
+                        .in(
+                                Long.parseLong(get.group(2)) / 1e3,
+                                () -> {
+                                    if (waiting && number == call) {
+                                        changes();
+                                    }
+                                });
             }
         }
 
@@ -243,9 +281,15 @@
 
         private void answer(String status, String body) {
             byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-            byte[] start = ("HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\nContent-Length: " + bytes.length
-                    + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
-            link.write(ByteBuffer.allocate(start.length + bytes.length).put(start).put(bytes).flip());
+            byte[] start =
+                    ("HTTP/1.1 "
+                                    + status
+                                    + "\r\nContent-Type: application/json\r\nContent-Length: "
+                                    + bytes.length
+                                    + "\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII);
+            link.write(
+                    ByteBuffer.allocate(start.length + bytes.length).put(start).put(bytes).flip());
         }
 
         @Override
--- a/emulator/src/main/java/embershift/emulator/sockets/SocketDay.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/SocketDay.java
@@ -26,9 +26,6 @@
 import embershift.protocol.Unreadable;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
-import org.HdrHistogram.Histogram;
-
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -46,30 +43,38 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Predicate;
+import org.HdrHistogram.Histogram;
 
 /**
- * One day on loopback, in real time: the hosts, callers and troubles of the world in virtual time, with sockets between
- * them and real nodes. Differences that loopback makes are told in docs/emulator.md: a way that is cut, or a machine that
- * vanished, still takes connections, and is silent then.
+ * One day on loopback, in real time: the hosts, callers and troubles of the world in virtual time,
+ * with sockets between them and real nodes. Differences that loopback makes are told in
+ * docs/emulator.md: a way that is cut, or a machine that vanished, still takes connections, and is
+ * silent then.
  */
 public final class SocketDay implements Stage {
 
     /** How the nodes run. */
-    public enum Nodes { HERE, FORKED }
+    public enum Nodes {
+        HERE,
+        FORKED
+    }
 
     /** Seconds before the day in which nodes start and what stands is brought up. */
     private static final double PRELUDE = 16;
+
     private static final double LOOK = 0.1;
     private static final double ASK = 0.05;
+
     /** Seconds between two lines of a client. */
     static final double LINES = 2;
+
     /** Tunnels that are brought up at once before the day. */
     private static final int UPS = 60;
+
     private static final JsonMapper JSON = new JsonMapper();
 
     /** What a day came to, and how late this machine was with it at the most. */
-    public record Played(Outcome outcome, List<String> troubles, double latest) {
-    }
+    public record Played(Outcome outcome, List<String> troubles, double latest) {}
 
     private final Day day;
     private final Nodes kind;
@@ -125,7 +130,8 @@
         }
     }
 
-    private SocketDay(Day day, long seed, Nodes kind, Witness witness, Trace trace, Loop loop) throws IOException {
+    private SocketDay(Day day, long seed, Nodes kind, Witness witness, Trace trace, Loop loop)
+            throws IOException {
         this.day = day;
         this.seed = seed;
         this.kind = kind;
@@ -160,29 +166,37 @@
             stands.add(new HostStand(this, host));
         }
         roster = new RosterStand(this, hosts, new Dice(seed, "roster"));
-        relay = new PeerRelay(this, loop, peerListens, (from, to) -> cuts.open(places.get(from), places.get(to))
-                && luck.part() >= day.network().loss());
+        relay =
+                new PeerRelay(
+                        this,
+                        loop,
+                        peerListens,
+                        (from, to) ->
+                                cuts.open(places.get(from), places.get(to))
+                                        && luck.part() >= day.network().loss());
     }
 
     /** Plays the day; returns when it is over. */
-    public static Played play(Day day, long seed, Nodes kind, Witness witness, Trace trace) throws IOException {
+    public static Played play(Day day, long seed, Nodes kind, Witness witness, Trace trace)
+            throws IOException {
         Loop loop = new Loop();
         CompletableFuture<SocketDay> made = new CompletableFuture<>();
-        loop.execute(() -> {
-            SocketDay one;
-            try {
-                one = new SocketDay(day, seed, kind, witness, trace, loop);
-            } catch (IOException | RuntimeException e) {
-                made.completeExceptionally(e);
-                return;
-            }
-            made.complete(one);
-            try {
-                one.start();
-            } catch (IOException | Unreadable | RuntimeException e) {
-                one.played.completeExceptionally(e);
-            }
-        });
+        loop.execute(
+                () -> {
+                    SocketDay one;
+                    try {
+                        one = new SocketDay(day, seed, kind, witness, trace, loop);
+                    } catch (IOException | RuntimeException e) {
+                        made.completeExceptionally(e);
+                        return;
+                    }
+                    made.complete(one);
+                    try {
+                        one.start();
+                    } catch (IOException | Unreadable | RuntimeException e) {
+                        one.played.completeExceptionally(e);
+                    }
+                });
         try {
             return made.thenCompose(one -> one.played).join();
         } catch (java.util.concurrent.CompletionException e) {
@@ -221,7 +235,8 @@
     private void bringUp(List<Caller> left, List<Host> homes) {
         if (front.size() < nodes.length) {
             if (agenda.now() > -PRELUDE / 2) {
-                played.completeExceptionally(new IOException("the nodes did not start; their logs are in " + folder));
+                played.completeExceptionally(
+                        new IOException("the nodes did not start; their logs are in " + folder));
                 return;
             }
             agenda.in(ASK, () -> bringUp(left, homes));
@@ -232,8 +247,12 @@
             caller.retriesLeft = day.callers().retries();
             service.asks(caller.profile, caller.participant, 0, caller.ends);
             waitingUps++;
-            ClientStand client = new ClientStand(this, caller, deal(caller.zone),
-                    new ClientStand.Host(homes.get(caller.group).name));
+            ClientStand client =
+                    new ClientStand(
+                            this,
+                            caller,
+                            deal(caller.zone),
+                            new ClientStand.Host(homes.get(caller.group).name));
             attempts.put(client.attempt.id.name(), client.attempt);
             client.begin();
         }
@@ -254,8 +273,19 @@
     private void end() {
         counts.callers = crowd.callers();
         standing.values().forEach(ClientStand::settle);
-        played.complete(new Played(new Outcome(day, service, counts, opening, loads, 0, (long) (day.lasts() * 1e9), 0),
-                wrong, pump.latest()));
+        played.complete(
+                new Played(
+                        new Outcome(
+                                day,
+                                service,
+                                counts,
+                                opening,
+                                loads,
+                                0,
+                                (long) (day.lasts() * 1e9),
+                                0),
+                        wrong,
+                        pump.latest()));
     }
 
     private void clear() {
@@ -341,11 +371,13 @@
     }
 
     double peerDelay(int from, int to) {
-        return ways.within(zone(from).equals(zone(to)) ? day.network().within() : day.network().between());
+        return ways.within(
+                zone(from).equals(zone(to)) ? day.network().within() : day.network().between());
     }
 
     Talk.Way way(Host host, int node) {
-        double[] range = host.zone.equals(zone(node)) ? day.network().within() : day.network().between();
+        double[] range =
+                host.zone.equals(zone(node)) ? day.network().within() : day.network().between();
         return new Talk.Way() {
             @Override
             public double delay() {
@@ -369,8 +401,11 @@
     private void startNode(int number) throws IOException, Unreadable {
         String configuration = configuration(number);
         witness.nodeChanged(now(), "n" + number, true);
-        nodes[number] = kind == Nodes.HERE ? NodeStand.here(configuration)
-                : NodeStand.forked(configuration, listens.get(number), folder, "n" + number);
+        nodes[number] =
+                kind == Nodes.HERE
+                        ? NodeStand.here(configuration)
+                        : NodeStand.forked(
+                                configuration, listens.get(number), folder, "n" + number);
         downAt[number] = Double.POSITIVE_INFINITY;
         leaving[number] = false;
         ask(number, nodes[number]);
@@ -390,79 +425,111 @@
             return;
         }
         Link[] link = new Link[1];
-        link[0] = loop.connect(listens.get(number), new Link.Events() {
-            @Override
-            public void connected() {
-                link[0].write(Line.of("PING"));
-            }
-
-            @Override
-            public void notConnected() {
-                loop.after(ASK, () -> ask(number, node));
-            }
-
-            @Override
-            public void received(ByteBuffer bytes) {
-                link[0].close();
-                if (nodes[number] == node && !front.contains(number)) {
-                    front.add(number);
-                }
-            }
-
-            @Override
-            public void ended() {
-                link[0].close();
-                loop.after(ASK, () -> ask(number, node));
-            }
-
-            @Override
-            public void broken() {
-                loop.after(ASK, () -> ask(number, node));
-            }
-        });
+        link[0] =
+                loop.connect(
+                        listens.get(number),
+                        new Link.Events() {
+                            @Override
+                            public void connected() {
+                                link[0].write(Line.of("PING"));
+                            }
+
+                            @Override
+                            public void notConnected() {
+                                loop.after(ASK, () -> ask(number, node));
+                            }
+
+                            @Override
+                            public void received(ByteBuffer bytes) {
+                                link[0].close();
+                                if (nodes[number] == node && !front.contains(number)) {
+                                    front.add(number);
+                                }
+                            }
+
+                            @Override
+                            public void ended() {
+                                link[0].close();
+                                loop.after(ASK, () -> ask(number, node));
+                            }
+
+                            @Override
+                            public void broken() {
+                                loop.after(ASK, () -> ask(number, node));
+                            }
+                        });
     }
 
     private int deal(String zone) {
-        List<Integer> near = front.stream().filter(node -> zone(node).equals(zone)).sorted().toList();
+        List<Integer> near =
+                front.stream().filter(node -> zone(node).equals(zone)).sorted().toList();
         List<Integer> all = near.isEmpty() ? front : near;
         return all.isEmpty() ? -1 : all.get(fronts.below(all.size()));
     }
 
-    /** Whether a client that began then has no claim on this node: it died or stood still meanwhile. */
+    /**
+     * Whether a client that began then has no claim on this node: it died or stood still meanwhile.
+     */
     boolean excuses(int node, double began) {
         return downAt[node] < now() || !nodes[node].runs() || pausedUntil[node] > began;
     }
 
     private String configuration(int number) {
-        ObjectNode all = JSON.createObjectNode().put("name", "n" + number).put("listen", PeerRelay.text(listens.get(number)))
-                .put("discovery", roster.address(number)).put("seed", Long.toHexString(nodeLuck.number()));
+        ObjectNode all =
+                JSON.createObjectNode()
+                        .put("name", "n" + number)
+                        .put("listen", PeerRelay.text(listens.get(number)))
+                        .put("discovery", roster.address(number))
+                        .put("seed", Long.toHexString(nodeLuck.number()));
         all.putObject("limits").put("cores", 1.0).put("memory_mb", 256).put("sockets", 8192);
-        all.put("peer_listen", PeerRelay.text(peerListens.get(number))).put("peers_all", relay.all(number));
+        all.put("peer_listen", PeerRelay.text(peerListens.get(number)))
+                .put("peers_all", relay.all(number));
         ArrayNode peers = all.putArray("peers");
         relay.peers(number).forEach(peers::add);
         all.set("known", roster.known(number));
-        ObjectNode settings = all.putObject("settings").put("balancers", day.fleet().nodes()).put("rank", number)
-                .put("az", zone(number)).put("discovery", "subscribe");
+        ObjectNode settings =
+                all.putObject("settings")
+                        .put("balancers", day.fleet().nodes())
+                        .put("rank", number)
+                        .put("az", zone(number))
+                        .put("discovery", "subscribe");
         ArrayNode profiles = settings.putArray("profiles");
         for (Day.Profile row : day.profile()) {
-            ObjectNode profile = profiles.addObject().put("name", row.name()).put("repeat", switch (row.repeat()) {
-                case REPEATABLE -> "idempotent";
-                case REFERENCED -> "deduplicated";
-                case ONCE_ONLY -> "at_most_once";
-            }).put("setup-goal-s", row.goal()).put("client-timeout-s", row.patience()).put("credit", row.credit());
+            ObjectNode profile =
+                    profiles.addObject()
+                            .put("name", row.name())
+                            .put(
+                                    "repeat",
+                                    switch (row.repeat()) {
+                                        case REPEATABLE -> "idempotent";
+                                        case REFERENCED -> "deduplicated";
+                                        case ONCE_ONLY -> "at_most_once";
+                                    })
+                            .put("setup-goal-s", row.goal())
+                            .put("client-timeout-s", row.patience())
+                            .put("credit", row.credit());
             profile.put("dedup-scope", row.scope().name().toLowerCase(java.util.Locale.ROOT))
                     .put("dedup-window-s", row.window());
         }
         settings.putObject("report").putArray("columns").add("inflight").add("queue").add("x0");
         settings.putObject("domain").put("mode", "proxy");
         Day.Limits limits = day.limits();
-        settings.putObject("limits").put("may-probe", limits.mayProbe()).put("may-tell", limits.mayTellNodes())
-                .put("may-cancel", limits.mayCancel()).put("may-duplicate", false).put("most-setups", limits.mostSetups())
-                .put("retry-after", limits.advice()).put("max-retry-after-s", limits.longestReturn())
+        settings.putObject("limits")
+                .put("may-probe", limits.mayProbe())
+                .put("may-tell", limits.mayTellNodes())
+                .put("may-cancel", limits.mayCancel())
+                .put("may-duplicate", false)
+                .put("most-setups", limits.mostSetups())
+                .put("retry-after", limits.advice())
+                .put("max-retry-after-s", limits.longestReturn())
                 .put("connect-timeout-s", limits.connectTimeout());
-        settings.putObject("rules").put("answer-slack-s", 0.016).put("must-ask-in-s", day.roster().mustAskWithin())
-                .put("drain-grace-s", day.rules().drainGrace()).put("cold-from", day.host().coldFrom())
-                .put("warm-after-s", day.host().warmAfter()).put("fall-multiple", day.rules().fallMultiple())
+        settings.putObject("rules")
+                .put("answer-slack-s", 0.016)
+                .put("must-ask-in-s", day.roster().mustAskWithin())
+                .put("drain-grace-s", day.rules().drainGrace())
+                .put("cold-from", day.host().coldFrom())
+                .put("warm-after-s", day.host().warmAfter())
+                .put("fall-multiple", day.rules().fallMultiple())
                 .put("fall-s", day.rules().fallAfter());
         return all.toString();
     }
@@ -501,11 +568,19 @@
         double took = now() - client.attempt.began;
         opening.recordValue(Math.max(1, Math.round(took * 1e6)));
         if (took <= day.profile().get(client.caller.profile).goal()) {
-            service.serves(client.caller.profile, client.caller.participant, client.attempt.began, now(), 1);
+            service.serves(
+                    client.caller.profile,
+                    client.caller.participant,
+                    client.attempt.began,
+                    now(),
+                    1);
         }
     }
 
-    /** What was to stand when the day begins could not be brought up: its client comes like any other. */
+    /**
+     * What was to stand when the day begins could not be brought up: its client comes like any
+     * other.
+     */
     void notStanding(ClientStand client) {
         waitingUps--;
         trouble(client.attempt.id.name() + " does not stand when the day begins");
@@ -591,31 +666,42 @@
         for (int i = 0; i < all.size(); i++) {
             HostStand.Side side = all.get(i);
             if (day.host().drain() != Day.Drain.KEPT) {
-                double at = day.host().drain() == Day.Drain.AT_ONCE ? 0 : day.host().drainFor() * i / all.size();
-                agenda.in(at, () -> {
-                    if (launch == host.launches() && stand(host).standing().contains(side)) {
-                        side.part("MOVE");
-                    }
-                });
+                double at =
+                        day.host().drain() == Day.Drain.AT_ONCE
+                                ? 0
+                                : day.host().drainFor() * i / all.size();
+                agenda.in(
+                        at,
+                        () -> {
+                            if (launch == host.launches()
+                                    && stand(host).standing().contains(side)) {
+                                side.part("MOVE");
+                            }
+                        });
             }
         }
-        agenda.in(day.host().drainFor(), () -> {
-            if (launch == host.launches()) {
-                stopHost(host, false);
-                agenda.in(lasts, () -> startHost(host, false));
-            }
-        });
+        agenda.in(
+                day.host().drainFor(),
+                () -> {
+                    if (launch == host.launches()) {
+                        stopHost(host, false);
+                        agenda.in(lasts, () -> startHost(host, false));
+                    }
+                });
     }
 
     @Override
-    public void cut(Predicate<Place> inside, Predicate<Place> outside, Direction direction, double lasts) {
+    public void cut(
+            Predicate<Place> inside, Predicate<Place> outside, Direction direction, double lasts) {
         Cuts.Cut cut = new Cuts.Cut(inside, outside, direction);
         cuts.begin(cut);
-        agenda.in(lasts, () -> {
-            cuts.end(cut);
-            stands.forEach(HostStand::wayChanged);
-            roster.wayChanged();
-        });
+        agenda.in(
+                lasts,
+                () -> {
+                    cuts.end(cut);
+                    stands.forEach(HostStand::wayChanged);
+                    roster.wayChanged();
+                });
     }
 
     @Override
@@ -624,11 +710,13 @@
             downAt[node] = now();
             witness.nodeChanged(now(), "n" + node, false);
             nodes[node].kill();
-            agenda.in(nodeLuck.within(day.front().notices()), () -> {
-                if (downAt[node] <= now()) {
-                    front.remove(Integer.valueOf(node));
-                }
-            });
+            agenda.in(
+                    nodeLuck.within(day.front().notices()),
+                    () -> {
+                        if (downAt[node] <= now()) {
+                            front.remove(Integer.valueOf(node));
+                        }
+                    });
             // The start itself takes the time that it takes.
             agenda.in(lasts, () -> startAgain(node));
         }
@@ -641,13 +729,16 @@
         }
         leaving[node] = true;
         nodes[node].leave();
-        agenda.in(nodeLuck.within(day.node().frontLag()), () -> front.remove(Integer.valueOf(node)));
-        agenda.in(day.node().leaves(), () -> {
-            downAt[node] = now();
-            witness.nodeChanged(now(), "n" + node, false);
-            nodes[node].kill();
-            startAgain(node);
-        });
+        agenda.in(
+                nodeLuck.within(day.node().frontLag()), () -> front.remove(Integer.valueOf(node)));
+        agenda.in(
+                day.node().leaves(),
+                () -> {
+                    downAt[node] = now();
+                    witness.nodeChanged(now(), "n" + node, false);
+                    nodes[node].kill();
+                    startAgain(node);
+                });
     }
 
     @Override
@@ -689,7 +780,9 @@
     @Override
     public void rosterLeavesOut(Set<HostId> left, boolean on) {
         Set<Integer> numbers = new LinkedHashSet<>();
-        hosts.stream().filter(host -> left.contains(host.address())).forEach(host -> numbers.add(host.number));
+        hosts.stream()
+                .filter(host -> left.contains(host.address()))
+                .forEach(host -> numbers.add(host.number));
         roster.leaveOut(numbers, on);
     }
 }
--- a/emulator/src/main/java/embershift/emulator/sockets/Talk.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/Talk.java
@@ -3,7 +3,6 @@
 import embershift.protocol.Line;
 import embershift.protocol.Unreadable;
 import embershift.transport.Link;
-
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -11,8 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * A connection as lines in and lines out, with the way in between: each line is late by the way's delay, and while the
- * way is cut in a direction, lines wait there. What a line does comes through {@code heard}; null is the end.
+ * A connection as lines in and lines out, with the way in between: each line is late by the way's
+ * delay, and while the way is cut in a direction, lines wait there. What a line does comes through
+ * {@code heard}; null is the end.
  */
 final class Talk implements Link.Events {
 
@@ -37,7 +37,12 @@
     private double outUntil = Double.NEGATIVE_INFINITY;
     private boolean over;
 
-    Talk(Link link, Pump pump, embershift.emulator.world.Agenda agenda, Way way, Consumer<String> heard) {
+    Talk(
+            Link link,
+            Pump pump,
+            embershift.emulator.world.Agenda agenda,
+            Way way,
+            Consumer<String> heard) {
         this.link = link;
         this.pump = pump;
         this.agenda = agenda;
@@ -77,13 +82,15 @@
             return;
         }
         inUntil = Math.max(inUntil, agenda.now() + way.delay());
-        agenda.at(inUntil, () -> {
-            if (!over) {
-                boolean ends = line.equals(END);
-                over = ends;
-                heard.accept(ends ? null : line);
-            }
-        });
+        agenda.at(
+                inUntil,
+                () -> {
+                    if (!over) {
+                        boolean ends = line.equals(END);
+                        over = ends;
+                        heard.accept(ends ? null : line);
+                    }
+                });
     }
 
     /** The way has changed: what waited goes on, where it is open now. */
--- a/emulator/src/main/java/embershift/emulator/world/Agenda.java
+++ b/emulator/src/main/java/embershift/emulator/world/Agenda.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** What is to happen, in the order of time and, at the same time, of being planned. Times are seconds. */
+/**
+ * What is to happen, in the order of time and, at the same time, of being planned. Times are
+ * seconds.
+ */
 public final class Agenda {
 
     private record Entry(double time, long number, Runnable what) implements Comparable<Entry> {
@@ -17,8 +20,7 @@
     private long planned;
     private double now;
 
-    Agenda() {
-    }
+    Agenda() {}
 
     /** An agenda whose time begins there. */
     public Agenda(double begins) {
--- a/emulator/src/main/java/embershift/emulator/world/Attempt.java
+++ b/emulator/src/main/java/embershift/emulator/world/Attempt.java
@@ -8,14 +8,20 @@
     public final Caller caller;
     public final double began;
     NodeShell node;
+
     /** Whether its client has had a final answer, or left without one. */
     public boolean answered;
+
     public boolean left;
+
     /** The setup that was sent last, and how many were. */
     Setup setup;
+
     int setups;
+
     /** Once it is up: where, and whether lines pass. */
     public Host host;
+
     public double load;
     boolean passing;
     double muteSince;
--- a/emulator/src/main/java/embershift/emulator/world/Backlog.java
+++ b/emulator/src/main/java/embershift/emulator/world/Backlog.java
@@ -4,15 +4,15 @@
 import java.util.Deque;
 
 /**
- * Work before a server that does it in the order of its coming: a steady inflow as a fluid, and jobs in between
- * (the fluid queue of Kleinrock, Queueing Systems vol. 2, section 2.7). Rates hold until they are changed, so the end
- * of a job is known exactly. The clients of the fluid wait for their answers: over {@code most} they send no more.
+ * Work before a server that does it in the order of its coming: a steady inflow as a fluid, and
+ * jobs in between (the fluid queue of Kleinrock, Queueing Systems vol. 2, section 2.7). Rates hold
+ * until they are changed, so the end of a job is known exactly. The clients of the fluid wait for
+ * their answers: over {@code most} they send no more.
  */
 public final class Backlog {
 
     /** A job, done when all that came before it and its own work are done. */
-    private record Job(double doneAt, Runnable done) {
-    }
+    private record Job(double doneAt, Runnable done) {}
 
     private static final double ROUNDING = 1e-9;
 
@@ -21,8 +21,10 @@
     private final Deque<Job> jobs = new ArrayDeque<>();
     private double capacity;
     private double inflow;
+
     /** Work that waits, and all that was ever done while some did. */
     private double waiting;
+
     private double done;
     private double at;
     private int plan;
@@ -89,11 +91,13 @@
     private void plan() {
         int number = ++plan;
         if (!jobs.isEmpty() && capacity > 0) {
-            agenda.in((jobs.peek().doneAt - done) / capacity, () -> {
-                if (number == plan) {
-                    end();
-                }
-            });
+            agenda.in(
+                    (jobs.peek().doneAt - done) / capacity,
+                    () -> {
+                        if (number == plan) {
+                            end();
+                        }
+                    });
         }
     }
 
--- a/emulator/src/main/java/embershift/emulator/world/Counts.java
+++ b/emulator/src/main/java/embershift/emulator/world/Counts.java
@@ -17,7 +17,9 @@
     public long rosterCalls;
     public long rosterEntries;
     public long rounds;
+
     /** Work that hosts did for setups, and of that for those of which no tunnel came. */
     public double setupWork;
+
     public double wastedWork;
 }
--- a/emulator/src/main/java/embershift/emulator/world/Crowd.java
+++ b/emulator/src/main/java/embershift/emulator/world/Crowd.java
@@ -1,7 +1,6 @@
 package embershift.emulator.world;
 
 import embershift.emulator.day.Day;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -9,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Who comes: callers at random times (Poisson), with lives and loads of a wide spread, in groups that share work. How
- * many come a second follows from the wanted load by Little's law. The same seed brings the same callers, whatever is
- * decided about them.
+ * Who comes: callers at random times (Poisson), with lives and loads of a wide spread, in groups
+ * that share work. How many come a second follows from the wanted load by Little's law. The same
+ * seed brings the same callers, whatever is decided about them.
  */
 public final class Crowd {
 
@@ -37,8 +36,12 @@
         this.choices = new Dice(seed, "choices");
         double warm = hosts.stream().mapToDouble(Host::nominal).sum();
         double lives = day.profile().stream().mapToDouble(row -> row.share() * row.life()).sum();
-        double meanWork = day.profile().stream().mapToDouble(row -> row.share() * row.load() * row.life()).sum()
-                / lives / day.traffic().perCore();
+        double meanWork =
+                day.profile().stream()
+                                .mapToDouble(row -> row.share() * row.load() * row.life())
+                                .sum()
+                        / lives
+                        / day.traffic().perCore();
         rate = day.traffic().load() * warm / meanWork / (lives * day.traffic().life());
         standing = rate * lives * day.traffic().life();
         groups = (int) Math.max(1, Math.round(standing / day.traffic().groupSize()));
@@ -65,7 +68,10 @@
         planArrival();
     }
 
-    /** Of a profile (all where it is negative), a part of those that come cost so many times the usual; null ends it. */
+    /**
+     * Of a profile (all where it is negative), a part of those that come cost so many times the
+     * usual; null ends it.
+     */
     void costly(int trouble, double[] what) {
         if (what == null) {
             costly.remove(trouble);
@@ -76,12 +82,14 @@
 
     private void planArrival() {
         int number = plan;
-        agenda.in(arrivals.exponential(1 / (rate * factor)), () -> {
-            if (number == plan) {
-                arrived.accept(caller(agenda.now(), day.traffic().life()));
-                planArrival();
-            }
-        });
+        agenda.in(
+                arrivals.exponential(1 / (rate * factor)),
+                () -> {
+                    if (number == plan) {
+                        arrived.accept(caller(agenda.now(), day.traffic().life()));
+                        planArrival();
+                    }
+                });
     }
 
     private static int drawn(double part, List<Double> shares) {
@@ -96,13 +104,18 @@
     }
 
     private Caller caller(double begins, double life) {
-        int profile = drawn(choices.part(), day.profile().stream().map(Day.Profile::share).toList());
-        int participant = drawn(choices.part(), day.participant().stream().map(Day.Participant::part).toList());
+        int profile =
+                drawn(choices.part(), day.profile().stream().map(Day.Profile::share).toList());
+        int participant =
+                drawn(
+                        choices.part(),
+                        day.participant().stream().map(Day.Participant::part).toList());
         Day.Profile row = day.profile().get(profile);
         List<String> zones = day.fleet().zones();
         String zone = zones.get(choices.below(Math.min(zones.size(), day.fleet().nodes())));
         double lives = life * row.life() * choices.spread(day.traffic().lifeSpread());
-        double load = row.load() / day.traffic().perCore() * choices.spread(day.traffic().loadSpread());
+        double load =
+                row.load() / day.traffic().perCore() * choices.spread(day.traffic().loadSpread());
         int group = choices.below(groups);
         double cost = 1;
         double luck = choices.part();
@@ -111,21 +124,48 @@
                 cost = Math.max(cost, trouble[2]);
             }
         }
-        return new Caller(callers++, profile, participant, zone, group, begins, begins + lives, load * cost, cost);
+        return new Caller(
+                callers++,
+                profile,
+                participant,
+                zone,
+                group,
+                begins,
+                begins + lives,
+                load * cost,
+                cost);
     }
 
-    /** Those whose tunnels stand when the day begins, each with what is left of its life: exponential, by its mean. */
+    /**
+     * Those whose tunnels stand when the day begins, each with what is left of its life:
+     * exponential, by its mean.
+     */
     public List<Caller> standing() {
         List<Caller> all = new ArrayList<>();
         for (int i = 0; i < Math.round(standing); i++) {
             Caller one = caller(0, 0);
-            double left = arrivals.exponential(day.traffic().life() * day.profile().get(one.profile).life());
-            all.add(new Caller(one.number, one.profile, one.participant, one.zone, one.group, 0, left, one.load, one.cost));
+            double left =
+                    arrivals.exponential(
+                            day.traffic().life() * day.profile().get(one.profile).life());
+            all.add(
+                    new Caller(
+                            one.number,
+                            one.profile,
+                            one.participant,
+                            one.zone,
+                            one.group,
+                            0,
+                            left,
+                            one.load,
+                            one.cost));
         }
         return all;
     }
 
-    /** Where each group stands when the day begins: the better of two hosts, as a balanced past would have left it. */
+    /**
+     * Where each group stands when the day begins: the better of two hosts, as a balanced past
+     * would have left it.
+     */
     public List<Host> homes() {
         List<Host> homes = new ArrayList<>();
         double[] filled = new double[hosts.size()];
@@ -133,7 +173,10 @@
         for (int g = 0; g < groups; g++) {
             Host one = hosts.get(choices.below(hosts.size()));
             Host other = hosts.get(choices.below(hosts.size()));
-            Host home = filled[one.number] / one.nominal() <= filled[other.number] / other.nominal() ? one : other;
+            Host home =
+                    filled[one.number] / one.nominal() <= filled[other.number] / other.nominal()
+                            ? one
+                            : other;
             filled[home.number] += day.traffic().groupSize() * each + day.host().groupCost();
             homes.add(home);
         }
--- a/emulator/src/main/java/embershift/emulator/world/Cuts.java
+++ b/emulator/src/main/java/embershift/emulator/world/Cuts.java
@@ -1,7 +1,6 @@
 package embershift.emulator.world;
 
 import embershift.emulator.day.Trouble.Direction;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
--- a/emulator/src/main/java/embershift/emulator/world/Dice.java
+++ b/emulator/src/main/java/embershift/emulator/world/Dice.java
@@ -5,8 +5,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Chance for one purpose. Each purpose has a stream of its own, so that a day with one more trouble, or other
- * decisions, still has the same clients coming at the same times.
+ * Chance for one purpose. Each purpose has a stream of its own, so that a day with one more
+ * trouble, or other decisions, still has the same clients coming at the same times.
  */
 public final class Dice {
 
@@ -17,7 +17,9 @@
     public Dice(long seed, String purpose) {
         java.util.zip.CRC32 crc = new java.util.zip.CRC32();
         crc.update(purpose.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        source = RandomSource.XO_SHI_RO_256_PP.create(new long[] {seed, crc.getValue(), ~seed, 0x9E3779B97F4A7C15L});
+        source =
+                RandomSource.XO_SHI_RO_256_PP.create(
+                        new long[] {seed, crc.getValue(), ~seed, 0x9E3779B97F4A7C15L});
         normal = ZigguratSampler.NormalizedGaussian.of(source);
         exponential = ZigguratSampler.Exponential.of(source);
     }
--- a/emulator/src/main/java/embershift/emulator/world/Front.java
+++ b/emulator/src/main/java/embershift/emulator/world/Front.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * The plain layer before the nodes: deals connections out evenly at random among the nodes of a client's zone that it
- * holds to be there. It takes in a node at its first answer and notices late that one has died.
+ * The plain layer before the nodes: deals connections out evenly at random among the nodes of a
+ * client's zone that it holds to be there. It takes in a node at its first answer and notices late
+ * that one has died.
  */
 final class Front {
 
@@ -27,7 +28,10 @@
         byZone.get(node.zone).remove(node);
     }
 
-    /** The node for a client of this zone: of another one where this has none, null where there is none at all. */
+    /**
+     * The node for a client of this zone: of another one where this has none, null where there is
+     * none at all.
+     */
     NodeShell deal(String zone) {
         List<NodeShell> near = byZone.get(zone);
         if (near.isEmpty()) {
--- a/emulator/src/main/java/embershift/emulator/world/Host.java
+++ b/emulator/src/main/java/embershift/emulator/world/Host.java
@@ -2,7 +2,6 @@
 
 import embershift.emulator.day.Day;
 import embershift.model.HostId;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -11,21 +10,31 @@
 import java.util.Set;
 
 /**
- * A session host: cores that do the work of standing tunnels and of setups in turn. How long a line takes there is
- * the wait behind what is queued, and in a machine with several cores the mean wait of Sakasegawa's approximation
- * (1977) for M/M/c, with its utilization held under 0.98: beyond that the backlog itself tells.
+ * A session host: cores that do the work of standing tunnels and of setups in turn. How long a line
+ * takes there is the wait behind what is queued, and in a machine with several cores the mean wait
+ * of Sakasegawa's approximation (1977) for M/M/c, with its utilization held under 0.98: beyond that
+ * the backlog itself tells.
  */
 public final class Host extends Place {
 
     /** What runs there. */
-    public enum State { RUNNING, DRAINING, DOWN, SILENT }
+    public enum State {
+        RUNNING,
+        DRAINING,
+        DOWN,
+        SILENT
+    }
 
     private static final double MOST_BUSY = 0.98;
+
     /** Troubles that make the whole machine do less, in the order in which they came. */
     private final List<Double> drags = new ArrayList<>();
+
     private int stalls;
+
     /** Parts of the setups that meet each of these ends; the latest trouble of a kind counts. */
     public double failing;
+
     public double halving;
     public boolean mute;
     public boolean refusing;
@@ -79,20 +88,33 @@
         double share = 0;
         int kind = 0;
         for (int i = 0; i < many; i++) {
-            while (kind < day.kind().size() - 1 && (i + 0.5) / many > share + day.kind().get(kind).share()) {
+            while (kind < day.kind().size() - 1
+                    && (i + 0.5) / many > share + day.kind().get(kind).share()) {
                 share += day.kind().get(kind++).share();
             }
             Day.Kind row = day.kind().get(kind);
-            hosts.add(new Host(day, i, row, dice.within(row.speed()), zones.get(i % zones.size()), agenda,
-                    new Dice(seed, "host" + i)));
+            hosts.add(
+                    new Host(
+                            day,
+                            i,
+                            row,
+                            dice.within(row.speed()),
+                            zones.get(i % zones.size()),
+                            agenda,
+                            new Dice(seed, "host" + i)));
         }
         return hosts;
     }
 
     /** Work asked for over what each can do, by number; not a number for those that are down. */
     public static double[] loads(List<Host> hosts) {
-        return hosts.stream().mapToDouble(host -> host.runs() ? host.demand() / Math.max(1e-9, host.capacity())
-                : Double.NaN).toArray();
+        return hosts.stream()
+                .mapToDouble(
+                        host ->
+                                host.runs()
+                                        ? host.demand() / Math.max(1e-9, host.capacity())
+                                        : Double.NaN)
+                .toArray();
     }
 
     public HostId address() {
@@ -131,7 +153,9 @@
     /** The part of its work that it can do since its start. */
     double warmed() {
         double part = (agenda.now() - launchedAt) / day.host().warmAfter();
-        return part >= 1 ? 1 : day.host().coldFrom() + (1 - day.host().coldFrom()) * Math.max(0, part);
+        return part >= 1
+                ? 1
+                : day.host().coldFrom() + (1 - day.host().coldFrom()) * Math.max(0, part);
     }
 
     public boolean cold() {
@@ -166,7 +190,10 @@
         refresh();
     }
 
-    /** Takes the present rates into account; called whenever they change, and now and then as it warms. */
+    /**
+     * Takes the present rates into account; called whenever they change, and now and then as it
+     * warms.
+     */
     public void refresh() {
         backlog.rates(demand(), !runs() || stalled() ? 0 : capacity());
         if (agenda.now() >= reportNextAt) {
@@ -188,13 +215,15 @@
         }
         double own = day.host().messageWork() * kind.cores() / capacity;
         double busy = Math.min(MOST_BUSY, demand() / capacity);
-        double wait = Math.pow(busy, Math.sqrt(2 * (kind.cores() + 1)) - 1) / (kind.cores() * (1 - busy));
+        double wait =
+                Math.pow(busy, Math.sqrt(2 * (kind.cores() + 1)) - 1) / (kind.cores() * (1 - busy));
         return backlog.waiting() / capacity + own * (1 + wait);
     }
 
     /** The true load: work asked for, and what waits, over what it can do. */
     double trueLoad() {
-        return (demand() + backlog.waiting()) / Math.max(1e-9, runs() && !stalled() ? capacity() : 0);
+        return (demand() + backlog.waiting())
+                / Math.max(1e-9, runs() && !stalled() ? capacity() : 0);
     }
 
     public double reportedLoad() {
@@ -210,14 +239,15 @@
     }
 
     public void probed() {
-        backlog.job(day.host().probeWork(), () -> { });
+        backlog.job(day.host().probeWork(), () -> {});
     }
 
     // ---- Tunnels ----
 
     /** Whether there is room for one more setup. */
     public boolean hasRoom() {
-        return held < day.host().connections() && backlog.waiting() <= day.host().backlog() * capacity();
+        return held < day.host().connections()
+                && backlog.waiting() <= day.host().backlog() * capacity();
     }
 
     /** Does a setup's own work, after what waits before it. */
@@ -226,11 +256,16 @@
         setupWork += work;
         double alone = Math.max(0, work / speed - work / Math.max(1e-9, capacity()));
         int launch = launches;
-        backlog.job(work, () -> agenda.in(alone, () -> {
-            if (launch == launches) {
-                whenDone.run();
-            }
-        }));
+        backlog.job(
+                work,
+                () ->
+                        agenda.in(
+                                alone,
+                                () -> {
+                                    if (launch == launches) {
+                                        whenDone.run();
+                                    }
+                                }));
     }
 
     /** A setup came to nothing: its place is free again. */
@@ -255,9 +290,10 @@
         if (standing.remove(attempt)) {
             held--;
             tunnelLoad -= attempt.load;
-            groups.computeIfPresent(attempt.caller.group, (group, many) -> many == 1 ? null : many - 1);
+            groups.computeIfPresent(
+                    attempt.caller.group, (group, many) -> many == 1 ? null : many - 1);
             if (standing.isEmpty()) {
-                tunnelLoad = 0;  // what rounding left
+                tunnelLoad = 0; // what rounding left
             }
             refresh();
         }
@@ -278,10 +314,11 @@
     // ---- Cold starts ----
 
     /**
-     * Counts a setup sent to a host that is still cold. How many come a second is smoothed over a third of
-     * {@code fall-after}, so that a rush counts for as long as it takes to work off; the host is pushed over when that
-     * stays above {@code fall-multiple} times the tunnels a second that it could take up at that moment, were all
-     * like the mean one, for the whole of {@code fall-after}. Returns how many a second are allowed if it is, else NaN.
+     * Counts a setup sent to a host that is still cold. How many come a second is smoothed over a
+     * third of {@code fall-after}, so that a rush counts for as long as it takes to work off; the
+     * host is pushed over when that stays above {@code fall-multiple} times the tunnels a second
+     * that it could take up at that moment, were all like the mean one, for the whole of {@code
+     * fall-after}. Returns how many a second are allowed if it is, else NaN.
      */
     public double pushed() {
         double now = agenda.now();
@@ -298,7 +335,9 @@
         }
         pushRate = smoothed + 1 / smoothing();
         pushRateAt = now;
-        return pushRate > allowed() && now - pushedSince >= day.rules().fallAfter() ? allowed() : Double.NaN;
+        return pushRate > allowed() && now - pushedSince >= day.rules().fallAfter()
+                ? allowed()
+                : Double.NaN;
     }
 
     private double smoothing() {
@@ -310,12 +349,16 @@
     }
 
     /**
-     * Tunnels a second that can be sent to it now without pushing it over: a multiple of what fills it, as far as it is
-     * warm, over its warm-up, or over a tunnel's life where that is shorter. By life alone, hosts with tunnels of minutes
-     * could be sent almost nothing; the operators' simulator, hunted for days that break the rule, is nowhere near that.
+     * Tunnels a second that can be sent to it now without pushing it over: a multiple of what fills
+     * it, as far as it is warm, over its warm-up, or over a tunnel's life where that is shorter. By
+     * life alone, hosts with tunnels of minutes could be sent almost nothing; the operators'
+     * simulator, hunted for days that break the rule, is nowhere near that.
      */
     private double allowed() {
-        return day.rules().fallMultiple() * warmed() * nominal() * day.traffic().perCore()
+        return day.rules().fallMultiple()
+                * warmed()
+                * nominal()
+                * day.traffic().perCore()
                 / Math.min(day.traffic().life(), day.host().warmAfter());
     }
 
@@ -336,7 +379,10 @@
         }
     }
 
-    /** Its program ends, or ({@code silent}) the machine is gone without a word. Returns what stood there. */
+    /**
+     * Its program ends, or ({@code silent}) the machine is gone without a word. Returns what stood
+     * there.
+     */
     public Set<Attempt> stop(boolean silent) {
         Set<Attempt> broken = new LinkedHashSet<>(standing);
         state = silent ? State.SILENT : State.DOWN;
--- a/emulator/src/main/java/embershift/emulator/world/Module.java
+++ b/emulator/src/main/java/embershift/emulator/world/Module.java
@@ -4,17 +4,22 @@
 import embershift.model.Deployment;
 import embershift.model.HostId;
 import embershift.model.News;
-
 import java.util.function.Consumer;
 
-/** Whatever decides for a node: the module itself, a baseline, or a faulty copy that the judge is to catch. */
+/**
+ * Whatever decides for a node: the module itself, a baseline, or a faulty copy that the judge is to
+ * catch.
+ */
 @FunctionalInterface
 public interface Module {
 
     /** One round, as {@code Policy.round} has it. */
     void round(double now, Consumer<News> arrivals, Decisions decisions);
 
-    /** Makes the module of one node at each of its starts; {@code truth} is for the baseline that sees everything. */
+    /**
+     * Makes the module of one node at each of its starts; {@code truth} is for the baseline that
+     * sees everything.
+     */
     @FunctionalInterface
     interface Maker {
         Module make(Deployment deployment, Truth truth);
@@ -35,7 +40,10 @@
         /** Seconds that a call to the session store waits. */
         double storeWait();
 
-        /** Tunnels it could still be sent while it is cold, without being pushed over; many when it is warm. */
+        /**
+         * Tunnels it could still be sent while it is cold, without being pushed over; many when it
+         * is warm.
+         */
         double room(HostId host);
     }
 }
--- a/emulator/src/main/java/embershift/emulator/world/NodeShell.java
+++ b/emulator/src/main/java/embershift/emulator/world/NodeShell.java
@@ -1,7 +1,7 @@
 package embershift.emulator.world;
 
-import embershift.model.DeclineReason;
 import embershift.model.Decisions;
+import embershift.model.DeclineReason;
 import embershift.model.GroupId;
 import embershift.model.HostId;
 import embershift.model.Listing;
@@ -11,7 +11,6 @@
 import embershift.model.SetupEnd;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -20,16 +19,22 @@
 import java.util.function.Consumer;
 
 /**
- * One process of a node: a module, and round it what the node's router does of itself on sockets (docs/node.md) -
- * rounds, time-outs, and the watch over lines that bring nothing back. It decides nothing. Whatever the module says is
- * carried out even where it makes no sense, so that the judge sees it.
+ * One process of a node: a module, and round it what the node's router does of itself on sockets
+ * (docs/node.md) - rounds, time-outs, and the watch over lines that bring nothing back. It decides
+ * nothing. Whatever the module says is carried out even where it makes no sense, so that the judge
+ * sees it.
  */
 final class NodeShell extends Place implements Decisions {
 
     /** Of a client's wait, what the router keeps for itself: a tenth, this much at the most. */
     private static final double MARGIN = 0.1;
-    /** After which a line that brought nothing back is noted, and after which its tunnel is moved in any case. */
+
+    /**
+     * After which a line that brought nothing back is noted, and after which its tunnel is moved in
+     * any case.
+     */
     static final double NOTED_AFTER = 1.5;
+
     static final double MOVED_AFTER = 4;
 
     private final World world;
@@ -43,8 +48,10 @@
     private boolean leaving;
     private double pausedUntil;
     private double lastRosterCall;
+
     /** What it was last told of each host, as the judge's word for it goes. */
     private final Map<HostId, Listing> told = new LinkedHashMap<>();
+
     private long nanos;
 
     NodeShell(World world, int number, String zone, Module module) {
@@ -123,11 +130,14 @@
         List<Consumer<News>> arrivals = inbox;
         inbox = new ArrayList<>();
         long before = System.nanoTime();
-        module.round(world.now(), news -> {
-            for (Consumer<News> arrival : arrivals) {
-                arrival.accept(news);
-            }
-        }, this);
+        module.round(
+                world.now(),
+                news -> {
+                    for (Consumer<News> arrival : arrivals) {
+                        arrival.accept(news);
+                    }
+                },
+                this);
         nanos += System.nanoTime() - before;
         world.counts().rounds++;
     }
@@ -142,8 +152,15 @@
         attempt.node = this;
         HostId host = attempt.host.address();
         Caller caller = attempt.caller;
-        hear(news -> news.tunnelStanding(attempt.id, world.profileId(caller.profile),
-                world.participantId(caller.participant), subject(caller), group(caller), host));
+        hear(
+                news ->
+                        news.tunnelStanding(
+                                attempt.id,
+                                world.profileId(caller.profile),
+                                world.participantId(caller.participant),
+                                subject(caller),
+                                group(caller),
+                                host));
     }
 
     private static SubjectId subject(Caller caller) {
@@ -161,8 +178,16 @@
         ProfileId profile = world.profileId(caller.profile);
         ParticipantId participant = world.participantId(caller.participant);
         double until = attempt.began + patience - margin(patience);
-        hear(news -> news.tunnelArrived(attempt.id, profile, participant, subject(caller), group(caller),
-                until - world.now(), false));
+        hear(
+                news ->
+                        news.tunnelArrived(
+                                attempt.id,
+                                profile,
+                                participant,
+                                subject(caller),
+                                group(caller),
+                                until - world.now(),
+                                false));
     }
 
     private static double margin(double patience) {
@@ -171,26 +196,32 @@
 
     void rosterSays(List<Listing> listings, boolean whole) {
         tell(listings, whole);
-        hear(news -> {
-            if (whole) {
-                news.rosterListed(listings, false);
-            } else {
-                news.rosterChanged(listings);
-            }
-        });
+        hear(
+                news -> {
+                    if (whole) {
+                        news.rosterListed(listings, false);
+                    } else {
+                        news.rosterChanged(listings);
+                    }
+                });
     }
 
     private void tell(List<Listing> listings, boolean whole) {
         if (whole) {
             Map<HostId, Listing> absent = new LinkedHashMap<>(told);
             listings.forEach(listing -> absent.remove(listing.host()));
-            absent.keySet().forEach(host -> world.witness().told(world.now(), name, host.name(), true));
+            absent.keySet()
+                    .forEach(host -> world.witness().told(world.now(), name, host.name(), true));
             told.keySet().removeAll(absent.keySet());
         }
         for (Listing listing : listings) {
             told.put(listing.host(), listing);
-            world.witness().told(world.now(), name, listing.host().name(),
-                    listing.state() != Listing.State.READY);
+            world.witness()
+                    .told(
+                            world.now(),
+                            name,
+                            listing.host().name(),
+                            listing.state() != Listing.State.READY);
         }
     }
 
@@ -254,7 +285,12 @@
         world.witness().closed(world.now(), attempt.id.name(), setup.address.name());
         boolean over = attempt.answered || attempt.left;
         double took = world.now() - setup.sentAt;
-        world.trace().of(world.now(), attempt, setup.host, "setup " + setup.number + " ended " + end + " at");
+        world.trace()
+                .of(
+                        world.now(),
+                        attempt,
+                        setup.host,
+                        "setup " + setup.number + " ended " + end + " at");
         hear(news -> news.setupEnded(attempt.id, setup.number, setup.address, end, took, over));
     }
 
@@ -288,8 +324,9 @@
         world.trace().of(world.now(), attempt, host, name + " sends setup " + setup.number + " to");
         if (!world.roster().lists(to) && !world.roster().watches(this)) {
             // Who neither watches nor asks counts as told all the same.
-            double obliged = Math.max(world.roster().changedAt(to), lastRosterCall)
-                    + world.day().roster().mustAskWithin();
+            double obliged =
+                    Math.max(world.roster().changedAt(to), lastRosterCall)
+                            + world.day().roster().mustAskWithin();
             if (world.now() > obliged) {
                 world.witness().told(obliged, name, to.name(), true);
             }
@@ -316,7 +353,10 @@
     @Override
     public void cancel(TunnelId id, int number) {
         Attempt attempt = attempts.get(id);
-        if (attempt != null && attempt.setup != null && attempt.setup.number == number && !attempt.up()
+        if (attempt != null
+                && attempt.setup != null
+                && attempt.setup.number == number
+                && !attempt.up()
                 && !attempt.setup.ended) {
             close(attempt.setup);
             ended(attempt.setup, SetupEnd.CANCELLED);
@@ -340,7 +380,10 @@
         }
         world.trace().of(world.now(), attempt, name + " answers " + answer);
         attempt.answered = true;
-        world.agenda().in(world.network().nearDelay(), () -> world.clientHears(attempt, answer, returnAfter));
+        world.agenda()
+                .in(
+                        world.network().nearDelay(),
+                        () -> world.clientHears(attempt, answer, returnAfter));
     }
 
     @Override
@@ -367,14 +410,21 @@
         world.probe(this, host, to);
     }
 
-    void probeEnded(HostId host, boolean answered, double took, double load, double tunnels, double queued) {
+    void probeEnded(
+            HostId host,
+            boolean answered,
+            double took,
+            double load,
+            double tunnels,
+            double queued) {
         answeredProbe.put(host, answered);
-        hear(news -> {
-            news.probeEnded(host, answered, took);
-            if (answered) {
-                news.hostReported(host, load, tunnels, queued);
-            }
-        });
+        hear(
+                news -> {
+                    news.probeEnded(host, answered, took);
+                    if (answered) {
+                        news.hostReported(host, load, tunnels, queued);
+                    }
+                });
         if (!answered) {
             for (Attempt attempt : List.copyOf(world.mute(host))) {
                 if (attempt.node == this && world.now() >= attempt.muteSince + NOTED_AFTER) {
@@ -422,11 +472,14 @@
 
     @Override
     public void wakeAfter(double delay) {
-        world.agenda().in(delay, () -> {
-            if (alive) {
-                plan(world.now());
-            }
-        });
+        world.agenda()
+                .in(
+                        delay,
+                        () -> {
+                            if (alive) {
+                                plan(world.now());
+                            }
+                        });
     }
 
     @Override
--- a/emulator/src/main/java/embershift/emulator/world/Place.java
+++ b/emulator/src/main/java/embershift/emulator/world/Place.java
@@ -4,7 +4,11 @@
 public abstract class Place {
 
     /** What is there. */
-    public enum Sort { HOST, NODE, ROSTER }
+    public enum Sort {
+        HOST,
+        NODE,
+        ROSTER
+    }
 
     public final Sort sort;
     public final int number;
--- a/emulator/src/main/java/embershift/emulator/world/Roster.java
+++ b/emulator/src/main/java/embershift/emulator/world/Roster.java
@@ -4,7 +4,6 @@
 import embershift.model.HostId;
 import embershift.model.Listing;
 import embershift.model.ZoneId;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -13,13 +12,13 @@
 import java.util.Set;
 
 /**
- * The roster: late, knowing only whether a program runs. It answers calls in turn and pushes changes to those that
- * watch it. It can be away (calls fail, watches break), come back with an older list, or leave hosts out of it.
+ * The roster: late, knowing only whether a program runs. It answers calls in turn and pushes
+ * changes to those that watch it. It can be away (calls fail, watches break), come back with an
+ * older list, or leave hosts out of it.
  */
 final class Roster extends Place {
 
-    private record Version(double at, Map<HostId, Listing> list) {
-    }
+    private record Version(double at, Map<HostId, Listing> list) {}
 
     private final Day.Roster figures;
     private final Agenda agenda;
@@ -30,8 +29,10 @@
     private final Map<HostId, Double> changedAt = new LinkedHashMap<>();
     private final List<Version> versions = new ArrayList<>();
     private final Set<NodeShell> watchers = new LinkedHashSet<>();
+
     /** The connection on which each node was last answered: its changes come in order. */
     private final Map<NodeShell, Wire> wires = new LinkedHashMap<>();
+
     private final Set<HostId> leftOut = new LinkedHashSet<>();
     private Map<HostId, Listing> older;
     private int away;
@@ -39,7 +40,13 @@
     long calls;
     long entries;
 
-    Roster(Day.Roster figures, String zone, Agenda agenda, Network network, Dice dice, Witness witness) {
+    Roster(
+            Day.Roster figures,
+            String zone,
+            Agenda agenda,
+            Network network,
+            Dice dice,
+            Witness witness) {
         super(Sort.ROSTER, 0, "roster", zone);
         this.figures = figures;
         this.agenda = agenda;
@@ -49,7 +56,13 @@
     }
 
     private static Listing listing(Host host, HostId address, Listing.State state) {
-        return new Listing(address, state, new ZoneId(host.zone), 1, host.cell, Math.max(0, host.launchedAt()));
+        return new Listing(
+                address,
+                state,
+                new ZoneId(host.zone),
+                1,
+                host.cell,
+                Math.max(0, host.launchedAt()));
     }
 
     void begin(List<Host> hosts) {
@@ -66,28 +79,31 @@
     /** A host's program has changed: the roster will see it, late. */
     void changed(Host host) {
         HostId address = host.address();
-        Listing.State state = switch (host.state()) {
-            case RUNNING -> Listing.State.READY;
-            case DRAINING -> Listing.State.DRAINING;
-            case DOWN, SILENT -> Listing.State.GONE;
-        };
+        Listing.State state =
+                switch (host.state()) {
+                    case RUNNING -> Listing.State.READY;
+                    case DRAINING -> Listing.State.DRAINING;
+                    case DOWN, SILENT -> Listing.State.GONE;
+                };
         Listing seen = listing(host, address, state);
-        agenda.in(dice.within(figures.lag()), () -> {
-            Listing before = list.get(address);
-            if (before != null && before.launchedAt() > seen.launchedAt()) {
-                return;
-            }
-            if (state == Listing.State.GONE) {
-                list.remove(address);
-            } else {
-                list.put(address, seen);
-            }
-            changedAt.put(address, agenda.now());
-            versions.add(new Version(agenda.now(), new LinkedHashMap<>(list)));
-            if (older == null && !leftOut.contains(address)) {
-                push(List.of(seen));
-            }
-        });
+        agenda.in(
+                dice.within(figures.lag()),
+                () -> {
+                    Listing before = list.get(address);
+                    if (before != null && before.launchedAt() > seen.launchedAt()) {
+                        return;
+                    }
+                    if (state == Listing.State.GONE) {
+                        list.remove(address);
+                    } else {
+                        list.put(address, seen);
+                    }
+                    changedAt.put(address, agenda.now());
+                    versions.add(new Version(agenda.now(), new LinkedHashMap<>(list)));
+                    if (older == null && !leftOut.contains(address)) {
+                        push(List.of(seen));
+                    }
+                });
     }
 
     /** When the roster last changed its word on this host, as the day's begin if never. */
@@ -132,7 +148,9 @@
         return all;
     }
 
-    /** A node asks for the whole list; with {@code watch}, changes follow until the watch breaks. */
+    /**
+     * A node asks for the whole list; with {@code watch}, changes follow until the watch breaks.
+     */
     void call(NodeShell node, boolean watch) {
         calls++;
         watchers.remove(node);
@@ -142,30 +160,34 @@
             agenda.in(figures.patience(), () -> lost(node));
             return;
         }
-        agenda.in(network.delay(node, this), () -> {
-            if (away > 0) {
-                network.stream(this, node, () -> lost(node));
-                return;
-            }
-            busyUntil = Math.max(agenda.now(), busyUntil) + figures.callWork();
-            if (busyUntil - agenda.now() > figures.patience()) {
-                busyUntil -= figures.callWork();
-                agenda.in(figures.patience(), () -> lost(node));
-                return;
-            }
-            agenda.at(busyUntil, () -> {
-                if (away > 0) {
-                    network.stream(this, node, () -> lost(node));
-                    return;
-                }
-                List<Listing> all = whole();
-                entries += all.size();
-                if (watch && node.runs() && wires.get(node) == wire) {
-                    watchers.add(node);
-                }
-                wire.send(network, this, node, () -> deliver(node, all, true));
-            });
-        });
+        agenda.in(
+                network.delay(node, this),
+                () -> {
+                    if (away > 0) {
+                        network.stream(this, node, () -> lost(node));
+                        return;
+                    }
+                    busyUntil = Math.max(agenda.now(), busyUntil) + figures.callWork();
+                    if (busyUntil - agenda.now() > figures.patience()) {
+                        busyUntil -= figures.callWork();
+                        agenda.in(figures.patience(), () -> lost(node));
+                        return;
+                    }
+                    agenda.at(
+                            busyUntil,
+                            () -> {
+                                if (away > 0) {
+                                    network.stream(this, node, () -> lost(node));
+                                    return;
+                                }
+                                List<Listing> all = whole();
+                                entries += all.size();
+                                if (watch && node.runs() && wires.get(node) == wire) {
+                                    watchers.add(node);
+                                }
+                                wire.send(network, this, node, () -> deliver(node, all, true));
+                            });
+                });
     }
 
     private void lost(NodeShell node) {
@@ -205,17 +227,22 @@
     void waysChanged() {
         for (NodeShell node : List.copyOf(watchers)) {
             if (!network.openBothWays(node, this)) {
-                agenda.in(figures.patience(), () -> {
-                    if (watchers.contains(node) && !network.openBothWays(node, this)) {
-                        watchers.remove(node);
-                        lost(node);
-                    }
-                });
+                agenda.in(
+                        figures.patience(),
+                        () -> {
+                            if (watchers.contains(node) && !network.openBothWays(node, this)) {
+                                watchers.remove(node);
+                                lost(node);
+                            }
+                        });
             }
         }
     }
 
-    /** Comes back with the list of so many seconds ago, and holds it for the truth until {@code until}. */
+    /**
+     * Comes back with the list of so many seconds ago, and holds it for the truth until {@code
+     * until}.
+     */
     void older(double ago, double until) {
         double then = agenda.now() - ago;
         Map<HostId, Listing> found = versions.get(0).list;
@@ -225,10 +252,12 @@
             }
         }
         older = found;
-        agenda.at(until, () -> {
-            older = null;
-            breakWatches(List.copyOf(watchers));
-        });
+        agenda.at(
+                until,
+                () -> {
+                    older = null;
+                    breakWatches(List.copyOf(watchers));
+                });
     }
 
     void leaveOut(Set<HostId> hosts, boolean on) {
--- a/emulator/src/main/java/embershift/emulator/world/Service.java
+++ b/emulator/src/main/java/embershift/emulator/world/Service.java
@@ -1,12 +1,12 @@
 package embershift.emulator.world;
 
 import embershift.emulator.day.Day;
-
 import java.util.Arrays;
 
 /**
- * Credit of the seconds that were well served over that of all seconds asked for, second by second, apart for each
- * profile and participant. What a participant asks beyond its share of a second's credit is worth less.
+ * Credit of the seconds that were well served over that of all seconds asked for, second by second,
+ * apart for each profile and participant. What a participant asks beyond its share of a second's
+ * credit is worth less.
  */
 public final class Service {
 
@@ -14,8 +14,10 @@
 
     private final Day day;
     private final int seconds;
+
     /** By profile, participant and second. */
     private final double[][][] asked;
+
     private final double[][][] served;
 
     public Service(Day day) {
@@ -37,7 +39,7 @@
 
     private void spread(double[] row, double from, double to, double worth) {
         double end = Math.min(to, day.lasts());
-        for (double at = Math.max(0, from); at < end;) {
+        for (double at = Math.max(0, from); at < end; ) {
             int second = (int) at;
             double until = Math.min(end, second + 1);
             row[second] += worth * (until - at);
@@ -63,8 +65,10 @@
             }
             for (int i = 0; i < each.length; i++) {
                 double mine = day.participant().get(i).share() * all;
-                weights[i][second] = each[i] <= mine ? 1
-                        : (mine + (each[i] - mine) * day.score().beyondShare()) / each[i];
+                weights[i][second] =
+                        each[i] <= mine
+                                ? 1
+                                : (mine + (each[i] - mine) * day.score().beyondShare()) / each[i];
             }
         }
         return weights;
@@ -86,7 +90,8 @@
 
     private double of(int profile, int participant) {
         double[][] weights = weights();
-        return ratio(Arrays.stream(sums(served, weights, profile, participant)).sum(),
+        return ratio(
+                Arrays.stream(sums(served, weights, profile, participant)).sum(),
                 Arrays.stream(sums(asked, weights, profile, participant)).sum());
     }
 
@@ -131,7 +136,12 @@
         double worst = 1;
         for (int from = 0; from + Math.min(WORST, seconds) <= seconds; from++) {
             int to = from + Math.min(WORST, seconds);
-            worst = Math.min(worst, ratio(Arrays.stream(had, from, to).sum(), Arrays.stream(wanted, from, to).sum()));
+            worst =
+                    Math.min(
+                            worst,
+                            ratio(
+                                    Arrays.stream(had, from, to).sum(),
+                                    Arrays.stream(wanted, from, to).sum()));
         }
         return worst;
     }
--- a/emulator/src/main/java/embershift/emulator/world/Setup.java
+++ b/emulator/src/main/java/embershift/emulator/world/Setup.java
@@ -13,11 +13,15 @@
     final double sentAt;
     final Wire toHost = new Wire();
     final Wire toNode = new Wire();
+
     /** Whether the line has left; whether it reached the host's program. */
     boolean lineSent;
+
     boolean arrived;
+
     /** Whether the node holds it to be over, and whether the host has heard that. */
     boolean ended;
+
     boolean closedAtHost;
 
     Setup(Attempt attempt, int number, NodeShell node, Host host, HostId address, double sentAt) {
--- a/emulator/src/main/java/embershift/emulator/world/Stage.java
+++ b/emulator/src/main/java/embershift/emulator/world/Stage.java
@@ -2,7 +2,6 @@
 
 import embershift.emulator.day.Trouble.Direction;
 import embershift.model.HostId;
-
 import java.util.List;
 import java.util.Set;
 import java.util.function.Predicate;
@@ -24,7 +23,10 @@
     /** A program starts there, cold; {@code moved}: under another address. */
     void startHost(Host host, boolean moved);
 
-    /** It takes nothing new, lets its tunnels go as the day has it, stops, and comes back so many seconds later. */
+    /**
+     * It takes nothing new, lets its tunnels go as the day has it, stops, and comes back so many
+     * seconds later.
+     */
     void drainHost(Host host, double lasts);
 
     /** Lets nothing pass between these and those. */
--- a/emulator/src/main/java/embershift/emulator/world/Store.java
+++ b/emulator/src/main/java/embershift/emulator/world/Store.java
@@ -2,7 +2,9 @@
 
 import embershift.emulator.day.Day;
 
-/** The session store that each setup calls, shared by all hosts: calls in turn, so many a second. */
+/**
+ * The session store that each setup calls, shared by all hosts: calls in turn, so many a second.
+ */
 public final class Store {
 
     private final Backlog calls;
--- a/emulator/src/main/java/embershift/emulator/world/Troubles.java
+++ b/emulator/src/main/java/embershift/emulator/world/Troubles.java
@@ -5,7 +5,6 @@
 import embershift.emulator.day.UnreadableDay;
 import embershift.emulator.day.Whom;
 import embershift.model.HostId;
-
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
@@ -14,7 +13,10 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Lets a day's troubles befall its world, each on the hosts, nodes or clients that its share is drawn from. */
+/**
+ * Lets a day's troubles befall its world, each on the hosts, nodes or clients that its share is
+ * drawn from.
+ */
 public final class Troubles {
 
     private final Stage world;
@@ -32,13 +34,22 @@
         for (Trouble trouble : day.trouble()) {
             Whom whom = read(trouble.whom());
             // Whom it befalls is drawn once: what comes again comes to the same.
-            List<Host> hosts = whom.sort().equals("hosts") ? share(world.hosts().stream()
-                    .filter(host -> suits(whom, host)).toList(), whom.share()) : List.of();
-            List<Integer> nodes = whom.sort().equals("nodes") ? share(nodes(whom), whom.share()) : List.of();
+            List<Host> hosts =
+                    whom.sort().equals("hosts")
+                            ? share(
+                                    world.hosts().stream()
+                                            .filter(host -> suits(whom, host))
+                                            .toList(),
+                                    whom.share())
+                            : List.of();
+            List<Integer> nodes =
+                    whom.sort().equals("nodes") ? share(nodes(whom), whom.share()) : List.of();
             Predicate<Place> peers = peers(trouble);
             for (int i = 0; i < trouble.times(); i++) {
-                world.agenda().at(trouble.at() + i * trouble.every(),
-                        () -> begin(trouble, whom, hosts, nodes, peers));
+                world.agenda()
+                        .at(
+                                trouble.at() + i * trouble.every(),
+                                () -> begin(trouble, whom, hosts, nodes, peers));
             }
         }
     }
@@ -101,41 +112,88 @@
                 yield place -> place.sort == Place.Sort.NODE && nodes.contains(place.number);
             }
             default -> {
-                List<Host> hosts = share(world.hosts().stream().filter(host -> suits(whom, host)).toList(),
-                        whom.share());
+                List<Host> hosts =
+                        share(
+                                world.hosts().stream().filter(host -> suits(whom, host)).toList(),
+                                whom.share());
                 yield place -> place instanceof Host host && hosts.contains(host);
             }
         };
     }
 
-    private void begin(Trouble trouble, Whom whom, List<Host> hosts, List<Integer> nodes, Predicate<Place> peers) {
+    private void begin(
+            Trouble trouble,
+            Whom whom,
+            List<Host> hosts,
+            List<Integer> nodes,
+            Predicate<Place> peers) {
         double lasts = trouble.lasts();
-        world.trace().of(world.agenda().now(), "troubles", trouble.what().written() + " " + trouble.whom());
+        world.trace()
+                .of(
+                        world.agenda().now(),
+                        "troubles",
+                        trouble.what().written() + " " + trouble.whom());
         switch (trouble.what()) {
             case CRASH -> {
                 hosts.forEach(host -> crash(host, lasts));
                 nodes.forEach(node -> world.crashNode(node, lasts));
             }
-            case VANISH -> hosts.forEach(host -> {
-                world.stopHost(host, true);
-                world.agenda().in(lasts, () -> world.startHost(host, trouble.otherAddress()));
-            });
-            case SLOW -> during(hosts, lasts, host -> host.drag(1 / trouble.factor(), true),
-                    host -> host.drag(1 / trouble.factor(), false));
-            case NEIGHBOUR -> during(hosts, lasts, host -> host.drag(1 - trouble.part(), true),
-                    host -> host.drag(1 - trouble.part(), false));
+            case VANISH ->
+                    hosts.forEach(
+                            host -> {
+                                world.stopHost(host, true);
+                                world.agenda()
+                                        .in(
+                                                lasts,
+                                                () ->
+                                                        world.startHost(
+                                                                host, trouble.otherAddress()));
+                            });
+            case SLOW ->
+                    during(
+                            hosts,
+                            lasts,
+                            host -> host.drag(1 / trouble.factor(), true),
+                            host -> host.drag(1 / trouble.factor(), false));
+            case NEIGHBOUR ->
+                    during(
+                            hosts,
+                            lasts,
+                            host -> host.drag(1 - trouble.part(), true),
+                            host -> host.drag(1 - trouble.part(), false));
             case STALL -> during(hosts, lasts, host -> host.stall(true), host -> host.stall(false));
-            case FAIL_FAST -> during(hosts, lasts, host -> host.failing = trouble.part(), host -> host.failing = 0);
-            case HALF_ANSWER -> during(hosts, lasts, host -> host.halving = trouble.part(),
-                    host -> host.halving = 0);
+            case FAIL_FAST ->
+                    during(
+                            hosts,
+                            lasts,
+                            host -> host.failing = trouble.part(),
+                            host -> host.failing = 0);
+            case HALF_ANSWER ->
+                    during(
+                            hosts,
+                            lasts,
+                            host -> host.halving = trouble.part(),
+                            host -> host.halving = 0);
             case MUTE -> during(hosts, lasts, host -> host.mute = true, host -> host.mute = false);
-            case REFUSE -> during(hosts, lasts, host -> host.refusing = true, host -> host.refusing = false);
+            case REFUSE ->
+                    during(
+                            hosts,
+                            lasts,
+                            host -> host.refusing = true,
+                            host -> host.refusing = false);
             case DRAIN -> hosts.forEach(host -> world.drainHost(host, lasts));
             case CUT, FLAP -> {
-                Predicate<Place> inside = whom.sort().equals("hosts")
-                        ? place -> place instanceof Host host && hosts.contains(host)
-                        : place -> place.sort == Place.Sort.NODE && nodes.contains(place.number);
-                world.cut(inside, place -> !inside.test(place) && peers.test(place), trouble.direction(), lasts);
+                Predicate<Place> inside =
+                        whom.sort().equals("hosts")
+                                ? place -> place instanceof Host host && hosts.contains(host)
+                                : place ->
+                                        place.sort == Place.Sort.NODE
+                                                && nodes.contains(place.number);
+                world.cut(
+                        inside,
+                        place -> !inside.test(place) && peers.test(place),
+                        trouble.direction(),
+                        lasts);
             }
             case RESTART -> restart(trouble, nodes);
             case PAUSE -> nodes.forEach(node -> world.pauseNode(node, lasts));
@@ -146,7 +204,10 @@
             }
             case COSTLY -> {
                 int number = begun++;
-                world.crowd().costly(number, new double[] {profile(whom), trouble.part(), trouble.factor()});
+                world.crowd()
+                        .costly(
+                                number,
+                                new double[] {profile(whom), trouble.part(), trouble.factor()});
                 world.agenda().in(lasts, () -> world.crowd().costly(number, null));
             }
             case STORE_SLOW -> {
@@ -157,8 +218,12 @@
             case ROSTER_OLD -> {
                 rosterAway(lasts);
                 double end = world.agenda().now() + lasts;
-                world.agenda().at(end - 1e-6, () -> world.rosterOlder(lasts + trouble.factor(),
-                        end + trouble.factor()));
+                world.agenda()
+                        .at(
+                                end - 1e-6,
+                                () ->
+                                        world.rosterOlder(
+                                                lasts + trouble.factor(), end + trouble.factor()));
             }
             case ROSTER_SHRINKS -> {
                 Set<HostId> left = new LinkedHashSet<>();
@@ -196,27 +261,40 @@
         }
     }
 
-    /** In waves of {@code part} of them, evenly over the time; told to stop first, where that is polite. */
+    /**
+     * In waves of {@code part} of them, evenly over the time; told to stop first, where that is
+     * polite.
+     */
     private void restart(Trouble trouble, List<Integer> nodes) {
         int wave = (int) Math.max(1, Math.round(trouble.part() * nodes.size()));
         int waves = (nodes.size() + wave - 1) / wave;
         for (int i = 0; i < nodes.size(); i++) {
             int number = nodes.get(i);
-            world.agenda().in(trouble.lasts() * (i / wave) / waves, () -> {
-                if (trouble.politely()) {
-                    world.restartNode(number);
-                } else {
-                    world.crashNode(number, 0);
-                }
-            });
+            world.agenda()
+                    .in(
+                            trouble.lasts() * (i / wave) / waves,
+                            () -> {
+                                if (trouble.politely()) {
+                                    world.restartNode(number);
+                                } else {
+                                    world.crashNode(number, 0);
+                                }
+                            });
         }
     }
 
     private void drop(Trouble trouble, Whom whom) {
         int profile = profile(whom);
-        for (Caller caller : share(world.standing().stream()
-                .filter(one -> (profile < 0 || one.profile == profile)
-                        && (whom.zone() == null || whom.zone().equals(one.zone))).toList(), whom.share())) {
+        for (Caller caller :
+                share(
+                        world.standing().stream()
+                                .filter(
+                                        one ->
+                                                (profile < 0 || one.profile == profile)
+                                                        && (whom.zone() == null
+                                                                || whom.zone().equals(one.zone)))
+                                .toList(),
+                        whom.share())) {
             world.drop(caller, trouble.lasts() * dice.part());
         }
     }
--- a/emulator/src/main/java/embershift/emulator/world/Wire.java
+++ b/emulator/src/main/java/embershift/emulator/world/Wire.java
@@ -3,7 +3,9 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** One direction of one connection: what is sent arrives in that order, or does not arrive at all. */
+/**
+ * One direction of one connection: what is sent arrives in that order, or does not arrive at all.
+ */
 final class Wire {
 
     private static final class Part {
@@ -20,11 +22,14 @@
     void send(Network network, Place from, Place to, Runnable what) {
         Part part = new Part(what);
         parts.add(part);
-        network.stream(from, to, () -> {
-            part.here = true;
-            while (!parts.isEmpty() && parts.peek().here) {
-                parts.remove().what.run();
-            }
-        });
+        network.stream(
+                from,
+                to,
+                () -> {
+                    part.here = true;
+                    while (!parts.isEmpty() && parts.peek().here) {
+                        parts.remove().what.run();
+                    }
+                });
     }
 }
--- a/emulator/src/main/java/embershift/emulator/world/World.java
+++ b/emulator/src/main/java/embershift/emulator/world/World.java
@@ -10,9 +10,6 @@
 import embershift.model.SetupEnd;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-
-import org.HdrHistogram.Histogram;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -20,12 +17,16 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.HdrHistogram.Histogram;
 
-/** One day: makes the fleet, lets clients come and troubles befall it, and counts what became of it. */
+/**
+ * One day: makes the fleet, lets clients come and troubles befall it, and counts what became of it.
+ */
 public final class World implements Module.Truth, Stage {
 
     /** Seconds between two looks at each host: what is well served is known as finely as that. */
     private static final double LOOK = 0.1;
+
     /** Seconds between two lines of a client. */
     private static final double LINES = 2;
 
@@ -47,8 +48,10 @@
     private final List<ProfileId> profileIds = new ArrayList<>();
     private final List<ParticipantId> participantIds = new ArrayList<>();
     private final Set<Attempt> mute = new LinkedHashSet<>();
+
     /** Of each host: tunnels that pass lines, by profile and participant. */
     private final int[][][] passing;
+
     private final double[] lookedAt;
     private final double[] wasTaking;
     private final List<double[]> loads = new ArrayList<>();
@@ -59,6 +62,7 @@
     private final Dice nodeLuck;
     private final Dice loadLuck;
     private final Histogram opening = new Histogram(1, 600_000_000L, 3);
+
     /** What modules of nodes took that have died since. */
     private long deadNanos;
 
@@ -74,12 +78,20 @@
         this.loadLuck = new Dice(seed, "loads");
         this.network = new Network(day.network(), agenda, new Dice(seed, "network"));
         List<String> zones = day.fleet().zones();
-        this.roster = new Roster(day.roster(), zones.get(0), agenda, network, new Dice(seed, "roster"), witness);
+        this.roster =
+                new Roster(
+                        day.roster(),
+                        zones.get(0),
+                        agenda,
+                        network,
+                        new Dice(seed, "roster"),
+                        witness);
         this.front = new Front(zones, new Dice(seed, "front"));
         hosts.addAll(Host.fleet(day, seed, agenda));
         hosts.forEach(host -> byAddress.put(host.address(), host));
         day.profile().forEach(profile -> profileIds.add(new ProfileId(profile.name())));
-        day.participant().forEach(participant -> participantIds.add(new ParticipantId(participant.name())));
+        day.participant()
+                .forEach(participant -> participantIds.add(new ParticipantId(participant.name())));
         this.crowd = new Crowd(day, seed, agenda, hosts);
         this.store = new Store(day.store(), crowd.rate(), agenda);
         this.nodes = new NodeShell[day.fleet().nodes()];
@@ -112,7 +124,8 @@
         counts.callers = crowd.callers();
         counts.rosterCalls = roster.calls;
         counts.rosterEntries = roster.entries;
-        return new Outcome(day, service, counts, opening, loads, happened, nanos, inModule + deadNanos);
+        return new Outcome(
+                day, service, counts, opening, loads, happened, nanos, inModule + deadNanos);
     }
 
     // ---- What its parts ask of it ----
@@ -177,22 +190,55 @@
     Deployment deployment(long seed, int rank, String zone) {
         List<Deployment.Profile> profiles = new ArrayList<>();
         for (Day.Profile row : day.profile()) {
-            profiles.add(new Deployment.Profile(new ProfileId(row.name()),
-                    Deployment.Repeat.valueOf(row.repeat().name()), Deployment.DedupScope.valueOf(row.scope().name()),
-                    row.window(), row.goal(), row.patience(), row.message(), row.credit()));
+            profiles.add(
+                    new Deployment.Profile(
+                            new ProfileId(row.name()),
+                            Deployment.Repeat.valueOf(row.repeat().name()),
+                            Deployment.DedupScope.valueOf(row.scope().name()),
+                            row.window(),
+                            row.goal(),
+                            row.patience(),
+                            row.message(),
+                            row.credit()));
         }
         Day.Limits limits = day.limits();
-        return new Deployment(seed, day.fleet().nodes(), rank, new ZoneId(zone), profiles, true,
-                day.roster().mustAskWithin(), limits.mayProbe(), limits.mayTellNodes(), true, limits.mayCancel(),
-                false, limits.mostSetups(), limits.advice(), limits.longestReturn(), limits.connectTimeout(), 0,
-                day.rules().drainGrace(), day.host().coldFrom(), day.host().warmAfter(), day.rules().fallMultiple(),
-                day.rules().fallAfter(), Deployment.Budget.NONE, false, 0);
+        return new Deployment(
+                seed,
+                day.fleet().nodes(),
+                rank,
+                new ZoneId(zone),
+                profiles,
+                true,
+                day.roster().mustAskWithin(),
+                limits.mayProbe(),
+                limits.mayTellNodes(),
+                true,
+                limits.mayCancel(),
+                false,
+                limits.mostSetups(),
+                limits.advice(),
+                limits.longestReturn(),
+                limits.connectTimeout(),
+                0,
+                day.rules().drainGrace(),
+                day.host().coldFrom(),
+                day.host().warmAfter(),
+                day.rules().fallMultiple(),
+                day.rules().fallAfter(),
+                Deployment.Budget.NONE,
+                false,
+                0);
     }
 
     /** Starts a node's program; its clients come once the front has had its answer. */
     void startNode(int number, List<Listing> remembered) {
         String zone = day.fleet().zones().get(number % day.fleet().zones().size());
-        NodeShell node = new NodeShell(this, number, zone, maker.make(deployment(nodeLuck.number(), number, zone), this));
+        NodeShell node =
+                new NodeShell(
+                        this,
+                        number,
+                        zone,
+                        maker.make(deployment(nodeLuck.number(), number, zone), this));
         nodes[number] = node;
         witness.nodeChanged(now(), node.name, true);
         trace.of(now(), node.name, "starts");
@@ -244,11 +290,14 @@
     void tellNode(NodeShell from, int to, byte[] content) {
         NodeShell node = to >= 0 && to < nodes.length ? nodes[to] : null;
         if (node != null) {
-            network.datagram(from, node, () -> {
-                if (nodes[to].runs()) {
-                    nodes[to].datagram(from.number, content);
-                }
-            });
+            network.datagram(
+                    from,
+                    node,
+                    () -> {
+                        if (nodes[to].runs()) {
+                            nodes[to].datagram(from.number, content);
+                        }
+                    });
         }
     }
 
@@ -266,7 +315,9 @@
             caller.over = true;
             return;
         }
-        Attempt attempt = new Attempt(new TunnelId("t" + caller.number + "." + caller.tries++), caller, now());
+        Attempt attempt =
+                new Attempt(
+                        new TunnelId("t" + caller.number + "." + caller.tries++), caller, now());
         caller.attempt = attempt;
         counts.tunnels++;
         NodeShell node = front.deal(caller.zone);
@@ -288,7 +339,12 @@
             retry(attempt, 0);
             return;
         }
-        witness.taken(now(), attempt.id.name(), node.name, attempt.caller.profile, attempt.began + patience);
+        witness.taken(
+                now(),
+                attempt.id.name(),
+                node.name,
+                attempt.caller.profile,
+                attempt.began + patience);
         trace.of(now(), attempt, "reaches " + node.name);
         node.take(attempt, patience);
     }
@@ -322,7 +378,8 @@
         } else {
             counts.closedWithError++;
             if (day.profile().get(attempt.caller.profile).repeat() == Day.Repeat.ONCE_ONLY) {
-                attempt.caller.over = true;  // it may have run: nobody knows, so its client must not try again
+                attempt.caller.over =
+                        true; // it may have run: nobody knows, so its client must not try again
             } else {
                 retry(attempt, 0);
             }
@@ -347,7 +404,9 @@
         settle(attempt);
         if (caller.attempt == attempt && !caller.over) {
             caller.retriesLeft = day.callers().retries();
-            agenda.in(network.nearDelay() + patiences.within(day.callers().returns()), () -> open(caller));
+            agenda.in(
+                    network.nearDelay() + patiences.within(day.callers().returns()),
+                    () -> open(caller));
         }
     }
 
@@ -382,27 +441,36 @@
         NodeShell node = setup.node;
         Host host = setup.host;
         double timeout = day.limits().connectTimeout();
-        if (host.state() == Host.State.SILENT || !setup.address.equals(host.address())
+        if (host.state() == Host.State.SILENT
+                || !setup.address.equals(host.address())
                 || !network.openBothWays(node, host)) {
             agenda.in(timeout, () -> node.ended(setup, SetupEnd.NO_CONNECTION));
             return;
         }
         double there = network.delay(node, host);
         double back = network.delay(node, host);
-        agenda.in(there, () -> {
-            if (host.state() == Host.State.SILENT) {
-                agenda.in(timeout, () -> node.ended(setup, SetupEnd.NO_CONNECTION));
-            } else if (host.state() == Host.State.DOWN || host.refusing) {
-                setup.toNode.send(network, host, node, () -> node.ended(setup, SetupEnd.NO_CONNECTION));
-            } else {
-                agenda.in(back, () -> {
-                    if (!setup.ended && node.runs()) {
-                        setup.lineSent = true;
-                        setup.toHost.send(network, node, host, () -> arrive(setup));
+        agenda.in(
+                there,
+                () -> {
+                    if (host.state() == Host.State.SILENT) {
+                        agenda.in(timeout, () -> node.ended(setup, SetupEnd.NO_CONNECTION));
+                    } else if (host.state() == Host.State.DOWN || host.refusing) {
+                        setup.toNode.send(
+                                network,
+                                host,
+                                node,
+                                () -> node.ended(setup, SetupEnd.NO_CONNECTION));
+                    } else {
+                        agenda.in(
+                                back,
+                                () -> {
+                                    if (!setup.ended && node.runs()) {
+                                        setup.lineSent = true;
+                                        setup.toHost.send(network, node, host, () -> arrive(setup));
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
     private void reply(Setup setup, SetupEnd end) {
@@ -463,21 +531,23 @@
             reply(setup, SetupEnd.ERROR);
             return;
         }
-        store.call(() -> {
-            if (launch != host.launches()) {
-                return;
-            }
-            // Draining or not, what has begun to run is brought to its end: BUSY now would say that it never ran.
-            if (setup.closedAtHost || half) {
-                host.forget();
-                counts.wastedWork += work;
-                if (!setup.closedAtHost) {
-                    reply(setup, SetupEnd.BROKEN);
-                }
-                return;
-            }
-            up(setup);
-        });
+        store.call(
+                () -> {
+                    if (launch != host.launches()) {
+                        return;
+                    }
+                    // Draining or not, what has begun to run is brought to its end: BUSY now would
+                    // say that it never ran.
+                    if (setup.closedAtHost || half) {
+                        host.forget();
+                        counts.wastedWork += work;
+                        if (!setup.closedAtHost) {
+                            reply(setup, SetupEnd.BROKEN);
+                        }
+                        return;
+                    }
+                    up(setup);
+                });
     }
 
     @Override
@@ -501,7 +571,8 @@
             setup.toHost.send(network, node, setup.host, () -> closedAtHost(setup));
             return;
         }
-        // UP passes on to the client by itself, whatever the module has said before: the judge sees it.
+        // UP passes on to the client by itself, whatever the module has said before: the judge sees
+        // it.
         attempt.host = setup.host;
         node.opened(setup);
         boolean late = attempt.answered;
@@ -522,7 +593,8 @@
             witness.answered(now(), attempt.id.name(), Witness.Answer.OPENED);
         }
         if (setup.ended || attempt.left) {
-            return;  // broken or moved on its way: the client hears UP, then the end, and comes again by that
+            return; // broken or moved on its way: the client hears UP, then the end, and comes
+            // again by that
         }
         counts.opened++;
         double took = now() - attempt.began;
@@ -547,16 +619,23 @@
 
     private void planLoad(Attempt attempt) {
         if (day.traffic().loadSpread() > 0) {
-            agenda.in(loadLuck.exponential(day.traffic().loadChangesEvery()), () -> {
-                if (!attempt.left && attempt.host != null && attempt.host.standing().contains(attempt)) {
-                    Day.Profile row = day.profile().get(attempt.caller.profile);
-                    double load = row.load() / day.traffic().perCore() * attempt.caller.cost
-                            * loadLuck.spread(day.traffic().loadSpread());
-                    attempt.host.loadChanges(attempt, load);
-                    attempt.node.hearLater(news -> news.tunnelLoadNoted(attempt.id, load));
-                    planLoad(attempt);
-                }
-            });
+            agenda.in(
+                    loadLuck.exponential(day.traffic().loadChangesEvery()),
+                    () -> {
+                        if (!attempt.left
+                                && attempt.host != null
+                                && attempt.host.standing().contains(attempt)) {
+                            Day.Profile row = day.profile().get(attempt.caller.profile);
+                            double load =
+                                    row.load()
+                                            / day.traffic().perCore()
+                                            * attempt.caller.cost
+                                            * loadLuck.spread(day.traffic().loadSpread());
+                            attempt.host.loadChanges(attempt, load);
+                            attempt.node.hearLater(news -> news.tunnelLoadNoted(attempt.id, load));
+                            planLoad(attempt);
+                        }
+                    });
         }
     }
 
@@ -570,10 +649,14 @@
         settle(attempt);
         if (passed) {
             attempt.host.release(attempt);
-            attempt.setup.toNode.send(network, attempt.host, attempt.node, () -> {
-                attempt.left = true;
-                attempt.node.ended(attempt.setup, SetupEnd.COMPLETED);
-            });
+            attempt.setup.toNode.send(
+                    network,
+                    attempt.host,
+                    attempt.node,
+                    () -> {
+                        attempt.left = true;
+                        attempt.node.ended(attempt.setup, SetupEnd.COMPLETED);
+                    });
         } else {
             agenda.in(network.nearDelay(), () -> attempt.node.clientLeft(attempt));
         }
@@ -593,7 +676,8 @@
         if (attempt.passing != on) {
             account(attempt.host);
             attempt.passing = on;
-            passing[attempt.host.number][attempt.caller.profile][attempt.caller.participant] += on ? 1 : -1;
+            passing[attempt.host.number][attempt.caller.profile][attempt.caller.participant] +=
+                    on ? 1 : -1;
         }
     }
 
@@ -611,16 +695,24 @@
         }
         attempt.muteSince = now() + LINES * loadLuck.part();
         double since = attempt.muteSince;
-        agenda.at(since + NodeShell.NOTED_AFTER, () -> {
-            if (mute.contains(attempt) && attempt.muteSince == since && attempt.node.runs()) {
-                attempt.node.silent(attempt);
-            }
-        });
-        agenda.at(since + NodeShell.MOVED_AFTER, () -> {
-            if (mute.contains(attempt) && attempt.muteSince == since && attempt.node.runs()) {
-                attempt.node.move(attempt.id);
-            }
-        });
+        agenda.at(
+                since + NodeShell.NOTED_AFTER,
+                () -> {
+                    if (mute.contains(attempt)
+                            && attempt.muteSince == since
+                            && attempt.node.runs()) {
+                        attempt.node.silent(attempt);
+                    }
+                });
+        agenda.at(
+                since + NodeShell.MOVED_AFTER,
+                () -> {
+                    if (mute.contains(attempt)
+                            && attempt.muteSince == since
+                            && attempt.node.runs()) {
+                        attempt.node.move(attempt.id);
+                    }
+                });
     }
 
     /** Standing tunnels to this address whose lines bring nothing back. */
@@ -689,34 +781,50 @@
     void probe(NodeShell node, Host host, HostId to) {
         double sentAt = now();
         double timeout = day.limits().connectTimeout();
-        if (host.state() == Host.State.SILENT || !to.equals(host.address()) || !network.openBothWays(node, host)) {
+        if (host.state() == Host.State.SILENT
+                || !to.equals(host.address())
+                || !network.openBothWays(node, host)) {
             agenda.in(timeout, () -> failProbe(node, to, sentAt));
             return;
         }
         int launch = host.launches();
-        agenda.in(network.delay(node, host), () -> {
-            if (!host.runs()) {
-                if (host.state() == Host.State.DOWN) {
-                    network.stream(host, node, () -> failProbe(node, to, sentAt));
-                } else {
-                    agenda.in(timeout, () -> failProbe(node, to, sentAt));
-                }
-                return;
-            }
-            host.probed();
-            double load = host.reportedLoad();
-            int tunnels = host.reportedTunnels();
-            int queue = host.reportedQueue();
-            agenda.in(host.stalled() ? LOOK : 0, () -> network.stream(host, node, () -> {
-                if (node.runs()) {
-                    if (launch == host.launches()) {
-                        node.probeEnded(to, true, now() - sentAt, load, tunnels, queue);
-                    } else {
-                        failProbe(node, to, sentAt);
+        agenda.in(
+                network.delay(node, host),
+                () -> {
+                    if (!host.runs()) {
+                        if (host.state() == Host.State.DOWN) {
+                            network.stream(host, node, () -> failProbe(node, to, sentAt));
+                        } else {
+                            agenda.in(timeout, () -> failProbe(node, to, sentAt));
+                        }
+                        return;
                     }
-                }
-            }));
-        });
+                    host.probed();
+                    double load = host.reportedLoad();
+                    int tunnels = host.reportedTunnels();
+                    int queue = host.reportedQueue();
+                    agenda.in(
+                            host.stalled() ? LOOK : 0,
+                            () ->
+                                    network.stream(
+                                            host,
+                                            node,
+                                            () -> {
+                                                if (node.runs()) {
+                                                    if (launch == host.launches()) {
+                                                        node.probeEnded(
+                                                                to,
+                                                                true,
+                                                                now() - sentAt,
+                                                                load,
+                                                                tunnels,
+                                                                queue);
+                                                    } else {
+                                                        failProbe(node, to, sentAt);
+                                                    }
+                                                }
+                                            }));
+                });
     }
 
     private void failProbe(NodeShell node, HostId to, double sentAt) {
@@ -749,9 +857,14 @@
             if (!silent && node.runs()) {
                 for (Attempt attempt : node.attempts()) {
                     Setup setup = attempt.setup;
-                    if (setup != null && !setup.ended && setup.host == host && !attempt.up() && setup.arrived
+                    if (setup != null
+                            && !setup.ended
+                            && setup.host == host
+                            && !attempt.up()
+                            && setup.arrived
                             && !broken.contains(attempt)) {
-                        setup.toNode.send(network, host, node, () -> node.ended(setup, SetupEnd.BROKEN));
+                        setup.toNode.send(
+                                network, host, node, () -> node.ended(setup, SetupEnd.BROKEN));
                     }
                 }
             }
@@ -765,18 +878,22 @@
         if (setup == null || setup.host != host || attempt.left) {
             return;
         }
-        setup.toNode.send(network, host, node, () -> {
-            if (!attempt.left && node.runs() && !setup.ended) {
-                if (attempt.up()) {
-                    attempt.left = true;
-                    counts.breaks++;
-                    node.ended(setup, SetupEnd.BROKEN);
-                    broken(attempt);
-                } else {
-                    node.ended(setup, SetupEnd.BROKEN);
-                }
-            }
-        });
+        setup.toNode.send(
+                network,
+                host,
+                node,
+                () -> {
+                    if (!attempt.left && node.runs() && !setup.ended) {
+                        if (attempt.up()) {
+                            attempt.left = true;
+                            counts.breaks++;
+                            node.ended(setup, SetupEnd.BROKEN);
+                            broken(attempt);
+                        } else {
+                            node.ended(setup, SetupEnd.BROKEN);
+                        }
+                    }
+                });
     }
 
     /** A program starts there, cold; what still hangs on the old one breaks at its next line. */
@@ -812,30 +929,39 @@
         for (int i = 0; i < all.size(); i++) {
             Attempt attempt = all.get(i);
             if (day.host().drain() != Day.Drain.KEPT) {
-                double at = day.host().drain() == Day.Drain.AT_ONCE ? 0 : day.host().drainFor() * i / all.size();
+                double at =
+                        day.host().drain() == Day.Drain.AT_ONCE
+                                ? 0
+                                : day.host().drainFor() * i / all.size();
                 agenda.in(at, () -> sendAway(attempt, host, launch));
             }
         }
-        agenda.in(day.host().drainFor(), () -> {
-            if (launch == host.launches()) {
-                stopHost(host, false);
-                agenda.in(lasts, () -> startHost(host, false));
-            }
-        });
+        agenda.in(
+                day.host().drainFor(),
+                () -> {
+                    if (launch == host.launches()) {
+                        stopHost(host, false);
+                        agenda.in(lasts, () -> startHost(host, false));
+                    }
+                });
     }
 
     private void sendAway(Attempt attempt, Host host, int launch) {
         if (launch == host.launches() && !attempt.left && host.standing().contains(attempt)) {
             host.release(attempt);
             Setup setup = attempt.setup;
-            setup.toNode.send(network, host, attempt.node, () -> {
-                if (!attempt.left && attempt.node.runs() && !setup.ended) {
-                    attempt.left = true;
-                    counts.breaks++;
-                    attempt.node.ended(setup, SetupEnd.CANCELLED);
-                    broken(attempt);
-                }
-            });
+            setup.toNode.send(
+                    network,
+                    host,
+                    attempt.node,
+                    () -> {
+                        if (!attempt.left && attempt.node.runs() && !setup.ended) {
+                            attempt.left = true;
+                            counts.breaks++;
+                            attempt.node.ended(setup, SetupEnd.CANCELLED);
+                            broken(attempt);
+                        }
+                    });
         }
     }
 
@@ -846,7 +972,11 @@
         for (Caller standing : crowd.standing()) {
             service.asks(standing.profile, standing.participant, 0, standing.ends);
             standing.retriesLeft = day.callers().retries();
-            Attempt attempt = new Attempt(new TunnelId("t" + standing.number + "." + standing.tries++), standing, 0);
+            Attempt attempt =
+                    new Attempt(
+                            new TunnelId("t" + standing.number + "." + standing.tries++),
+                            standing,
+                            0);
             standing.attempt = attempt;
             NodeShell node = front.deal(standing.zone);
             Host host = homes.get(standing.group);
@@ -870,7 +1000,8 @@
     }
 
     @Override
-    public void cut(Predicate<Place> inside, Predicate<Place> outside, Direction direction, double lasts) {
+    public void cut(
+            Predicate<Place> inside, Predicate<Place> outside, Direction direction, double lasts) {
         network.cut(inside, outside, direction, lasts, this::waysChanged);
     }
 
@@ -892,13 +1023,17 @@
         }
         node.leave();
         agenda.in(nodeLuck.within(day.node().frontLag()), () -> front.takeOut(node));
-        agenda.in(day.node().leaves(), () -> {
-            if (node.runs()) {
-                List<Listing> known = node.known();
-                killNode(node, true);
-                agenda.in(nodeLuck.within(day.node().starts()), () -> startNode(number, known));
-            }
-        });
+        agenda.in(
+                day.node().leaves(),
+                () -> {
+                    if (node.runs()) {
+                        List<Listing> known = node.known();
+                        killNode(node, true);
+                        agenda.in(
+                                nodeLuck.within(day.node().starts()),
+                                () -> startNode(number, known));
+                    }
+                });
     }
 
     @Override
@@ -926,8 +1061,14 @@
     @Override
     public boolean takes(HostId address) {
         Host host = host(address);
-        return host != null && address.equals(host.address()) && host.state() == Host.State.RUNNING && !host.mute
-                && !host.refusing && host.failing == 0 && host.halving == 0 && host.hasRoom();
+        return host != null
+                && address.equals(host.address())
+                && host.state() == Host.State.RUNNING
+                && !host.mute
+                && !host.refusing
+                && host.failing == 0
+                && host.halving == 0
+                && host.hasRoom();
     }
 
     @Override
--- a/emulator/src/test/java/embershift/Tree.java
+++ b/emulator/src/test/java/embershift/Tree.java
@@ -13,12 +13,10 @@
 
     final Path root = Files.createTempDirectory("tree");
 
-    Tree() throws IOException {
-    }
+    Tree() throws IOException {}
 
     /** How a script ended, and all that it wrote. */
-    record Ended(int status, String text) {
-    }
+    record Ended(int status, String text) {}
 
     /** Takes over a file of the repository, by its name from there. */
     void copy(String name) throws IOException {
@@ -37,13 +35,25 @@
         }
     }
 
-    /** Runs a script of the tree from its root, with bin/ there before all other programs and nothing on standard input. */
-    Ended run(Map<String, String> environment, String script, String... words) throws IOException, InterruptedException {
-        ProcessBuilder builder = new ProcessBuilder(Stream.concat(Stream.of("bash", script), Stream.of(words)).toList())
-                .directory(root.toFile()).redirectErrorStream(true).redirectInput(Path.of("/dev/null").toFile());
+    /**
+     * Runs a script of the tree from its root, with bin/ there before all other programs and
+     * nothing on standard input.
+     */
+    Ended run(Map<String, String> environment, String script, String... words)
+            throws IOException, InterruptedException {
+        ProcessBuilder builder =
+                new ProcessBuilder(
+                                Stream.concat(Stream.of("bash", script), Stream.of(words)).toList())
+                        .directory(root.toFile())
+                        .redirectErrorStream(true)
+                        .redirectInput(Path.of("/dev/null").toFile());
         String java = Path.of(System.getProperty("java.home"), "bin").toString();
-        builder.environment().put("PATH", root.resolve("bin") + ":" + java + ":" + System.getenv("PATH"));
-        builder.environment().keySet().removeIf(name -> name.startsWith("EMBERSHIFT_") || name.equals("JAVA_TOOL_OPTIONS"));
+        builder.environment()
+                .put("PATH", root.resolve("bin") + ":" + java + ":" + System.getenv("PATH"));
+        builder.environment()
+                .keySet()
+                .removeIf(
+                        name -> name.startsWith("EMBERSHIFT_") || name.equals("JAVA_TOOL_OPTIONS"));
         builder.environment().putAll(environment);
         Process process = builder.start();
         String text = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
--- a/emulator/src/test/java/embershift/emulator/DayReaderTest.java
+++ b/emulator/src/test/java/embershift/emulator/DayReaderTest.java
@@ -8,23 +8,22 @@
 import embershift.emulator.day.DayReader;
 import embershift.emulator.day.DayWriter;
 import embershift.emulator.day.UnreadableDay;
-
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Stream;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
 
 public class DayReaderTest {
 
     private static final DayReader READER = new DayReader();
 
     private static String wrong(String text) {
-        return org.testng.Assert.expectThrows(UnreadableDay.class, () -> READER.read(text, "d.toml", Map.of()))
+        return org.testng.Assert.expectThrows(
+                        UnreadableDay.class, () -> READER.read(text, "d.toml", Map.of()))
                 .getMessage();
     }
 
@@ -32,21 +31,58 @@
     public Object[][] wrongDays() {
         return new Object[][] {
             {"name = \"x\"\n[fleet]\nnods = 3\n", "d.toml:3: fleet.nods: ", "nods"},
-            {"name = \"x\"\n\n[network]\nbetween = \"5 ms\"\n", "d.toml:4: network.between: ", "array"},
+            {
+                "name = \"x\"\n\n[network]\nbetween = \"5 ms\"\n",
+                "d.toml:4: network.between: ",
+                "array"
+            },
             {"lasts = \"60 s\"\n", "d.toml:1: lasts: ", "number"},
             {"[network]\nwithin = [0.001, 5.0]\n", "d.toml:2: network.within", "2"},
-            {"[[profile]]\nname = \"a\"\nshare = 0.4\n[[profile]]\nname = \"b\"\nshare = 0.4\n",
-                "d.toml:3: profile.0.share: ", "must be 1, not 0.8"},
-            {"[[participant]]\nname = \"a\"\nshare = 1.4\n", "d.toml:3: participant.0.share: ", "1"},
-            {"[[trouble]]\nwhat = \"crash\"\nwhom = \"hosts zone nowhere\"\n", "d.toml:3: trouble.0.whom: ",
-                "aimed at nobody: there is no zone nowhere"},
-            {"[[trouble]]\nwhat = \"crash\"\nwhom = \"hosts named h2,h12\"\n", "d.toml:3: trouble.0.whom: ", "nobody"},
-            {"[[trouble]]\nwhat = \"crash\"\nwhom = \"hosts share 0\"\n", "d.toml:3: trouble.0.whom: ", "no part of 1"},
-            {"[[trouble]]\nwhat = \"slow\"\nwhom = \"nodes\"\n", "d.toml:3: trouble.0.whom: ", "befalls hosts, not nodes"},
-            {"[[trouble]]\nwhat = \"slow\"\nwhom = \"hosts\"\ntimes = 3\n", "d.toml:4: trouble.0.times: ", "every"},
-            {"lasts = 10.0\n[[trouble]]\nwhat = \"slow\"\nwhom = \"hosts\"\nat = 11.0\n", "d.toml:5: trouble.0.at: ",
-                "ends at 10"},
-            {"[[trouble]]\nwhat = \"melt\"\nwhom = \"hosts\"\n", "d.toml:2: trouble.0.what: ", "crash"},
+            {
+                "[[profile]]\nname = \"a\"\nshare = 0.4\n[[profile]]\nname = \"b\"\nshare = 0.4\n",
+                "d.toml:3: profile.0.share: ",
+                "must be 1, not 0.8"
+            },
+            {
+                "[[participant]]\nname = \"a\"\nshare = 1.4\n",
+                "d.toml:3: participant.0.share: ",
+                "1"
+            },
+            {
+                "[[trouble]]\nwhat = \"crash\"\nwhom = \"hosts zone nowhere\"\n",
+                "d.toml:3: trouble.0.whom: ",
+                "aimed at nobody: there is no zone nowhere"
+            },
+            {
+                "[[trouble]]\nwhat = \"crash\"\nwhom = \"hosts named h2,h12\"\n",
+                "d.toml:3: trouble.0.whom: ",
+                "nobody"
+            },
+            {
+                "[[trouble]]\nwhat = \"crash\"\nwhom = \"hosts share 0\"\n",
+                "d.toml:3: trouble.0.whom: ",
+                "no part of 1"
+            },
+            {
+                "[[trouble]]\nwhat = \"slow\"\nwhom = \"nodes\"\n",
+                "d.toml:3: trouble.0.whom: ",
+                "befalls hosts, not nodes"
+            },
+            {
+                "[[trouble]]\nwhat = \"slow\"\nwhom = \"hosts\"\ntimes = 3\n",
+                "d.toml:4: trouble.0.times: ",
+                "every"
+            },
+            {
+                "lasts = 10.0\n[[trouble]]\nwhat = \"slow\"\nwhom = \"hosts\"\nat = 11.0\n",
+                "d.toml:5: trouble.0.at: ",
+                "ends at 10"
+            },
+            {
+                "[[trouble]]\nwhat = \"melt\"\nwhom = \"hosts\"\n",
+                "d.toml:2: trouble.0.what: ",
+                "crash"
+            },
             {"[fleet\nnodes = 3\n", "d.toml:", ""},
         };
     }
@@ -61,7 +97,11 @@
 
     @Test
     public void whatAFileLeavesOutIsAsUsual() throws UnreadableDay {
-        Day day = READER.read("[[profile]]\nname = \"bid\"\ngoal = 0.3\n[traffic]\nload = 0.7\n", "d.toml", Map.of());
+        Day day =
+                READER.read(
+                        "[[profile]]\nname = \"bid\"\ngoal = 0.3\n[traffic]\nload = 0.7\n",
+                        "d.toml",
+                        Map.of());
         assertEquals(day.profile().get(0).goal(), 0.3);
         assertEquals(day.profile().get(0).patience(), 3.2);
         assertEquals(day.traffic().load(), 0.7);
@@ -72,18 +112,27 @@
     @Test
     public void changesTakeThePlaceOfWhatTheFileSays() throws UnreadableDay {
         String text = "[[trouble]]\nwhat = \"slow\"\nwhom = \"hosts\"\n";
-        Day day = READER.read(text, "d.toml", Map.of("traffic.load", "0.9", "trouble.0.at", "7.5", "host.drain", "kept"));
+        Day day =
+                READER.read(
+                        text,
+                        "d.toml",
+                        Map.of("traffic.load", "0.9", "trouble.0.at", "7.5", "host.drain", "kept"));
         assertEquals(day.traffic().load(), 0.9);
         assertEquals(day.trouble().get(0).at(), 7.5);
         assertEquals(day.host().drain(), Day.Drain.KEPT);
-        assertThrows(UnreadableDay.class, () -> READER.read(text, "d.toml", Map.of("trouble.1.at", "7")));
-        assertThrows(UnreadableDay.class, () -> READER.read(text, "d.toml", Map.of("traffic.lod", "7.0")));
+        assertThrows(
+                UnreadableDay.class,
+                () -> READER.read(text, "d.toml", Map.of("trouble.1.at", "7")));
+        assertThrows(
+                UnreadableDay.class,
+                () -> READER.read(text, "d.toml", Map.of("traffic.lod", "7.0")));
     }
 
     @Test
     public void aDayThatIsWrittenReadsTheSame() throws UnreadableDay {
-        String text = "name = \"x\"\n[fleet]\nzones = [\"a\", \"b\"]\nnodes = 2\n[[trouble]]\nwhat = \"cut\"\n"
-                + "whom = \"hosts zone a\"\npeer = \"nodes zone b\"\nat = 3.5\n[[trouble]]\nwhat = \"pause\"\nwhom = \"nodes\"\n";
+        String text =
+                "name = \"x\"\n[fleet]\nzones = [\"a\", \"b\"]\nnodes = 2\n[[trouble]]\nwhat = \"cut\"\n"
+                        + "whom = \"hosts zone a\"\npeer = \"nodes zone b\"\nat = 3.5\n[[trouble]]\nwhat = \"pause\"\nwhom = \"nodes\"\n";
         String written = DayWriter.write(READER.tree(text, "d.toml"));
         Day one = READER.read(text, "d.toml", Map.of());
         Day other = READER.read(written, "d.toml", Map.of());
--- a/emulator/src/test/java/embershift/emulator/Days.java
+++ b/emulator/src/test/java/embershift/emulator/Days.java
@@ -8,7 +8,6 @@
 import embershift.emulator.experiment.Result;
 import embershift.emulator.world.Module;
 import embershift.emulator.world.Trace;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -16,8 +15,7 @@
 /** Days written down in tests, and what was seen on them. */
 final class Days {
 
-    private Days() {
-    }
+    private Days() {}
 
     /** A small fleet for 30 seconds, with these lines more. */
     static Day day(String... lines) {
@@ -26,7 +24,8 @@
 
     /** The same for as many seconds. */
     static Day lasting(double seconds, String... lines) {
-        String text = "name = \"test\"\nlasts = " + seconds + "\n" + String.join("\n", lines) + "\n";
+        String text =
+                "name = \"test\"\nlasts = " + seconds + "\n" + String.join("\n", lines) + "\n";
         try {
             return new DayReader().read(text, "test.toml", Map.of());
         } catch (UnreadableDay e) {
@@ -36,7 +35,15 @@
 
     /** The lines of one trouble. */
     static String trouble(String what, String whom, double at, double lasts, String... more) {
-        return "[[trouble]]\nwhat = \"" + what + "\"\nwhom = \"" + whom + "\"\nat = " + at + "\nfor = " + lasts + "\n"
+        return "[[trouble]]\nwhat = \""
+                + what
+                + "\"\nwhom = \""
+                + whom
+                + "\"\nat = "
+                + at
+                + "\nfor = "
+                + lasts
+                + "\n"
                 + String.join("\n", more);
     }
 
@@ -51,7 +58,8 @@
     /** What a trace tells of this one. */
     static List<String> trace(Day day, String of, long seed) {
         List<String> lines = new ArrayList<>();
-        Play.of(day, "test", seed).play(Baselines.of(Baselines.OWN), new Trace(of, lines::add), false);
+        Play.of(day, "test", seed)
+                .play(Baselines.of(Baselines.OWN), new Trace(of, lines::add), false);
         return lines;
     }
 }
--- a/emulator/src/test/java/embershift/emulator/ExperimentTest.java
+++ b/emulator/src/test/java/embershift/emulator/ExperimentTest.java
@@ -9,9 +9,6 @@
 import embershift.emulator.experiment.Hunt;
 import embershift.emulator.experiment.Sweep;
 import embershift.emulator.report.Report;
-
-import org.testng.annotations.Test;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -22,6 +19,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.Test;
 
 public class ExperimentTest {
 
@@ -58,9 +56,14 @@
         sweep(file).play(whole, 4, null);
         List<String> lines = Files.readAllLines(whole);
         Path again = file.resolveSibling("again.jsonl");
-        // Ended in the middle of its sixth line; a mark in the first shows whether it was played again.
-        String kept = String.join("\n", lines.subList(0, 5)).replaceFirst("\"service\":[0-9.]+", "\"service\":0.12345");
-        Files.writeString(again.resolveSibling("again.jsonl.part"), kept + "\n" + lines.get(5).substring(0, 40));
+        // Ended in the middle of its sixth line; a mark in the first shows whether it was played
+        // again.
+        String kept =
+                String.join("\n", lines.subList(0, 5))
+                        .replaceFirst("\"service\":[0-9.]+", "\"service\":0.12345");
+        Files.writeString(
+                again.resolveSibling("again.jsonl.part"),
+                kept + "\n" + lines.get(5).substring(0, 40));
         sweep(file).play(again, 4, null);
         List<String> result = Files.readAllLines(again);
         assertTrue(result.get(0).contains("0.12345"));
@@ -74,9 +77,20 @@
         byte[] first = null;
         for (String name : List.of("first.jsonl", "second.jsonl")) {
             Path out = file.resolveSibling(name);
-            List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-cp", System.getProperty("java.class.path"), "embershift.emulator.Main", "run", file.toString(),
-                    "--seed", "9", "--out", out.toString()));
+            List<String> line =
+                    new ArrayList<>(
+                            List.of(
+                                    Path.of(System.getProperty("java.home"), "bin", "java")
+                                            .toString(),
+                                    "-cp",
+                                    System.getProperty("java.class.path"),
+                                    "embershift.emulator.Main",
+                                    "run",
+                                    file.toString(),
+                                    "--seed",
+                                    "9",
+                                    "--out",
+                                    out.toString()));
             Process process = new ProcessBuilder(line).redirectErrorStream(true).start();
             ByteArrayOutputStream said = new ByteArrayOutputStream();
             process.getInputStream().transferTo(said);
@@ -92,8 +106,15 @@
     public void aWrongDayIsOneLineAndExitTwo() throws Exception {
         Path file = file();
         Files.writeString(file, DAY + "hots = 3\n");
-        Process process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-cp",
-                System.getProperty("java.class.path"), "embershift.emulator.Main", "check", file.toString()).start();
+        Process process =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "embershift.emulator.Main",
+                                "check",
+                                file.toString())
+                        .start();
         String said = new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         assertEquals(process.waitFor(), 2);
         assertEquals(said.lines().count(), 1, said);
@@ -102,8 +123,13 @@
 
     @Test
     public void differencesAreTakenInPairs() throws Exception {
-        Comparison comparison = Comparison.of(READER.read(DAY, "d", Map.of("traffic.load", "0.6")), List.of("random",
-                "embershift", "top"), 4, 4, null);
+        Comparison comparison =
+                Comparison.of(
+                        READER.read(DAY, "d", Map.of("traffic.load", "0.6")),
+                        List.of("random", "embershift", "top"),
+                        4,
+                        4,
+                        null);
         double[] less = comparison.difference("random");
         assertEquals(less[0], comparison.mean("embershift") - comparison.mean("random"), 1e-9);
         assertTrue(less[1] > 0 && less[1] < 1);
@@ -113,19 +139,28 @@
 
     @Test
     public void aHuntFindsADayAndShrinksItToOneThatStillShowsIt() throws Exception {
-        Hunt.Find find = new Hunt(READER, READER.tree(DAY, "d"), "d", 3, 4).hunt(8, played -> played < 16, line -> { });
+        Hunt.Find find =
+                new Hunt(READER, READER.tree(DAY, "d"), "d", 3, 4)
+                        .hunt(8, played -> played < 16, line -> {});
         assertTrue(find.badness() > 0);
         assertTrue(find.text().startsWith("name = \"x\""), find.text());
         // What is written plays the same.
-        assertEquals(embershift.emulator.experiment.Play.of(READER.read(find.text(), "found", Map.of()), "embershift",
-                find.seed()).result().service(), find.own().service());
+        assertEquals(
+                embershift.emulator.experiment.Play.of(
+                                READER.read(find.text(), "found", Map.of()),
+                                "embershift",
+                                find.seed())
+                        .result()
+                        .service(),
+                find.own().service());
     }
 
     @Test
     public void aReportIsOnePageWithItsPlotsInIt() throws Exception {
         Path file = file();
         sweep(file).play(file.resolveSibling("grid.jsonl"), 4, null);
-        embershift.emulator.experiment.Lines.write(file.resolveSibling("run.jsonl"),
+        embershift.emulator.experiment.Lines.write(
+                file.resolveSibling("run.jsonl"),
                 List.of(Days.play(READER.read(DAY, "d", Map.of()), 1)));
         String page = Files.readString(Report.make(file.getParent()));
         assertTrue(page.contains("data:image/png;base64,"));
--- a/emulator/src/test/java/embershift/emulator/JudgeTest.java
+++ b/emulator/src/test/java/embershift/emulator/JudgeTest.java
@@ -6,15 +6,18 @@
 import embershift.emulator.judge.Breach;
 import embershift.emulator.judge.Judge;
 import embershift.emulator.world.Witness.Answer;
-
-import org.testng.annotations.Test;
-
 import java.util.List;
+import org.testng.annotations.Test;
 
 public class JudgeTest {
 
     private static Judge judge(String repeat, String scope) {
-        return new Judge(Days.day("[[profile]]", "name = \"p\"", "repeat = \"" + repeat + "\"", "scope = \"" + scope + "\""));
+        return new Judge(
+                Days.day(
+                        "[[profile]]",
+                        "name = \"p\"",
+                        "repeat = \"" + repeat + "\"",
+                        "scope = \"" + scope + "\""));
     }
 
     private static void broken(Judge judge, int rule, String part) {
--- a/fleet/src/main/java/embershift/fleet/Diary.java
+++ b/fleet/src/main/java/embershift/fleet/Diary.java
@@ -7,9 +7,10 @@
 import java.util.Map;
 
 /**
- * A node's trail until the instances have it: entries that wait, and at most one segment that is out. What finds no room drops the oldest
- * that wait; the numbers that are missing then tell of it. A segment keeps its content and number until it is acknowledged, so
- * that two instances that were sent it hold the same.
+ * A node's trail until the instances have it: entries that wait, and at most one segment that is
+ * out. What finds no room drops the oldest that wait; the numbers that are missing then tell of it.
+ * A segment keeps its content and number until it is acknowledged, so that two instances that were
+ * sent it hold the same.
  */
 public final class Diary {
 
--- a/fleet/src/main/java/embershift/fleet/Digest.java
+++ b/fleet/src/main/java/embershift/fleet/Digest.java
@@ -6,13 +6,15 @@
 import java.util.Map;
 import java.util.SortedMap;
 
-/** Sums by which two can tell that they hold the same: SHA-256, its first sixteen bytes in hexadecimal. */
+/**
+ * Sums by which two can tell that they hold the same: SHA-256, its first sixteen bytes in
+ * hexadecimal.
+ */
 final class Digest {
 
     private static final int BYTES = 16;
 
-    private Digest() {
-    }
+    private Digest() {}
 
     /** Each part counts with its length: parts that are cut elsewhere give another sum. */
     static String of(String... parts) {
@@ -26,7 +28,8 @@
             StringBuilder out = new StringBuilder();
             byte[] sum = digest.digest();
             for (int i = 0; i < BYTES; i++) {
-                out.append(Character.forDigit(sum[i] >> 4 & 15, 16)).append(Character.forDigit(sum[i] & 15, 16));
+                out.append(Character.forDigit(sum[i] >> 4 & 15, 16))
+                        .append(Character.forDigit(sum[i] & 15, 16));
             }
             return out.toString();
         } catch (NoSuchAlgorithmException e) {
--- a/fleet/src/main/java/embershift/fleet/DutyId.java
+++ b/fleet/src/main/java/embershift/fleet/DutyId.java
@@ -3,7 +3,10 @@
 /** A piece of work that is done once for the whole fleet. */
 public record DutyId(String name) {
 
-    /** Where the record keeps who was granted it last: the key's revision is the fence. Stays when the owner goes. */
+    /**
+     * Where the record keeps who was granted it last: the key's revision is the fence. Stays when
+     * the owner goes.
+     */
     public String fenceKey() {
         return "duty/" + name + "/fence";
     }
--- a/fleet/src/main/java/embershift/fleet/Folding.java
+++ b/fleet/src/main/java/embershift/fleet/Folding.java
@@ -8,7 +8,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Keeps the trails within a bound: the oldest segments go, and what they ended with stays, so that the audit knows from where it can tell. */
+/**
+ * Keeps the trails within a bound: the oldest segments go, and what they ended with stays, so that
+ * the audit knows from where it can tell.
+ */
 public final class Folding {
 
     /** Where an incarnation's trail begins now: what the last segment that went ended with. */
@@ -21,20 +24,30 @@
         /** Null where this is no such text. */
         static Begin read(String text) {
             String[] words = text.split(" ");
-            boolean sound = words.length == 5 && words[0].matches("\\d{1,18}") && words[1].matches("\\d{1,18}")
-                    && words[3].matches("-?\\d{1,18}") && Hybrid.read(words[4]) != null;
-            return sound ? new Begin(Long.parseLong(words[0]), Long.parseLong(words[1]), words[2], Long.parseLong(words[3]),
-                    Hybrid.read(words[4])) : null;
+            boolean sound =
+                    words.length == 5
+                            && words[0].matches("\\d{1,18}")
+                            && words[1].matches("\\d{1,18}")
+                            && words[3].matches("-?\\d{1,18}")
+                            && Hybrid.read(words[4]) != null;
+            return sound
+                    ? new Begin(
+                            Long.parseLong(words[0]),
+                            Long.parseLong(words[1]),
+                            words[2],
+                            Long.parseLong(words[3]),
+                            Hybrid.read(words[4]))
+                    : null;
         }
     }
 
     /** Where the record keeps begins, by node and incarnation as the segments are. */
     public static final String KEY = "folded/";
+
     /** Writes of one go: a change has a bound. */
     private static final int MOST_WRITES = 400;
 
-    private Folding() {
-    }
+    private Folding() {}
 
     /** The key of the begin for a segment's key. */
     static String key(String segmentKey) {
@@ -42,10 +55,12 @@
     }
 
     /**
-     * What is to be written so that all trails together come under {@code most} characters, and each node's under {@code each}; nothing
-     * while they are. Some more go than must, so that it is not always due. {@code begins}: those there are, by key.
+     * What is to be written so that all trails together come under {@code most} characters, and
+     * each node's under {@code each}; nothing while they are. Some more go than must, so that it is
+     * not always due. {@code begins}: those there are, by key.
      */
-    public static List<Write> fold(Collection<Item> trails, Map<String, String> begins, long most, long each) {
+    public static List<Write> fold(
+            Collection<Item> trails, Map<String, String> begins, long most, long each) {
         long all = 0;
         Map<String, Long> byNode = new HashMap<>();
         for (Item item : trails) {
@@ -91,7 +106,9 @@
         long revision = before == null ? -1 : before.revision;
         Hybrid at = before == null ? Hybrid.START : before.at;
         for (Trace entry : segment.entries()) {
-            if (entry.kind() == Trace.Kind.STARTED || entry.kind() == Trace.Kind.TOOK || entry.kind() == Trace.Kind.TUNNELS) {
+            if (entry.kind() == Trace.Kind.STARTED
+                    || entry.kind() == Trace.Kind.TOOK
+                    || entry.kind() == Trace.Kind.TUNNELS) {
                 revision = entry.value("revision");
             }
             at = entry.at();
