--- a/fleet/src/main/java/embershift/fleet/HostsHeld.java
+++ b/fleet/src/main/java/embershift/fleet/HostsHeld.java
@@ -4,20 +4,32 @@
 import java.util.TreeMap;
 
 /**
- * The list of hosts as a node holds it: an older one never goes over a newer one, by fence, number and discovery's generation.
- * Fed what was told in any order, doubled or late.
+ * The list of hosts as a node holds it: an older one never goes over a newer one, by fence, number
+ * and discovery's generation. Fed what was told in any order, doubled or late.
  */
 public final class HostsHeld {
 
-    /** {@code BEHIND}: discovery said something newer to this node already; {@code WHOLE}: the whole list is wanted first. */
-    public enum End { TAKEN, SAME, OLDER, BEHIND, WHOLE }
+    /**
+     * {@code BEHIND}: discovery said something newer to this node already; {@code WHOLE}: the whole
+     * list is wanted first.
+     */
+    public enum End {
+        TAKEN,
+        SAME,
+        OLDER,
+        BEHIND,
+        WHOLE
+    }
 
     private final TreeMap<String, String> entries = new TreeMap<>();
     private Fence fence = Fence.NONE;
     private long number;
     private long generation = Long.MIN_VALUE;
 
-    /** What discovery itself told this node: its word from now on, also where it began anew with lower numbers. */
+    /**
+     * What discovery itself told this node: its word from now on, also where it began anew with
+     * lower numbers.
+     */
     public void discoverySaid(long told) {
         generation = told;
     }
--- a/fleet/src/main/java/embershift/fleet/HostsTold.java
+++ b/fleet/src/main/java/embershift/fleet/HostsTold.java
@@ -8,21 +8,26 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The list of hosts as one owner of the duty {@code lists} tells it: numbered by its changes, told whole or by difference. */
+/**
+ * The list of hosts as one owner of the duty {@code lists} tells it: numbered by its changes, told
+ * whole or by difference.
+ */
 public final class HostsTold {
 
     /** Changes that are remembered; whoever is further behind is told the whole list. */
     private static final int DIFFERENCES = 256;
 
-    private record Step(long number, Set<String> touched) {
-    }
+    private record Step(long number, Set<String> touched) {}
 
     private final TreeMap<String, String> entries = new TreeMap<>();
     private final Deque<Step> steps = new ArrayDeque<>();
     private long number;
     private long generation;
 
-    /** Discovery's whole list; whether anything in it is new. A generation before the one known is discovery's old word. */
+    /**
+     * Discovery's whole list; whether anything in it is new. A generation before the one known is
+     * discovery's old word.
+     */
     public boolean heard(long told, Map<String, String> whole) {
         if (number > 0 && told < generation) {
             return false;
@@ -50,7 +55,10 @@
         return true;
     }
 
-    /** Discovery began anew, with generations of its own: what it says next is its word, whatever their number. */
+    /**
+     * Discovery began anew, with generations of its own: what it says next is its word, whatever
+     * their number.
+     */
     public void discoveryBeganAnew() {
         generation = Long.MIN_VALUE;
     }
@@ -64,9 +72,15 @@
         return entries;
     }
 
-    /** What one who has the list of that number lacks; whole where that can't be told, or is no shorter. */
+    /**
+     * What one who has the list of that number lacks; whole where that can't be told, or is no
+     * shorter.
+     */
     public HostsChange since(long base) {
-        boolean known = base > 0 && base <= number && (base == number || steps.getFirst().number <= base + 1);
+        boolean known =
+                base > 0
+                        && base <= number
+                        && (base == number || steps.getFirst().number <= base + 1);
         if (!known) {
             return new HostsChange(number, 0, generation, new LinkedHashMap<>(entries), Set.of());
         }
--- a/fleet/src/main/java/embershift/fleet/Owner.java
+++ b/fleet/src/main/java/embershift/fleet/Owner.java
@@ -1,25 +1,42 @@
 package embershift.fleet;
 
 /**
- * One who would work at a duty: claims it when nobody has it, keeps it, and does its plan's steps in order. Each step is noted
- * as intended before its effect and as done after it; who takes over finishes what was intended, under the same step, before
- * it begins the next. Fed time and answers; decides only. Times in seconds that never run backwards.
+ * One who would work at a duty: claims it when nobody has it, keeps it, and does its plan's steps
+ * in order. Each step is noted as intended before its effect and as done after it; who takes over
+ * finishes what was intended, under the same step, before it begins the next. Fed time and answers;
+ * decides only. Times in seconds that never run backwards.
  */
 public final class Owner {
 
-    /** How an effect ended: its receivers took it; one of them knows a later fence; or nobody can tell. */
-    public enum Effect { DONE, OLD, UNKNOWN }
+    /**
+     * How an effect ended: its receivers took it; one of them knows a later fence; or nobody can
+     * tell.
+     */
+    public enum Effect {
+        DONE,
+        OLD,
+        UNKNOWN
+    }
 
     /** What an owner has done for it. None of these may call back. */
     public interface Hands {
 
-        /** A command for the record; {@link Owner#answered} is owed, with an unknown end at the latest after some time. */
+        /**
+         * A command for the record; {@link Owner#answered} is owed, with an unknown end at the
+         * latest after some time.
+         */
         void ask(Command command);
 
-        /** Renews the session; {@link Owner#renewed} or {@link Owner#sessionOver} is owed, or nothing. */
+        /**
+         * Renews the session; {@link Owner#renewed} or {@link Owner#sessionOver} is owed, or
+         * nothing.
+         */
         void renew(SessionId session, double asked);
 
-        /** Reads what the record holds of progress; {@link Owner#found} is owed, or nothing, then it is asked again. */
+        /**
+         * Reads what the record holds of progress; {@link Owner#found} is owed, or nothing, then it
+         * is asked again.
+         */
         void look(DutyId duty);
 
         /** Has a step done, by this fence; {@link Owner#acted} is owed, however late. */
@@ -30,16 +47,30 @@
     }
 
     /**
-     * {@code session}: seconds without a word after which the record lets go; {@code again}: between two tries; {@code stuck}: without
-     * progress after which the duty is given back; {@code owners}: how many may begin the same step before nobody does;
-     * {@code longestPause}: of one that lost the duty again and again.
+     * {@code session}: seconds without a word after which the record lets go; {@code again}:
+     * between two tries; {@code stuck}: without progress after which the duty is given back; {@code
+     * owners}: how many may begin the same step before nobody does; {@code longestPause}: of one
+     * that lost the duty again and again.
      */
-    public record Terms(double session, double again, double stuck, int owners, double longestPause) {
+    public record Terms(
+            double session, double again, double stuck, int owners, double longestPause) {
 
         public static final Terms USUAL = new Terms(3, 0.2, 20, 3, 30);
     }
 
-    private enum Stage { AWAY, OPENING, IDLE, CLAIMING, LOOKING, NOTING, ACTING, RESTING, STANDING, GIVING_BACK, OVER }
+    private enum Stage {
+        AWAY,
+        OPENING,
+        IDLE,
+        CLAIMING,
+        LOOKING,
+        NOTING,
+        ACTING,
+        RESTING,
+        STANDING,
+        GIVING_BACK,
+        OVER
+    }
 
     private final String name;
     private final DutyId duty;
@@ -51,19 +82,29 @@
     private long number;
     private final Tenure tenure;
     private Command out;
+
     /** When the command that is out was first asked for. */
     private double asked;
+
     private double next = Double.NEGATIVE_INFINITY;
     private double renewedAt = Double.NEGATIVE_INFINITY;
     private Plan.Progress progress;
+
     /** What is being noted, until it is known to be. */
     private Plan.Progress noting;
+
     private double progressed;
     private double grantedAt;
+
     /** How often it was lost; forgotten by one that has had it for long. */
     private int losses;
-    /** Seconds by which this one is slower to claim than others: duties spread over those who have few. */
+
+    /**
+     * Seconds by which this one is slower to claim than others: duties spread over those who have
+     * few.
+     */
     private double reluctance;
+
     private boolean leaves;
     private boolean taken;
 
@@ -82,7 +123,10 @@
     }
 
     private boolean working() {
-        return stage == Stage.LOOKING || stage == Stage.NOTING || stage == Stage.ACTING || stage == Stage.RESTING
+        return stage == Stage.LOOKING
+                || stage == Stage.NOTING
+                || stage == Stage.ACTING
+                || stage == Stage.RESTING
                 || stage == Stage.STANDING;
     }
 
@@ -91,7 +135,10 @@
         return working() || stage == Stage.GIVING_BACK;
     }
 
-    /** Whether what may take as long as any effect of the plan may be begun now: it ends while this one still holds. */
+    /**
+     * Whether what may take as long as any effect of the plan may be begun now: it ends while this
+     * one still holds.
+     */
     public boolean mayAct(double now) {
         return working() && tenure.mayBegin(now, plan.longest());
     }
@@ -107,13 +154,18 @@
 
     /** Time has passed. To be called often beside {@code again}. */
     public void tick(double now) {
-        if (session.number() != 0 && stage != Stage.OVER && now - renewedAt >= terms.session() / 3
+        if (session.number() != 0
+                && stage != Stage.OVER
+                && now - renewedAt >= terms.session() / 3
                 && (tenure.wantsRenewal(now) || !tenure.holds(now))) {
             renewedAt = now;
             hands.renew(session, now);
         }
         if (working() && now - progressed > terms.stuck()) {
-            hands.told(duty.name() + " gets nothing done here, at step " + (progress == null ? 0 : progress.step()));
+            hands.told(
+                    duty.name()
+                            + " gets nothing done here, at step "
+                            + (progress == null ? 0 : progress.step()));
             losses++;
             giveBack(now);
             return;
@@ -147,7 +199,7 @@
                     hands.ask(out);
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -166,11 +218,13 @@
         if (answer instanceof Answer.Done done) {
             out = null;
             done(now, done.number());
-        } else if (answer instanceof Answer.Refused refused && refused.reason() == Answer.Reason.CONDITION) {
+        } else if (answer instanceof Answer.Refused refused
+                && refused.reason() == Answer.Reason.CONDITION) {
             out = null;
             conditionFailed(now);
-        } else if (answer instanceof Answer.Refused refused && (refused.reason() == Answer.Reason.NO_SESSION
-                || refused.reason() == Answer.Reason.FORGOTTEN)) {
+        } else if (answer instanceof Answer.Refused refused
+                && (refused.reason() == Answer.Reason.NO_SESSION
+                        || refused.reason() == Answer.Reason.FORGOTTEN)) {
             sessionOver(now);
         } else {
             next = now + terms.again();
@@ -205,7 +259,7 @@
                 step(now);
             }
             case GIVING_BACK -> idle(now, pause());
-            default -> { }
+            default -> {}
         }
     }
 
@@ -213,7 +267,7 @@
         switch (stage) {
             case CLAIMING -> idle(now, terms.again() + reluctance);
             case NOTING, GIVING_BACK -> lost(now);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -250,7 +304,10 @@
         reluctance = seconds;
     }
 
-    /** Whether another is known to have it, as far as can be told here: a claim would be refused, and cost the record an entry. */
+    /**
+     * Whether another is known to have it, as far as can be told here: a claim would be refused,
+     * and cost the record an entry.
+     */
     public void taken(double now, boolean byAnother) {
         if (taken && !byAnother) {
             next = Math.max(next, now + reluctance);
@@ -309,11 +366,28 @@
         } else if (progress != null && progress.state() == Plan.Progress.State.INTENDED) {
             int owners = progress.owners() + 1;
             if (owners > terms.owners()) {
-                hands.told(duty.name() + " stops: step " + progress.step() + " was begun by " + progress.owners()
-                        + " owners and not ended");
-                note(now, new Plan.Progress(plan.name(), Plan.Progress.State.POISONED, progress.step(), progress.owners()));
+                hands.told(
+                        duty.name()
+                                + " stops: step "
+                                + progress.step()
+                                + " was begun by "
+                                + progress.owners()
+                                + " owners and not ended");
+                note(
+                        now,
+                        new Plan.Progress(
+                                plan.name(),
+                                Plan.Progress.State.POISONED,
+                                progress.step(),
+                                progress.owners()));
             } else {
-                note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, progress.step(), owners));
+                note(
+                        now,
+                        new Plan.Progress(
+                                plan.name(),
+                                Plan.Progress.State.INTENDED,
+                                progress.step(),
+                                owners));
             }
         } else {
             step(now);
@@ -344,7 +418,9 @@
             if (following >= plan.steps()) {
                 finish(now, duty.name() + " is done");
             } else {
-                note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, following, 1));
+                note(
+                        now,
+                        new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, following, 1));
             }
         }
     }
@@ -368,11 +444,21 @@
 
     /** How the effect of a step ended. */
     public void acted(double now, int step, Fence by, Effect effect) {
-        if (stage != Stage.ACTING || progress == null || progress.step() != step || !by.equals(tenure.fence())) {
+        if (stage != Stage.ACTING
+                || progress == null
+                || progress.step() != step
+                || !by.equals(tenure.fence())) {
             return;
         }
         switch (effect) {
-            case DONE -> note(now, new Plan.Progress(plan.name(), Plan.Progress.State.DONE, step, progress.owners()));
+            case DONE ->
+                    note(
+                            now,
+                            new Plan.Progress(
+                                    plan.name(),
+                                    Plan.Progress.State.DONE,
+                                    step,
+                                    progress.owners()));
             case OLD -> lost(now);
             default -> {
                 stage = Stage.RESTING;
--- a/fleet/src/main/java/embershift/fleet/Record.java
+++ b/fleet/src/main/java/embershift/fleet/Record.java
@@ -10,24 +10,31 @@
 import java.util.TreeMap;
 
 /**
- * What the instances agree on: keys with values and revisions, and the sessions of clients. No I/O, clock or chance: the
- * same commands in the same order make the same record, byte for byte. All bounds are the same everywhere.
+ * What the instances agree on: keys with values and revisions, and the sessions of clients. No I/O,
+ * clock or chance: the same commands in the same order make the same record, byte for byte. All
+ * bounds are the same everywhere.
  */
 public final class Record {
 
     /** Characters of a key, of a value and of a client's name; of all keys and values together. */
     public static final int KEY = 512;
+
     public static final int VALUE = 1 << 19;
     public static final int ALL = 16 << 20;
     public static final int SESSIONS = 10_000;
+
     /** Writes and conditions of one command. */
     public static final int PARTS = 1_000;
+
     /** Answers kept for a session at the most: a client has no more commands out at a time. */
     public static final int RESULTS = 64;
+
     /** What one key costs beside its characters. */
     private static final int COST = 64;
+
     /** Changes that watches can begin at. */
     private static final int HISTORY = 10_000;
+
     private static final int HISTORY_SIZE = 8 << 20;
     private static final double LONGEST_SESSION = 3600;
 
@@ -35,10 +42,16 @@
     private final TreeMap<Long, Session> sessions = new TreeMap<>();
     private long revision;
     private long size;
+
     /** The place of the log up to which this is the record. */
     private long applied;
-    /** Not part of the record: the last changes, for watches. What is before {@code gapBefore} is not known here. */
+
+    /**
+     * Not part of the record: the last changes, for watches. What is before {@code gapBefore} is
+     * not known here.
+     */
     private final Deque<Event> history = new ArrayDeque<>();
+
     private long historySize;
     private long gapBefore = 1;
 
@@ -60,8 +73,10 @@
     }
 
     private Result open(long index, Command.Open open) {
-        if (open.client().length() > KEY || !(open.seconds() > 0 && open.seconds() <= LONGEST_SESSION)) {
-            return Result.refused(Result.Why.TOO_LARGE, "a session lasts over 0 to " + LONGEST_SESSION + " s");
+        if (open.client().length() > KEY
+                || !(open.seconds() > 0 && open.seconds() <= LONGEST_SESSION)) {
+            return Result.refused(
+                    Result.Why.TOO_LARGE, "a session lasts over 0 to " + LONGEST_SESSION + " s");
         }
         if (sessions.size() >= SESSIONS) {
             return Result.refused(Result.Why.FULL, "there are " + SESSIONS + " sessions");
@@ -74,7 +89,8 @@
         if (sessions.remove(id.number()) == null) {
             return Result.refused(Result.Why.NO_SESSION, "there is no session " + id.number());
         }
-        List<Item> bound = items.values().stream().filter(item -> item.session().equals(id)).toList();
+        List<Item> bound =
+                items.values().stream().filter(item -> item.session().equals(id)).toList();
         if (!bound.isEmpty()) {
             revision++;
             bound.forEach(item -> write(item.key(), null, SessionId.NONE));
@@ -88,14 +104,16 @@
         }
         Session session = sessions.get(change.session().number());
         if (session == null) {
-            return Result.refused(Result.Why.NO_SESSION, "there is no session " + change.session().number());
+            return Result.refused(
+                    Result.Why.NO_SESSION, "there is no session " + change.session().number());
         }
         Result before = session.results.get(change.number());
         if (before != null) {
             return before;
         }
         if (change.number() < session.open) {
-            return Result.refused(Result.Why.FORGOTTEN, "number " + change.number() + " was answered long ago");
+            return Result.refused(
+                    Result.Why.FORGOTTEN, "number " + change.number() + " was answered long ago");
         }
         Result result = carryOut(change);
         session.open = Math.max(session.open, change.open());
@@ -115,15 +133,21 @@
         for (Condition condition : change.conditions()) {
             Item item = items.get(condition.key());
             long now = item == null ? 0 : item.revision();
-            if (condition.revision() == Condition.ANY ? item == null : now != condition.revision()) {
-                return Result.refused(Result.Why.CONDITION, condition.key() + " is at revision " + now);
+            if (condition.revision() == Condition.ANY
+                    ? item == null
+                    : now != condition.revision()) {
+                return Result.refused(
+                        Result.Why.CONDITION, condition.key() + " is at revision " + now);
             }
         }
         Map<String, Integer> after = new HashMap<>();
         for (Write write : change.writes()) {
-            if (write.key().isEmpty() || write.key().length() > KEY
+            if (write.key().isEmpty()
+                    || write.key().length() > KEY
                     || write.value() != null && write.value().length() > VALUE) {
-                return Result.refused(Result.Why.TOO_LARGE, "a key has 1 to " + KEY + " characters, a value up to " + VALUE);
+                return Result.refused(
+                        Result.Why.TOO_LARGE,
+                        "a key has 1 to " + KEY + " characters, a value up to " + VALUE);
             }
             if (write.bound() && change.session().equals(SessionId.NONE)) {
                 return Result.refused(Result.Why.NO_SESSION, "nothing can be bound to no session");
@@ -139,13 +163,19 @@
             grows |= write.getValue() > now;
         }
         if (grows && then > ALL) {
-            return Result.refused(Result.Why.FULL, "the record holds " + ALL + " characters at the most");
+            return Result.refused(
+                    Result.Why.FULL, "the record holds " + ALL + " characters at the most");
         }
-        boolean changes = change.writes().stream().anyMatch(write -> write.value() != null || items.containsKey(write.key()));
+        boolean changes =
+                change.writes().stream()
+                        .anyMatch(write -> write.value() != null || items.containsKey(write.key()));
         if (changes) {
             revision++;
             for (Write write : change.writes()) {
-                write(write.key(), write.value(), write.bound() ? change.session() : SessionId.NONE);
+                write(
+                        write.key(),
+                        write.value(),
+                        write.bound() ? change.session() : SessionId.NONE);
             }
         }
         return Result.done(revision);
@@ -166,7 +196,14 @@
             }
         } else {
             size += cost(key, value);
-            items.put(key, new Item(key, value, before == null ? revision : before.created(), revision, session));
+            items.put(
+                    key,
+                    new Item(
+                            key,
+                            value,
+                            before == null ? revision : before.created(),
+                            revision,
+                            session));
         }
         history.add(new Event(revision, key, value));
         historySize += cost(key, value == null ? "" : value);
@@ -204,12 +241,17 @@
         return some;
     }
 
-    /** Changes of keys that begin so, from this revision on; null where some of them are not known any more. */
+    /**
+     * Changes of keys that begin so, from this revision on; null where some of them are not known
+     * any more.
+     */
     public List<Event> since(long from, String prefix) {
         if (from < gapBefore) {
             return null;
         }
-        return history.stream().filter(event -> event.revision() >= from && event.key().startsWith(prefix)).toList();
+        return history.stream()
+                .filter(event -> event.revision() >= from && event.key().startsWith(prefix))
+                .toList();
     }
 
     /** Sessions with the seconds that each lasts without a word. */
@@ -232,7 +274,9 @@
         return RecordCodec.bytes(revision, applied, items.values(), sessions.values());
     }
 
-    /** @throws RecordCodec.Unreadable where these are no such bytes */
+    /**
+     * @throws RecordCodec.Unreadable where these are no such bytes
+     */
     public static Record of(byte[] bytes) {
         Record record = new Record();
         RecordCodec.read(bytes, record::fill);
--- a/fleet/src/main/java/embershift/fleet/RecordCodec.java
+++ b/fleet/src/main/java/embershift/fleet/RecordCodec.java
@@ -1,7 +1,6 @@
 package embershift.fleet;
 
 import embershift.raft.Codec;
-
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -30,8 +29,7 @@
     private static final int END = 2;
     private static final int CHANGE = 3;
 
-    private RecordCodec() {
-    }
+    private RecordCodec() {}
 
     private static void text(DataOutputStream out, String text) throws IOException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
@@ -52,36 +50,37 @@
     }
 
     public static byte[] bytes(Command command) {
-        return Codec.written(out -> {
-            out.writeByte(VERSION);
-            if (command instanceof Command.Open open) {
-                out.writeByte(OPEN);
-                text(out, open.client());
-                out.writeDouble(open.seconds());
-            } else if (command instanceof Command.End end) {
-                out.writeByte(END);
-                out.writeLong(end.session().number());
-            } else if (command instanceof Command.Change change) {
-                out.writeByte(CHANGE);
-                out.writeLong(change.session().number());
-                out.writeLong(change.number());
-                out.writeLong(change.open());
-                out.writeInt(change.conditions().size());
-                for (Condition condition : change.conditions()) {
-                    text(out, condition.key());
-                    out.writeLong(condition.revision());
-                }
-                out.writeInt(change.writes().size());
-                for (Write write : change.writes()) {
-                    text(out, write.key());
-                    out.writeBoolean(write.value() != null);
-                    if (write.value() != null) {
-                        text(out, write.value());
+        return Codec.written(
+                out -> {
+                    out.writeByte(VERSION);
+                    if (command instanceof Command.Open open) {
+                        out.writeByte(OPEN);
+                        text(out, open.client());
+                        out.writeDouble(open.seconds());
+                    } else if (command instanceof Command.End end) {
+                        out.writeByte(END);
+                        out.writeLong(end.session().number());
+                    } else if (command instanceof Command.Change change) {
+                        out.writeByte(CHANGE);
+                        out.writeLong(change.session().number());
+                        out.writeLong(change.number());
+                        out.writeLong(change.open());
+                        out.writeInt(change.conditions().size());
+                        for (Condition condition : change.conditions()) {
+                            text(out, condition.key());
+                            out.writeLong(condition.revision());
+                        }
+                        out.writeInt(change.writes().size());
+                        for (Write write : change.writes()) {
+                            text(out, write.key());
+                            out.writeBoolean(write.value() != null);
+                            if (write.value() != null) {
+                                text(out, write.value());
+                            }
+                            out.writeBoolean(write.bound());
+                        }
                     }
-                    out.writeBoolean(write.bound());
-                }
-            }
-        });
+                });
     }
 
     public static Command command(byte[] bytes) {
@@ -104,7 +103,9 @@
                     List<Write> writes = new ArrayList<>();
                     for (int i = many(in); i > 0; i--) {
                         String key = text(in);
-                        writes.add(new Write(key, in.readBoolean() ? text(in) : null, in.readBoolean()));
+                        writes.add(
+                                new Write(
+                                        key, in.readBoolean() ? text(in) : null, in.readBoolean()));
                     }
                     return new Command.Change(session, number, open, conditions, writes);
                 default:
@@ -124,34 +125,39 @@
         return in;
     }
 
-    static byte[] bytes(long revision, long applied, Collection<Item> items, Collection<Session> sessions) {
-        return Codec.written(out -> {
-            out.writeByte(VERSION);
-            out.writeLong(revision);
-            out.writeLong(applied);
-            out.writeInt(items.size());
-            for (Item item : items) {
-                text(out, item.key());
-                text(out, item.value());
-                out.writeLong(item.created());
-                out.writeLong(item.revision());
-                out.writeLong(item.session().number());
-            }
-            out.writeInt(sessions.size());
-            for (Session session : sessions) {
-                out.writeLong(session.id.number());
-                text(out, session.client);
-                out.writeDouble(session.seconds);
-                out.writeLong(session.open);
-                out.writeInt(session.results.size());
-                for (Map.Entry<Long, Result> result : session.results.entrySet()) {
-                    out.writeLong(result.getKey());
-                    out.writeByte(result.getValue().why() == null ? -1 : result.getValue().why().ordinal());
-                    out.writeLong(result.getValue().number());
-                    text(out, result.getValue().text());
-                }
-            }
-        });
+    static byte[] bytes(
+            long revision, long applied, Collection<Item> items, Collection<Session> sessions) {
+        return Codec.written(
+                out -> {
+                    out.writeByte(VERSION);
+                    out.writeLong(revision);
+                    out.writeLong(applied);
+                    out.writeInt(items.size());
+                    for (Item item : items) {
+                        text(out, item.key());
+                        text(out, item.value());
+                        out.writeLong(item.created());
+                        out.writeLong(item.revision());
+                        out.writeLong(item.session().number());
+                    }
+                    out.writeInt(sessions.size());
+                    for (Session session : sessions) {
+                        out.writeLong(session.id.number());
+                        text(out, session.client);
+                        out.writeDouble(session.seconds);
+                        out.writeLong(session.open);
+                        out.writeInt(session.results.size());
+                        for (Map.Entry<Long, Result> result : session.results.entrySet()) {
+                            out.writeLong(result.getKey());
+                            out.writeByte(
+                                    result.getValue().why() == null
+                                            ? -1
+                                            : result.getValue().why().ordinal());
+                            out.writeLong(result.getValue().number());
+                            text(out, result.getValue().text());
+                        }
+                    }
+                });
     }
 
     interface Filling {
@@ -165,17 +171,28 @@
             long applied = in.readLong();
             List<Item> items = new ArrayList<>();
             for (int i = many(in); i > 0; i--) {
-                items.add(new Item(text(in), text(in), in.readLong(), in.readLong(), new SessionId(in.readLong())));
+                items.add(
+                        new Item(
+                                text(in),
+                                text(in),
+                                in.readLong(),
+                                in.readLong(),
+                                new SessionId(in.readLong())));
             }
             List<Session> sessions = new ArrayList<>();
             for (int i = many(in); i > 0; i--) {
-                Session session = new Session(new SessionId(in.readLong()), text(in), in.readDouble());
+                Session session =
+                        new Session(new SessionId(in.readLong()), text(in), in.readDouble());
                 session.open = in.readLong();
                 for (int j = many(in); j > 0; j--) {
                     long number = in.readLong();
                     int why = in.readByte();
-                    session.results.put(number, new Result(why < 0 ? null : Result.Why.values()[why], in.readLong(),
-                            text(in)));
+                    session.results.put(
+                            number,
+                            new Result(
+                                    why < 0 ? null : Result.Why.values()[why],
+                                    in.readLong(),
+                                    text(in)));
                 }
                 sessions.add(session);
             }
--- a/fleet/src/main/java/embershift/fleet/Release.java
+++ b/fleet/src/main/java/embershift/fleet/Release.java
@@ -9,19 +9,28 @@
 import java.util.TreeSet;
 
 /**
- * One step of a release: its parts are taken out, started anew and brought back, with never more away than stated. Whoever starts
- * things anew knows no fence: it is called by an id that it remembers, so that an owner of before can't have anything done twice, and
- * what an abort leaves undone is made void there first. Fed time and answers; decides only. Times in seconds.
+ * One step of a release: its parts are taken out, started anew and brought back, with never more
+ * away than stated. Whoever starts things anew knows no fence: it is called by an id that it
+ * remembers, so that an owner of before can't have anything done twice, and what an abort leaves
+ * undone is made void there first. Fed time and answers; decides only. Times in seconds.
  */
 public final class Release {
 
     /** {@code NEVER}: not called by that id yet; {@code VOID}: never was, and won't be. */
-    public enum Managed { NEVER, GOING, DONE, VOID, UNKNOWN }
-
-    /** A node that has a name in the record and is not shut out. {@code out}: the hosts that it was told are out, and took. */
-    public record NodeView(boolean reached, boolean ready, Collection<String> out) {
+    public enum Managed {
+        NEVER,
+        GOING,
+        DONE,
+        VOID,
+        UNKNOWN
     }
 
+    /**
+     * A node that has a name in the record and is not shut out. {@code out}: the hosts that it was
+     * told are out, and took.
+     */
+    public record NodeView(boolean reached, boolean ready, Collection<String> out) {}
+
     /** What is seen of the fleet. */
     public interface View {
 
@@ -37,10 +46,16 @@
     /** What is done for it. None of these may call back. */
     public interface Hands {
 
-        /** From now on these hosts, and no others, are out for this release; all nodes are to be told. */
+        /**
+         * From now on these hosts, and no others, are out for this release; all nodes are to be
+         * told.
+         */
         void out(Set<String> hosts);
 
-        /** Has a part started anew; {@link Release#managed} is owed, or nothing, then it is asked again. */
+        /**
+         * Has a part started anew; {@link Release#managed} is owed, or nothing, then it is asked
+         * again.
+         */
         void startAnew(ReleasePlan.Part part, String id);
 
         /** Has an id made void. */
@@ -53,20 +68,31 @@
         void halted(String why);
     }
 
-    private enum Phase { WAITING, TAKING_OUT, STARTING_ANEW, WARMING, BACK }
+    private enum Phase {
+        WAITING,
+        TAKING_OUT,
+        STARTING_ANEW,
+        WARMING,
+        BACK
+    }
 
     private static final class Work {
         private Phase phase = Phase.WAITING;
         private double asked = Double.NEGATIVE_INFINITY;
         private boolean called;
+
         /** An owner before this one may have called for it. */
         private boolean perhaps;
+
         private boolean voided;
         private Managed managed = Managed.NEVER;
         private double servesSince = Double.NaN;
     }
 
-    /** Seconds between two calls for the same part, and for which a node may not know yet what it was told. */
+    /**
+     * Seconds between two calls for the same part, and for which a node may not know yet what it
+     * was told.
+     */
     private static final double AGAIN = 0.25;
 
     private final ReleasePlan plan;
@@ -83,20 +109,24 @@
     private Set<String> out = Set.of();
 
     /**
-     * {@code now}: when this owner began the step; {@code takenOver}: an owner before may have begun it, and calls of that one may still
-     * come: each part is out, and counts as away, until whoever is called has said what became of it.
+     * {@code now}: when this owner began the step; {@code takenOver}: an owner before may have
+     * begun it, and calls of that one may still come: each part is out, and counts as away, until
+     * whoever is called has said what became of it.
      */
-    public Release(double now, ReleasePlan plan, int step, boolean takenOver, View view, Hands hands) {
+    public Release(
+            double now, ReleasePlan plan, int step, boolean takenOver, View view, Hands hands) {
         this.plan = plan;
         this.step = step;
         this.view = view;
         this.hands = hands;
         progressed = now;
-        plan.step(step).forEach(part -> {
-            Work work = new Work();
-            work.perhaps = takenOver;
-            works.put(part, work);
-        });
+        plan.step(step)
+                .forEach(
+                        part -> {
+                            Work work = new Work();
+                            work.perhaps = takenOver;
+                            works.put(part, work);
+                        });
     }
 
     /** Operators' wish. */
@@ -111,16 +141,17 @@
 
     /** What whoever starts things anew says of an id. */
     public void managed(double now, String id, Managed what) {
-        works.forEach((part, work) -> {
-            if (plan.id(step, part).equals(id) && what != Managed.UNKNOWN) {
-                if (work.managed != what) {
-                    progressed = now;
-                }
-                work.managed = what;
-                work.called |= what == Managed.GOING || what == Managed.DONE;
-                work.voided |= what == Managed.VOID;
-            }
-        });
+        works.forEach(
+                (part, work) -> {
+                    if (plan.id(step, part).equals(id) && what != Managed.UNKNOWN) {
+                        if (work.managed != what) {
+                            progressed = now;
+                        }
+                        work.managed = what;
+                        work.called |= what == Managed.GOING || what == Managed.DONE;
+                        work.voided |= what == Managed.VOID;
+                    }
+                });
     }
 
     /** What holds it up, in one line, or "". */
@@ -135,11 +166,12 @@
         waitsFor = "";
         works.forEach((part, work) -> part(now, part, work));
         Set<String> wanted = new TreeSet<>();
-        works.forEach((part, work) -> {
-            if (!part.node() && away(work) && Double.isNaN(work.servesSince)) {
-                wanted.add(part.name());
-            }
-        });
+        works.forEach(
+                (part, work) -> {
+                    if (!part.node() && away(work) && Double.isNaN(work.servesSince)) {
+                        wanted.add(part.name());
+                    }
+                });
         if (!wanted.equals(out)) {
             out = wanted;
             hands.out(Set.copyOf(wanted));
@@ -149,7 +181,8 @@
             hands.ended(aborting);
         } else if (!paused && !halted && now - progressed > plan.patience()) {
             halted = true;
-            hands.halted(waitsFor.isEmpty() ? "nothing got on for " + plan.patience() + " s" : waitsFor);
+            hands.halted(
+                    waitsFor.isEmpty() ? "nothing got on for " + plan.patience() + " s" : waitsFor);
         }
     }
 
@@ -159,7 +192,7 @@
             case TAKING_OUT -> takeOut(now, part, work);
             case STARTING_ANEW -> startAnew(now, part, work);
             case WARMING -> warm(now, part, work);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -217,16 +250,19 @@
     /** All that is away: parts under way, nodes that can't be reached or are not ready. */
     private Set<String> away() {
         Set<String> away = new LinkedHashSet<>();
-        works.forEach((part, work) -> {
-            if (away(work)) {
-                away.add(key(part));
-            }
-        });
-        view.nodes().forEach((name, node) -> {
-            if (!node.reached() || !node.ready()) {
-                away.add("node " + name);
-            }
-        });
+        works.forEach(
+                (part, work) -> {
+                    if (away(work)) {
+                        away.add(key(part));
+                    }
+                });
+        view.nodes()
+                .forEach(
+                        (name, node) -> {
+                            if (!node.reached() || !node.ready()) {
+                                away.add("node " + name);
+                            }
+                        });
         return away;
     }
 
@@ -245,9 +281,15 @@
 
     /** Nodes that can be reached and may use the host still. */
     private List<String> ignorant(ReleasePlan.Part part) {
-        return part.node() ? List.of() : view.nodes().entrySet().stream()
-                .filter(node -> node.getValue().reached() && !node.getValue().out().contains(part.name()))
-                .map(Map.Entry::getKey).toList();
+        return part.node()
+                ? List.of()
+                : view.nodes().entrySet().stream()
+                        .filter(
+                                node ->
+                                        node.getValue().reached()
+                                                && !node.getValue().out().contains(part.name()))
+                        .map(Map.Entry::getKey)
+                        .toList();
     }
 
     private void startAnew(double now, ReleasePlan.Part part, Work work) {
@@ -283,7 +325,10 @@
 
     private void warm(double now, ReleasePlan.Part part, Work work) {
         NodeView node = view.nodes().get(part.name());
-        boolean serves = part.node() ? node != null && node.reached() && node.ready() : view.inService(part.name());
+        boolean serves =
+                part.node()
+                        ? node != null && node.reached() && node.ready()
+                        : view.inService(part.name());
         if (!serves) {
             work.servesSince = Double.NaN;
             waitsFor = part + " is not back";
--- a/fleet/src/main/java/embershift/fleet/ReleasePlan.java
+++ b/fleet/src/main/java/embershift/fleet/ReleasePlan.java
@@ -6,15 +6,19 @@
 import java.util.Set;
 
 /**
- * What a release is to do: {@code parts}, hosts and nodes, started anew in steps of {@code size}. {@code service}: the share of tunnels that
- * must be opened of those that were not declined; {@code warm}: seconds that a part serves before it counts as back; {@code patience}:
- * seconds without any progress after which it pauses by itself.
+ * What a release is to do: {@code parts}, hosts and nodes, started anew in steps of {@code size}.
+ * {@code service}: the share of tunnels that must be opened of those that were not declined; {@code
+ * warm}: seconds that a part serves before it counts as back; {@code patience}: seconds without any
+ * progress after which it pauses by itself.
  */
-public record ReleasePlan(String name, int size, double service, double warm, double patience, List<Part> parts) {
+public record ReleasePlan(
+        String name, int size, double service, double warm, double patience, List<Part> parts) {
 
     public static final String KEY = "release/plan";
+
     /** What operators want of it: {@code go}, {@code pause} or {@code abort}, and who said so. */
     public static final String WISH = "release/wish";
+
     /** Where it stands, for operators. */
     public static final String STATE = "release/state";
 
@@ -35,7 +39,8 @@
     }
 
     public List<Part> step(int step) {
-        return parts.subList(Math.min(parts.size(), step * size), Math.min(parts.size(), (step + 1) * size));
+        return parts.subList(
+                Math.min(parts.size(), step * size), Math.min(parts.size(), (step + 1) * size));
     }
 
     /** By what one part of it is known to whoever starts things anew: the same for each owner. */
@@ -55,11 +60,25 @@
         if (size < 1 || !(service >= 0 && service <= 1) || !(warm >= 0) || !(patience > 0)) {
             return "a step has one part at least, service is 0 to 1, times are not negative";
         }
-        return parts.stream().allMatch(part -> part.name().matches("[^\\s/]{1,200}")) ? null : "names have no spaces";
+        return parts.stream().allMatch(part -> part.name().matches("[^\\s/]{1,200}"))
+                ? null
+                : "names have no spaces";
     }
 
     public String text() {
-        StringBuilder out = new StringBuilder("release 1 " + name + " " + size + " " + service + " " + warm + " " + patience + "\n");
+        StringBuilder out =
+                new StringBuilder(
+                        "release 1 "
+                                + name
+                                + " "
+                                + size
+                                + " "
+                                + service
+                                + " "
+                                + warm
+                                + " "
+                                + patience
+                                + "\n");
         parts.forEach(part -> out.append(part).append('\n'));
         return out.toString();
     }
@@ -80,8 +99,14 @@
             parts.add(new Part(words[0].equals("node"), words[1]));
         }
         try {
-            ReleasePlan plan = new ReleasePlan(head[2], Integer.parseInt(head[3]), Double.parseDouble(head[4]),
-                    Double.parseDouble(head[5]), Double.parseDouble(head[6]), parts);
+            ReleasePlan plan =
+                    new ReleasePlan(
+                            head[2],
+                            Integer.parseInt(head[3]),
+                            Double.parseDouble(head[4]),
+                            Double.parseDouble(head[5]),
+                            Double.parseDouble(head[6]),
+                            parts);
             return plan.wrong() == null ? plan : null;
         } catch (NumberFormatException e) {
             return null;
--- a/fleet/src/main/java/embershift/fleet/Replica.java
+++ b/fleet/src/main/java/embershift/fleet/Replica.java
@@ -12,7 +12,6 @@
 import embershift.raft.Restored;
 import embershift.raft.Snapshot;
 import embershift.raft.Vote;
-
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -22,12 +21,15 @@
 import java.util.TreeMap;
 
 /**
- * An instance without its sockets and its disk: a member of the group that agrees, the record, and the calls that wait.
- * Fed time, messages, calls and the news of what is on disk; decides only.
+ * An instance without its sockets and its disk: a member of the group that agrees, the record, and
+ * the calls that wait. Fed time, messages, calls and the news of what is on disk; decides only.
  */
 public final class Replica {
 
-    /** What an instance has done for it; may be called back from within any call, and must not call in itself. */
+    /**
+     * What an instance has done for it; may be called back from within any call, and must not call
+     * in itself.
+     */
     public interface Port {
 
         void send(MemberId to, Message message);
@@ -41,7 +43,10 @@
         /** Each call is answered once at the most; one that is not within its time is unknown. */
         void answer(long call, Answer answer);
 
-        /** This member leads from now on, or follows; {@code leader} is null where nobody is known to lead. */
+        /**
+         * This member leads from now on, or follows; {@code leader} is null where nobody is known
+         * to lead.
+         */
         void role(boolean leads, long term, MemberId leader);
 
         /** Nothing more may be done here: one line that says why. */
@@ -49,8 +54,8 @@
     }
 
     /**
-     * When a snapshot is made: after so many entries, or bytes of entries, since the one before; and after how many
-     * entries states are compared.
+     * When a snapshot is made: after so many entries, or bytes of entries, since the one before;
+     * and after how many entries states are compared.
      */
     public record Habits(int entries, long bytes, int sums) {
 
@@ -61,18 +66,17 @@
         void at(Record state);
     }
 
-    private record Pending(long call, long term) {
-    }
+    private record Pending(long call, long term) {}
 
-    private record Waiting(long index, Call call) {
-    }
+    private record Waiting(long index, Call call) {}
 
-    private record Watch(long call, String prefix, long from) {
-    }
+    private record Watch(long call, String prefix, long from) {}
 
     private static final int MOST_WATCHES = 4096;
+
     /** States of the past that are remembered to be compared. */
     private static final int MOST_SUMS = 8;
+
     private static final byte SUM = 1;
 
     private final Raft raft;
@@ -90,13 +94,22 @@
     private long bytesSince;
     private boolean changed;
     private boolean stopped;
+
     /** When each session ends, by this leader's time; kept by nobody else. */
     private final Map<SessionId, Double> ends = new HashMap<>();
+
     private final TreeMap<Long, Map<MemberId, Integer>> sums = new TreeMap<>();
     private final List<Long> sumsToTell = new ArrayList<>();
 
-    public Replica(MemberId self, Pace pace, Bounds bounds, Habits habits, Restored restored, long run, long seed,
-                   Port port) {
+    public Replica(
+            MemberId self,
+            Pace pace,
+            Bounds bounds,
+            Habits habits,
+            Restored restored,
+            long run,
+            long seed,
+            Port port) {
         this.port = port;
         this.habits = habits;
         Snapshot snapshot = restored.snapshot();
@@ -110,7 +123,9 @@
         return raft;
     }
 
-    /** What others may see of the record as this instance has it; behind the leader's, maybe far. */
+    /**
+     * What others may see of the record as this instance has it; behind the leader's, maybe far.
+     */
     public Record record() {
         return record;
     }
@@ -127,7 +142,8 @@
         }
 
         @Override
-        public void persist(long number, Vote vote, Snapshot snapshot, boolean alone, List<Entry> entries) {
+        public void persist(
+                long number, Vote vote, Snapshot snapshot, boolean alone, List<Entry> entries) {
             port.persist(new Keeper.Order(number, vote, snapshot, alone, entries));
         }
 
@@ -146,8 +162,14 @@
             record = Record.of(snapshot.data());
             snapshotAt = snapshot.index();
             bytesSince = 0;
-            pending.headMap(snapshot.index(), true).values()
-                    .forEach(each -> port.answer(each.call, new Answer.Unknown("the others went on without this instance")));
+            pending.headMap(snapshot.index(), true)
+                    .values()
+                    .forEach(
+                            each ->
+                                    port.answer(
+                                            each.call,
+                                            new Answer.Unknown(
+                                                    "the others went on without this instance")));
             pending.headMap(snapshot.index(), true).clear();
             sums.headMap(snapshot.index(), true).clear();
             changed = true;
@@ -173,7 +195,8 @@
 
         @Override
         public void leads(long term) {
-            // Whatever was left of each session by the leader before: it is counted from the start again.
+            // Whatever was left of each session by the leader before: it is counted from the start
+            // again.
             ends.clear();
             record.sessions().forEach((id, seconds) -> ends.put(id, now + seconds));
             port.role(true, term, raft.self());
@@ -204,7 +227,11 @@
             try {
                 command = RecordCodec.command(entry.data());
             } catch (RecordCodec.Unreadable e) {
-                halt("entry " + entry.index() + " can't be carried out by this program: " + e.getMessage());
+                halt(
+                        "entry "
+                                + entry.index()
+                                + " can't be carried out by this program: "
+                                + e.getMessage());
                 return;
             }
             result = record.apply(entry.index(), command);
@@ -219,9 +246,13 @@
         }
         Pending call = pending.remove(entry.index());
         if (call != null) {
-            port.answer(call.call, call.term != entry.term()
-                    ? new Answer.Refused(Answer.Reason.NOT_LEADER, "another leader came before it was agreed")
-                    : answer(result));
+            port.answer(
+                    call.call,
+                    call.term != entry.term()
+                            ? new Answer.Refused(
+                                    Answer.Reason.NOT_LEADER,
+                                    "another leader came before it was agreed")
+                            : answer(result));
         }
     }
 
@@ -314,41 +345,73 @@
             case NOT_LEADER, HANDING_OVER -> notLeader();
             case TOO_MUCH -> new Answer.Refused(Answer.Reason.BUSY, "too much waits to be agreed");
             case TOO_LARGE -> new Answer.Refused(Answer.Reason.TOO_LARGE, "too large");
-            case NOT_YET -> new Answer.Refused(Answer.Reason.BUSY, "another change of the members is not agreed yet");
+            case NOT_YET ->
+                    new Answer.Refused(
+                            Answer.Reason.BUSY, "another change of the members is not agreed yet");
             case ALREADY -> new Answer.Refused(Answer.Reason.MEMBERS, "it is so already");
-            case NAME_TAKEN -> new Answer.Refused(Answer.Reason.MEMBERS, "another of that name belongs to the group: remove it");
-            case NO_SUCH_MEMBER -> new Answer.Refused(Answer.Reason.MEMBERS, "no such member, or not one that votes");
-            case TOO_FEW -> new Answer.Refused(Answer.Reason.MEMBERS, "too few of those left are here and up to date");
-            case LAST_VOTER -> new Answer.Refused(Answer.Reason.MEMBERS, "the last one that votes can't go");
+            case NAME_TAKEN ->
+                    new Answer.Refused(
+                            Answer.Reason.MEMBERS,
+                            "another of that name belongs to the group: remove it");
+            case NO_SUCH_MEMBER ->
+                    new Answer.Refused(
+                            Answer.Reason.MEMBERS, "no such member, or not one that votes");
+            case TOO_FEW ->
+                    new Answer.Refused(
+                            Answer.Reason.MEMBERS, "too few of those left are here and up to date");
+            case LAST_VOTER ->
+                    new Answer.Refused(Answer.Reason.MEMBERS, "the last one that votes can't go");
         };
     }
 
-    /** Reads keys, all that begin so or the one; answered by a state that is no older than this call. */
+    /**
+     * Reads keys, all that begin so or the one; answered by a state that is no older than this
+     * call.
+     */
     public void read(double time, long call, String key, boolean prefix) {
         now = time;
         if (!stopped) {
-            ask(call, state -> {
-                Item item = prefix ? null : state.get(key);
-                port.answer(call, new Answer.Found(state.revision(), prefix ? state.beginning(key)
-                        : item == null ? List.of() : List.of(item)));
-            });
+            ask(
+                    call,
+                    state -> {
+                        Item item = prefix ? null : state.get(key);
+                        port.answer(
+                                call,
+                                new Answer.Found(
+                                        state.revision(),
+                                        prefix
+                                                ? state.beginning(key)
+                                                : item == null ? List.of() : List.of(item)));
+                    });
         }
         settle();
     }
 
-    /** Says that a session's client is alive; done where the session lasts its whole time from now on. */
+    /**
+     * Says that a session's client is alive; done where the session lasts its whole time from now
+     * on.
+     */
     public void renew(double time, long call, SessionId session) {
         now = time;
         if (!stopped) {
-            // A round of all, as for a read: a leader of the past must not promise what the next one does not keep.
-            ask(call, state -> {
-                if (state.seconds(session) < 0 || Double.valueOf(Double.POSITIVE_INFINITY).equals(ends.get(session))) {
-                    port.answer(call, new Answer.Refused(Answer.Reason.NO_SESSION, "there is no session " + session.number()));
-                } else {
-                    renew(session);
-                    port.answer(call, new Answer.Done(session.number()));
-                }
-            });
+            // A round of all, as for a read: a leader of the past must not promise what the next
+            // one does not keep.
+            ask(
+                    call,
+                    state -> {
+                        if (state.seconds(session) < 0
+                                || Double.valueOf(Double.POSITIVE_INFINITY)
+                                        .equals(ends.get(session))) {
+                            port.answer(
+                                    call,
+                                    new Answer.Refused(
+                                            Answer.Reason.NO_SESSION,
+                                            "there is no session " + session.number()));
+                        } else {
+                            renew(session);
+                            port.answer(call, new Answer.Done(session.number()));
+                        }
+                    });
         }
         settle();
     }
@@ -360,11 +423,17 @@
         raft.read(ticket);
     }
 
-    /** Answers once something that begins so has changed, from this revision on; at any instance, maybe late. */
+    /**
+     * Answers once something that begins so has changed, from this revision on; at any instance,
+     * maybe late.
+     */
     public void watch(double time, long call, String prefix, long from) {
         now = time;
         if (watches.size() >= MOST_WATCHES) {
-            port.answer(call, new Answer.Refused(Answer.Reason.BUSY, "there are " + MOST_WATCHES + " watches"));
+            port.answer(
+                    call,
+                    new Answer.Refused(
+                            Answer.Reason.BUSY, "there are " + MOST_WATCHES + " watches"));
         } else if (!stopped) {
             watches.add(new Watch(call, prefix, from));
             changed = true;
@@ -427,26 +496,37 @@
         if (record.applied() - snapshotAt >= habits.entries() || bytesSince >= habits.bytes()) {
             snapshotAt = record.applied();
             bytesSince = 0;
-            raft.compact(Snapshot.of(snapshotAt, raft.termOf(snapshotAt), raft.members(snapshotAt), record.bytes()));
+            raft.compact(
+                    Snapshot.of(
+                            snapshotAt,
+                            raft.termOf(snapshotAt),
+                            raft.members(snapshotAt),
+                            record.bytes()));
         }
     }
 
     private void answerReads() {
         if (!waiting.isEmpty()) {
-            List<Waiting> ready = waiting.stream().filter(each -> each.index <= record.applied()).toList();
+            List<Waiting> ready =
+                    waiting.stream().filter(each -> each.index <= record.applied()).toList();
             waiting.removeAll(ready);
             ready.forEach(each -> each.call.at(record));
         }
     }
 
     private void answerWatches() {
-        for (Iterator<Watch> each = watches.iterator(); each.hasNext();) {
+        for (Iterator<Watch> each = watches.iterator(); each.hasNext(); ) {
             Watch watch = each.next();
             List<Event> events = record.since(watch.from, watch.prefix);
             if (events == null) {
                 each.remove();
-                port.answer(watch.call, new Answer.Refused(Answer.Reason.GAP,
-                        "changes before revision " + record.revision() + " are not known here any more"));
+                port.answer(
+                        watch.call,
+                        new Answer.Refused(
+                                Answer.Reason.GAP,
+                                "changes before revision "
+                                        + record.revision()
+                                        + " are not known here any more"));
             } else if (!events.isEmpty()) {
                 each.remove();
                 port.answer(watch.call, new Answer.Seen(events, record.revision() + 1));
@@ -460,7 +540,8 @@
         }
         for (Map.Entry<SessionId, Double> end : List.copyOf(ends.entrySet())) {
             if (now > end.getValue()) {
-                if (raft.propose(RecordCodec.bytes(new Command.End(end.getKey()))).refusal() == null) {
+                if (raft.propose(RecordCodec.bytes(new Command.End(end.getKey()))).refusal()
+                        == null) {
                     ends.put(end.getKey(), Double.POSITIVE_INFINITY);
                 }
             }
@@ -473,9 +554,14 @@
         for (long index : sumsToTell) {
             Map<MemberId, Integer> own = sums.get(index);
             if (own != null) {
-                byte[] words = ByteBuffer.allocate(1 + Long.BYTES + Integer.BYTES).put(SUM).putLong(index)
-                        .putInt(own.get(raft.self())).array();
-                raft.members().voters().stream().filter(voter -> !voter.equals(raft.self()))
+                byte[] words =
+                        ByteBuffer.allocate(1 + Long.BYTES + Integer.BYTES)
+                                .put(SUM)
+                                .putLong(index)
+                                .putInt(own.get(raft.self()))
+                                .array();
+                raft.members().voters().stream()
+                        .filter(voter -> !voter.equals(raft.self()))
                         .forEach(voter -> raft.tell(voter, words));
             }
         }
@@ -483,7 +569,9 @@
     }
 
     private void heardSum(MemberId from, byte[] words) {
-        if (words.length == 1 + Long.BYTES + Integer.BYTES && words[0] == SUM && raft.members().votes(from)) {
+        if (words.length == 1 + Long.BYTES + Integer.BYTES
+                && words[0] == SUM
+                && raft.members().votes(from)) {
             ByteBuffer in = ByteBuffer.wrap(words, 1, Long.BYTES + Integer.BYTES);
             keepSum(in.getLong(), from, in.getInt());
         }
@@ -497,11 +585,31 @@
         }
         Integer own = all.get(raft.self());
         if (own != null) {
-            all.values().stream().filter(other -> !other.equals(own)).filter(other -> all.entrySet().stream()
-                    .filter(each -> raft.members().votes(each.getKey()) && each.getValue().equals(other)).count()
-                    >= raft.members().majority()).findFirst().ifPresent(other -> halt("the state after entry " + index
-                    + " differs from that of most others: " + Integer.toHexString(own) + ", theirs "
-                    + Integer.toHexString(other)));
+            all.values().stream()
+                    .filter(other -> !other.equals(own))
+                    .filter(
+                            other ->
+                                    all.entrySet().stream()
+                                                    .filter(
+                                                            each ->
+                                                                    raft.members()
+                                                                                    .votes(
+                                                                                            each
+                                                                                                    .getKey())
+                                                                            && each.getValue()
+                                                                                    .equals(other))
+                                                    .count()
+                                            >= raft.members().majority())
+                    .findFirst()
+                    .ifPresent(
+                            other ->
+                                    halt(
+                                            "the state after entry "
+                                                    + index
+                                                    + " differs from that of most others: "
+                                                    + Integer.toHexString(own)
+                                                    + ", theirs "
+                                                    + Integer.toHexString(other)));
         }
     }
 }
--- a/fleet/src/main/java/embershift/fleet/Revision.java
+++ b/fleet/src/main/java/embershift/fleet/Revision.java
@@ -7,13 +7,15 @@
 import java.util.TreeSet;
 
 /**
- * The orders of the fleet to all nodes, as one whole: {@code fields} by name. {@code before}: the chain of the revision before it, ""
- * for the first; so a revision tells all that led to it. Never changed, only followed by the next.
+ * The orders of the fleet to all nodes, as one whole: {@code fields} by name. {@code before}: the
+ * chain of the revision before it, "" for the first; so a revision tells all that led to it. Never
+ * changed, only followed by the next.
  */
 public record Revision(long number, String before, SortedMap<String, String> fields) {
 
     /** Fields that there are; {@code out/HOST} takes a host out on all nodes. */
     public static final String OUT = "out/";
+
     public static final String DISCOVERY = "discovery";
     public static final String SOCKETS = "sockets";
     public static final String PEERS = "peers";
@@ -66,13 +68,14 @@
     }
 
     static void apply(SortedMap<String, String> fields, Map<String, String> changes) {
-        changes.forEach((name, value) -> {
-            if (value == null) {
-                fields.remove(name);
-            } else {
-                fields.put(name, value);
-            }
-        });
+        changes.forEach(
+                (name, value) -> {
+                    if (value == null) {
+                        fields.remove(name);
+                    } else {
+                        fields.put(name, value);
+                    }
+                });
     }
 
     /** What no node could take, in one line, or null. Nodes check each value for themselves. */
@@ -81,8 +84,10 @@
             return "over " + MOST + " fields";
         }
         for (Map.Entry<String, String> field : fields.entrySet()) {
-            if (!field.getKey().matches("[a-z]+(/[^\\s=/]{1,200})?") || field.getValue().matches("(?s).*[\\r\\n].*")) {
-                return field.getKey() + ": a name is letters, or letters/NAME, and a value is one line";
+            if (!field.getKey().matches("[a-z]+(/[^\\s=/]{1,200})?")
+                    || field.getValue().matches("(?s).*[\\r\\n].*")) {
+                return field.getKey()
+                        + ": a name is letters, or letters/NAME, and a value is one line";
             }
         }
         return null;
@@ -91,8 +96,14 @@
     // As text, one line a field, for the record.
 
     public String text() {
-        StringBuilder out = new StringBuilder("revision 1 ").append(number).append(' ').append(before.isEmpty() ? "-" : before)
-                .append(' ').append(content()).append('\n');
+        StringBuilder out =
+                new StringBuilder("revision 1 ")
+                        .append(number)
+                        .append(' ')
+                        .append(before.isEmpty() ? "-" : before)
+                        .append(' ')
+                        .append(content())
+                        .append('\n');
         fields.forEach((name, value) -> out.append(name).append('=').append(value).append('\n'));
         return out.toString();
     }
@@ -101,7 +112,10 @@
     public static Revision read(String text) {
         String[] lines = text.split("\n");
         String[] head = lines[0].split(" ");
-        if (head.length != 5 || !head[0].equals("revision") || !head[1].equals("1") || !head[2].matches("\\d{1,18}")) {
+        if (head.length != 5
+                || !head[0].equals("revision")
+                || !head[1].equals("1")
+                || !head[2].matches("\\d{1,18}")) {
             return null;
         }
         SortedMap<String, String> fields = new TreeMap<>();
@@ -112,7 +126,8 @@
             }
             fields.put(lines[i].substring(0, equals), lines[i].substring(equals + 1));
         }
-        Revision read = new Revision(Long.parseLong(head[2]), head[3].equals("-") ? "" : head[3], fields);
+        Revision read =
+                new Revision(Long.parseLong(head[2]), head[3].equals("-") ? "" : head[3], fields);
         return read.content().equals(head[4]) ? read : null;
     }
 
--- a/fleet/src/main/java/embershift/fleet/Rollout.java
+++ b/fleet/src/main/java/embershift/fleet/Rollout.java
@@ -10,36 +10,66 @@
 import java.util.stream.Collectors;
 
 /**
- * How the owner of the duty {@code rollout} brings each node to the revision that it should go by: a few first, then all, with a halt
- * where those few refuse, are lost or serve badly; stragglers by difference, then whole, then replaced, then shut out, never many of
- * them. Fed time, reports and the record; decides only. Times in seconds that never run backwards.
+ * How the owner of the duty {@code rollout} brings each node to the revision that it should go by:
+ * a few first, then all, with a halt where those few refuse, are lost or serve badly; stragglers by
+ * difference, then whole, then replaced, then shut out, never many of them. Fed time, reports and
+ * the record; decides only. Times in seconds that never run backwards.
  */
 public final class Rollout {
 
     /**
-     * {@code settle}: that the first go by a revision before all do; {@code patience}: that they may take for it; {@code again}: until
-     * a node that has not taken an order is told anew, doubled each time up to {@code patience}; {@code flight}: nodes that are told at
-     * one time; {@code tries}: until a node is replaced, and as many again until it is shut out; {@code silent}: without a word of a node
-     * that is linked; {@code share}: of all nodes that go first, and that may be shut out without a person; {@code service}: share
-     * of tunnels that must be opened of those that were not declined.
+     * {@code settle}: that the first go by a revision before all do; {@code patience}: that they
+     * may take for it; {@code again}: until a node that has not taken an order is told anew,
+     * doubled each time up to {@code patience}; {@code flight}: nodes that are told at one time;
+     * {@code tries}: until a node is replaced, and as many again until it is shut out; {@code
+     * silent}: without a word of a node that is linked; {@code share}: of all nodes that go first,
+     * and that may be shut out without a person; {@code service}: share of tunnels that must be
+     * opened of those that were not declined.
      */
-    public record Terms(double settle, double patience, double again, int flight, int tries, double silent, double share,
-                        double service) {
+    public record Terms(
+            double settle,
+            double patience,
+            double again,
+            int flight,
+            int tries,
+            double silent,
+            double share,
+            double service) {
 
         public static final Terms USUAL = new Terms(2, 10, 0.5, 16, 4, 3, 0.1, 0.8);
     }
 
-    public enum State { CURRENT, BEHIND, SILENT, DIVERGED, SHUT_OUT, COMING_BACK }
+    public enum State {
+        CURRENT,
+        BEHIND,
+        SILENT,
+        DIVERGED,
+        SHUT_OUT,
+        COMING_BACK
+    }
 
-    public enum Stage { FIRST, ALL, HALTED }
+    public enum Stage {
+        FIRST,
+        ALL,
+        HALTED
+    }
 
     /**
-     * What a node says that it goes by. {@code content}: a sum of what its parts really go by, read back from them; {@code refused}: the
-     * revision that it refused last, 0 for none. {@code opened}, {@code failed}: tunnels since its start.
+     * What a node says that it goes by. {@code content}: a sum of what its parts really go by, read
+     * back from them; {@code refused}: the revision that it refused last, 0 for none. {@code
+     * opened}, {@code failed}: tunnels since its start.
      */
-    public record Report(String node, long incarnation, long revision, String chain, String content, boolean ready,
-                         long refused, String why, long opened, long failed) {
-    }
+    public record Report(
+            String node,
+            long incarnation,
+            long revision,
+            String chain,
+            String content,
+            boolean ready,
+            long refused,
+            String why,
+            long opened,
+            long failed) {}
 
     /** What is done for it. None of these may call back. */
     public interface Hands {
@@ -47,7 +77,10 @@
         /** Tells a node a revision: whole for {@code base} 0, else what differs from that one. */
         void order(String node, Revision revision, long base);
 
-        /** Notes in the record how far it is, under this owner's fence; {@link Rollout#noted} is owed once it is there. */
+        /**
+         * Notes in the record how far it is, under this owner's fence; {@link Rollout#noted} is
+         * owed once it is there.
+         */
         void note(String text);
 
         /** No node below this revision may act for the fleet. */
@@ -78,8 +111,10 @@
         private long goal;
         private boolean inFlight;
         private double inFlightUntil;
+
         /** By its own report the incarnation that was told the stage's revision first, 0 before. */
         private long toldIncarnation;
+
         private double tookAt = Double.NaN;
         private long openedAtStart;
         private long failedAtStart;
@@ -88,11 +123,15 @@
     private final Terms terms;
     private final Hands hands;
     private final TreeMap<Long, Revision> revisions = new TreeMap<>();
+
     /** Of each revision, reckoned once: nodes are compared with them many times a second. */
     private final Map<Long, Sums> sums = new HashMap<>();
+
     private final TreeMap<String, Node> nodes = new TreeMap<>();
+
     /** The highest incarnation of each name that is shut out, and why. */
     private final Map<String, Long> out = new TreeMap<>();
+
     private final TreeSet<String> outByDuty = new TreeSet<>();
     private long hurry;
     private long floor;
@@ -102,8 +141,13 @@
     private List<String> first = List.of();
     private String why = "";
     private double stageSince;
-    /** Notes that the record may not have yet: what follows from them is not ordered before, as an owner after this one goes by them. */
+
+    /**
+     * Notes that the record may not have yet: what follows from them is not ordered before, as an
+     * owner after this one goes by them.
+     */
     private int notes;
+
     private boolean cutTold;
     private double now;
 
@@ -228,7 +272,10 @@
         if (isOut(name, node)) {
             return State.SHUT_OUT;
         }
-        if (node == null || node.report == null || !node.linked || now - node.heard > terms.silent()) {
+        if (node == null
+                || node.report == null
+                || !node.linked
+                || now - node.heard > terms.silent()) {
             return State.SILENT;
         }
         if (foreign(node.report) || diverged(node.report)) {
@@ -244,25 +291,41 @@
         Node node = nodes.get(name);
         return switch (state(name)) {
             case SHUT_OUT -> "up to incarnation " + out.get(name);
-            case SILENT -> node == null || node.report == null ? "not heard by this owner"
-                    : "went by " + node.report.revision() + " when it was heard last: what it goes by now is not known";
-            case DIVERGED -> foreign(node.report) ? "goes by " + node.report.revision() + ", which the record never had"
-                    : "goes by something else than revision " + node.report.revision() + " says";
+            case SILENT ->
+                    node == null || node.report == null
+                            ? "not heard by this owner"
+                            : "went by "
+                                    + node.report.revision()
+                                    + " when it was heard last: what it goes by now is not known";
+            case DIVERGED ->
+                    foreign(node.report)
+                            ? "goes by " + node.report.revision() + ", which the record never had"
+                            : "goes by something else than revision "
+                                    + node.report.revision()
+                                    + " says";
             case COMING_BACK -> "goes by " + node.report.revision() + ", under the floor " + floor;
-            case BEHIND -> "goes by " + node.report.revision() + " of " + goal(name)
-                    + (node.report.refused() >= goal(name) ? ", refused it: " + node.report.why() : "");
+            case BEHIND ->
+                    "goes by "
+                            + node.report.revision()
+                            + " of "
+                            + goal(name)
+                            + (node.report.refused() >= goal(name)
+                                    ? ", refused it: " + node.report.why()
+                                    : "");
             case CURRENT -> "";
         };
     }
 
     private boolean isOut(String name, Node node) {
         Long until = out.get(name);
-        return until != null && (node == null || node.report == null || node.report.incarnation() <= until);
+        return until != null
+                && (node == null || node.report == null || node.report.incarnation() <= until);
     }
 
     private boolean foreign(Report report) {
         Sums known = sums.get(report.revision());
-        return report.revision() > revisions.lastKey() || known != null && !known.chain.equals(report.chain());
+        return report.revision() > revisions.lastKey()
+                || known != null && !known.chain.equals(report.chain());
     }
 
     private boolean diverged(Report report) {
@@ -314,10 +377,16 @@
         if (latest <= number) {
             return;
         }
-        List<String> able = nodes.keySet().stream().filter(name -> {
-            State state = state(name);
-            return state == State.CURRENT || state == State.BEHIND || state == State.COMING_BACK;
-        }).toList();
+        List<String> able =
+                nodes.keySet().stream()
+                        .filter(
+                                name -> {
+                                    State state = state(name);
+                                    return state == State.CURRENT
+                                            || state == State.BEHIND
+                                            || state == State.COMING_BACK;
+                                })
+                        .toList();
         if (able.isEmpty()) {
             return;
         }
@@ -336,10 +405,12 @@
             some.add(able.get((int) ((number * many + i) % able.size())));
         }
         first = some;
-        nodes.values().forEach(node -> {
-            node.toldIncarnation = 0;
-            node.tookAt = Double.NaN;
-        });
+        nodes.values()
+                .forEach(
+                        node -> {
+                            node.toldIncarnation = 0;
+                            node.tookAt = Double.NaN;
+                        });
         become(Stage.FIRST);
     }
 
@@ -349,10 +420,22 @@
             good = number;
         }
         notes++;
-        hands.note(number + " " + stage + " " + good + " " + (first.isEmpty() ? "-" : String.join(",", first))
-                + (why.isEmpty() ? "" : " " + why));
-        hands.told("revision " + number + ": " + (next == Stage.FIRST ? "first on " + String.join(", ", first)
-                : next == Stage.ALL ? "for all" : "halted, " + why));
+        hands.note(
+                number
+                        + " "
+                        + stage
+                        + " "
+                        + good
+                        + " "
+                        + (first.isEmpty() ? "-" : String.join(",", first))
+                        + (why.isEmpty() ? "" : " " + why));
+        hands.told(
+                "revision "
+                        + number
+                        + ": "
+                        + (next == Stage.FIRST
+                                ? "first on " + String.join(", ", first)
+                                : next == Stage.ALL ? "for all" : "halted, " + why));
     }
 
     private void halt(String reason) {
@@ -361,8 +444,10 @@
     }
 
     private void lookAtFirst() {
-        long silentOnes = nodes.keySet().stream().filter(name -> state(name) == State.SILENT).count();
-        // Rather a cut, maybe of this owner alone, than so many that the revision ended: nobody is judged by silence then.
+        long silentOnes =
+                nodes.keySet().stream().filter(name -> state(name) == State.SILENT).count();
+        // Rather a cut, maybe of this owner alone, than so many that the revision ended: nobody is
+        // judged by silence then.
         boolean cut = 2 * silentOnes > nodes.size();
         if (cut) {
             stageSince = now;
@@ -376,11 +461,14 @@
                 halt(name + " refused it: " + report.why());
                 return;
             }
-            if (report != null && node.toldIncarnation != 0 && report.incarnation() != node.toldIncarnation) {
+            if (report != null
+                    && node.toldIncarnation != 0
+                    && report.incarnation() != node.toldIncarnation) {
                 halt(name + " was started anew while it took it");
                 return;
             }
-            if (silent && now - stageSince > terms.silent() || now - stageSince > terms.patience() + terms.settle()) {
+            if (silent && now - stageSince > terms.silent()
+                    || now - stageSince > terms.patience() + terms.settle()) {
                 halt(name + (silent ? " is silent" : " did not take it in time"));
                 return;
             }
@@ -396,7 +484,13 @@
             long opened = report.opened() - node.openedAtStart;
             long failed = report.failed() - node.failedAtStart;
             if (failed > 2 && opened < terms.service() * (opened + failed)) {
-                halt(name + " closed " + failed + " of " + (opened + failed) + " tunnels with error by it");
+                halt(
+                        name
+                                + " closed "
+                                + failed
+                                + " of "
+                                + (opened + failed)
+                                + " tunnels with error by it");
                 return;
             }
             all &= now - node.tookAt >= terms.settle();
@@ -407,7 +501,10 @@
     }
 
     private void orders() {
-        long inFlight = nodes.values().stream().filter(node -> node.inFlight && now < node.inFlightUntil).count();
+        long inFlight =
+                nodes.values().stream()
+                        .filter(node -> node.inFlight && now < node.inFlightUntil)
+                        .count();
         for (Map.Entry<String, Node> each : nodes.entrySet()) {
             String name = each.getKey();
             Node node = each.getValue();
@@ -422,7 +519,9 @@
             if (now < node.next || node.inFlight && now < node.inFlightUntil) {
                 continue;
             }
-            if (node.report.refused() >= goal(name) && node.report.refused() == number && stage != Stage.ALL) {
+            if (node.report.refused() >= goal(name)
+                    && node.report.refused() == number
+                    && stage != Stage.ALL) {
                 continue;
             }
             if (node.tries >= terms.tries() && !node.replaced) {
@@ -446,8 +545,11 @@
         if (wanted == null) {
             return;
         }
-        boolean byDifference = node.tries == 0 && state != State.DIVERGED && node.report.revision() > 0
-                && revisions.containsKey(node.report.revision());
+        boolean byDifference =
+                node.tries == 0
+                        && state != State.DIVERGED
+                        && node.report.revision() > 0
+                        && revisions.containsKey(node.report.revision());
         if (wanted.number() == number && stage == Stage.FIRST) {
             node.toldIncarnation = node.report.incarnation();
         }
@@ -465,7 +567,11 @@
         if (outByDuty.size() >= most) {
             if (!cutTold) {
                 cutTold = true;
-                hands.told(name + " would be shut out, but " + outByDuty.size() + " are already: that is for a person");
+                hands.told(
+                        name
+                                + " would be shut out, but "
+                                + outByDuty.size()
+                                + " are already: that is for a person");
             }
             return false;
         }
@@ -480,8 +586,14 @@
         if (stage != Stage.ALL || floor >= number || nodes.isEmpty()) {
             return;
         }
-        boolean all = nodes.keySet().stream().allMatch(name -> state(name) == State.SHUT_OUT
-                || state(name) == State.CURRENT && nodes.get(name).report.revision() >= number);
+        boolean all =
+                nodes.keySet().stream()
+                        .allMatch(
+                                name ->
+                                        state(name) == State.SHUT_OUT
+                                                || state(name) == State.CURRENT
+                                                        && nodes.get(name).report.revision()
+                                                                >= number);
         if (all) {
             floor = number;
             hands.floor(floor);
@@ -490,7 +602,9 @@
 
     /** Those that are not current, for one line. */
     public String summary() {
-        return nodes.keySet().stream().filter(name -> state(name) != State.CURRENT)
-                .map(name -> name + " " + state(name)).collect(Collectors.joining(", "));
+        return nodes.keySet().stream()
+                .filter(name -> state(name) != State.CURRENT)
+                .map(name -> name + " " + state(name))
+                .collect(Collectors.joining(", "));
     }
 }
--- a/fleet/src/main/java/embershift/fleet/Segment.java
+++ b/fleet/src/main/java/embershift/fleet/Segment.java
@@ -4,10 +4,12 @@
 import java.util.List;
 
 /**
- * A piece of one incarnation's trail, never changed once it is cut: entries one after the other, chained to the piece before by its sum.
- * Where the first entry does not follow the last one of the piece before, what lay between was dropped for want of room.
+ * A piece of one incarnation's trail, never changed once it is cut: entries one after the other,
+ * chained to the piece before by its sum. Where the first entry does not follow the last one of the
+ * piece before, what lay between was dropped for want of room.
  */
-public record Segment(String node, long incarnation, long number, String before, List<Trace> entries) {
+public record Segment(
+        String node, long incarnation, long number, String before, List<Trace> entries) {
 
     public long from() {
         return entries.get(0).number();
@@ -36,8 +38,19 @@
     }
 
     public String text() {
-        StringBuilder out = new StringBuilder("trail 1 " + node + " " + incarnation + " " + number + " "
-                + (before.isEmpty() ? "-" : before) + " " + sum() + "\n");
+        StringBuilder out =
+                new StringBuilder(
+                        "trail 1 "
+                                + node
+                                + " "
+                                + incarnation
+                                + " "
+                                + number
+                                + " "
+                                + (before.isEmpty() ? "-" : before)
+                                + " "
+                                + sum()
+                                + "\n");
         entries.forEach(entry -> out.append(entry.line()).append('\n'));
         return out.toString();
     }
@@ -46,16 +59,25 @@
     public static Segment read(String text) {
         String[] lines = text.split("\n");
         String[] head = lines[0].split(" ");
-        if (head.length != 7 || !head[0].equals("trail") || !head[1].equals("1") || lines.length < 2
-                || !head[3].matches("\\d{1,18}") || !head[4].matches("\\d{1,18}")) {
+        if (head.length != 7
+                || !head[0].equals("trail")
+                || !head[1].equals("1")
+                || lines.length < 2
+                || !head[3].matches("\\d{1,18}")
+                || !head[4].matches("\\d{1,18}")) {
             return null;
         }
         List<Trace> entries = Trace.readAll(Arrays.asList(lines).subList(1, lines.length));
         if (entries == null) {
             return null;
         }
-        Segment read = new Segment(head[2], Long.parseLong(head[3]), Long.parseLong(head[4]),
-                head[5].equals("-") ? "" : head[5], entries);
+        Segment read =
+                new Segment(
+                        head[2],
+                        Long.parseLong(head[3]),
+                        Long.parseLong(head[4]),
+                        head[5].equals("-") ? "" : head[5],
+                        entries);
         return read.sum().equals(head[6]) ? read : null;
     }
 }
--- a/fleet/src/main/java/embershift/fleet/Session.java
+++ b/fleet/src/main/java/embershift/fleet/Session.java
@@ -8,8 +8,10 @@
     final SessionId id;
     final String client;
     final double seconds;
+
     /** Numbers below this one the client will not send again. */
     long open = 1;
+
     final TreeMap<Long, Result> results = new TreeMap<>();
 
     Session(SessionId id, String client, double seconds) {
--- a/fleet/src/main/java/embershift/fleet/Tenure.java
+++ b/fleet/src/main/java/embershift/fleet/Tenure.java
@@ -1,13 +1,15 @@
 package embershift.fleet;
 
 /**
- * How long an owner may take itself for one, by its own clock alone. Counted from before it asked: the record counts from
- * when it granted, which was later, and longer by what clocks may differ. Times in seconds that never run backwards.
+ * How long an owner may take itself for one, by its own clock alone. Counted from before it asked:
+ * the record counts from when it granted, which was later, and longer by what clocks may differ.
+ * Times in seconds that never run backwards.
  */
 public final class Tenure {
 
     /** How far the rates of two clocks are assumed to be apart at the most, as a share. */
     public static final double DRIFT = 0.02;
+
     /** After which part of its time it is renewed. */
     private static final double RENEW = 1.0 / 3;
 
@@ -16,12 +18,17 @@
     private double until = Double.NEGATIVE_INFINITY;
     private double renewAt = Double.NEGATIVE_INFINITY;
 
-    /** {@code session}: seconds after which the record lets go of an owner that it does not hear. */
+    /**
+     * {@code session}: seconds after which the record lets go of an owner that it does not hear.
+     */
     public Tenure(double session) {
         lasts = session * (1 - 2 * DRIFT);
     }
 
-    /** The duty was granted; {@code asked}: when the owner asked for it, or opened the session, whichever was earlier. */
+    /**
+     * The duty was granted; {@code asked}: when the owner asked for it, or opened the session,
+     * whichever was earlier.
+     */
     public void granted(Fence by, double asked) {
         fence = by;
         until = Double.NEGATIVE_INFINITY;
@@ -49,7 +56,9 @@
         return now < until;
     }
 
-    /** Whether something that may take so long may be begun: it ends while this owner still holds. */
+    /**
+     * Whether something that may take so long may be begun: it ends while this owner still holds.
+     */
     public boolean mayBegin(double now, double longest) {
         return now + longest < until;
     }
--- a/fleet/src/main/java/embershift/fleet/Trace.java
+++ b/fleet/src/main/java/embershift/fleet/Trace.java
@@ -6,13 +6,27 @@
 import java.util.TreeMap;
 
 /**
- * One thing that a node did or had done to it, as its trail holds it. {@code number}: from 1 on, by incarnation; {@code fields}: names and
- * values without spaces; {@code words}: free text, at the end.
+ * One thing that a node did or had done to it, as its trail holds it. {@code number}: from 1 on, by
+ * incarnation; {@code fields}: names and values without spaces; {@code words}: free text, at the
+ * end.
  */
 public record Trace(long number, Hybrid at, Kind kind, Map<String, String> fields, String words) {
 
-    /** {@code TOOK}: a revision is acted on from here on; {@code TUNNELS}: how many were decided by it since the entry before. */
-    public enum Kind { STARTED, TOOK, REFUSED, ORDER, TUNNELS, READY, OUT, LED, ENDS }
+    /**
+     * {@code TOOK}: a revision is acted on from here on; {@code TUNNELS}: how many were decided by
+     * it since the entry before.
+     */
+    public enum Kind {
+        STARTED,
+        TOOK,
+        REFUSED,
+        ORDER,
+        TUNNELS,
+        READY,
+        OUT,
+        LED,
+        ENDS
+    }
 
     public Trace {
         fields = new TreeMap<>(fields);
@@ -25,8 +39,14 @@
     }
 
     public String line() {
-        StringBuilder out = new StringBuilder().append(number).append(' ').append(at).append(' ').append(kind);
-        fields.forEach((name, value) -> out.append(' ').append(name).append('=').append(value.replaceAll("\\s", "_")));
+        StringBuilder out =
+                new StringBuilder().append(number).append(' ').append(at).append(' ').append(kind);
+        fields.forEach(
+                (name, value) ->
+                        out.append(' ')
+                                .append(name)
+                                .append('=')
+                                .append(value.replaceAll("\\s", "_")));
         return words.isEmpty() ? out.toString() : out.append(" : ").append(words).toString();
     }
 
@@ -47,7 +67,11 @@
         }
         for (Kind kind : Kind.values()) {
             if (kind.name().equals(parts[2])) {
-                return new Trace(Long.parseLong(parts[0]), Hybrid.read(parts[1]), kind, fields,
+                return new Trace(
+                        Long.parseLong(parts[0]),
+                        Hybrid.read(parts[1]),
+                        kind,
+                        fields,
                         colon < 0 ? "" : line.substring(colon + 3));
             }
         }
--- a/hosted/src/main/java/embershift/hosted/AuditCommand.java
+++ b/hosted/src/main/java/embershift/hosted/AuditCommand.java
@@ -10,7 +10,6 @@
 import embershift.fleet.Audit;
 import embershift.fleet.Folding;
 import embershift.fleet.Trace;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -23,37 +22,55 @@
 import java.util.TreeMap;
 
 /** Which node acted on which version, asked of the trails that the record holds. */
-@Parameters(commandDescription = "Which node acted on which version: --node N --at TIME, --revision R, --between A,B, --host H, --verify")
+@Parameters(
+        commandDescription =
+                "Which node acted on which version: --node N --at TIME, --revision R, --between A,B, --host H, --verify")
 final class AuditCommand extends FleetCommands.Steps {
 
     @Parameter(names = "--node", description = "Of this node only")
     String node = "";
 
-    @Parameter(names = "--at-time", description = "What each node acted on then: 2026-12-01T10:00:00Z or milliseconds since 1970")
+    @Parameter(
+            names = "--at-time",
+            description =
+                    "What each node acted on then: 2026-12-01T10:00:00Z or milliseconds since 1970")
     String atTime = "";
 
-    @Parameter(names = "--revision", description = "Who acted on this revision, who may have, who never did")
+    @Parameter(
+            names = "--revision",
+            description = "Who acted on this revision, who may have, who never did")
     long revision = -1;
 
     @Parameter(names = "--between", description = "Entries between two times, as FROM,TO")
     String between = "";
 
-    @Parameter(names = "--host", description = "Who was told that this host is out, and who sent it something after that")
+    @Parameter(
+            names = "--host",
+            description =
+                    "Who was told that this host is out, and who sent it something after that")
     String host = "";
 
-    @Parameter(names = "--verify", description = "Whether the trails are whole: chains, gaps, what is told twice")
+    @Parameter(
+            names = "--verify",
+            description = "Whether the trails are whole: chains, gaps, what is told twice")
     boolean verify;
 
-    @Parameter(names = "--picture", description = "File for a picture (SVG): time across, nodes down, one colour a revision")
+    @Parameter(
+            names = "--picture",
+            description =
+                    "File for a picture (SVG): time across, nodes down, one colour a revision")
     String picture = "";
 
     private List<String> heads = List.of();
 
     static long millis(String text) {
         try {
-            return text.matches("\\d{1,15}") ? Long.parseLong(text) : Instant.parse(text).toEpochMilli();
+            return text.matches("\\d{1,15}")
+                    ? Long.parseLong(text)
+                    : Instant.parse(text).toEpochMilli();
         } catch (DateTimeParseException e) {
-            throw new ParameterException(text + " is no time: 2026-12-01T10:00:00Z or milliseconds since 1970");
+            throw new ParameterException(
+                    text + " is no time: 2026-12-01T10:00:00Z or milliseconds since 1970");
         }
     }
 
@@ -74,10 +91,18 @@
             return folded;
         }
         Map<String, Long> registered = new TreeMap<>();
-        nodes.answer().path("items").forEach(item -> registered.put(item.path("key").asText().substring(Nodes.NODE.length()),
-                item.path("revision").asLong()));
+        nodes.answer()
+                .path("items")
+                .forEach(
+                        item ->
+                                registered.put(
+                                        item.path("key").asText().substring(Nodes.NODE.length()),
+                                        item.path("revision").asLong()));
         Map<String, String> begins = new TreeMap<>();
-        folded.answer().path("items").forEach(item -> begins.put(item.path("key").asText(), item.path("value").asText()));
+        folded.answer()
+                .path("items")
+                .forEach(
+                        item -> begins.put(item.path("key").asText(), item.path("value").asText()));
         List<String> texts = new ArrayList<>();
         for (String each : node.isEmpty() ? registered.keySet() : List.of(node)) {
             // One node's at a time: all of them would not go into one answer.
@@ -94,7 +119,16 @@
             heads = List.of("PROBLEM");
             audit.verify().forEach(problem -> rows.addArray().add(problem));
         } else if (revision >= 0) {
-            heads = List.of("NODE", "INCARNATION", "FROM", "TO", "OPENED", "DECLINED", "FAILED", "");
+            heads =
+                    List.of(
+                            "NODE",
+                            "INCARNATION",
+                            "FROM",
+                            "TO",
+                            "OPENED",
+                            "DECLINED",
+                            "FAILED",
+                            "");
             who(audit, rows);
         } else if (!between.isEmpty()) {
             heads = List.of("TIME", "NODE", "WHAT");
@@ -106,7 +140,10 @@
             heads = List.of("NODE", "REVISION", "HOW THAT IS KNOWN");
             for (String each : node.isEmpty() ? audit.nodes() : List.of(node)) {
                 Audit.At then = audit.at(each, at);
-                rows.addArray().add(each).add(then.revision() < 0 ? "?" : String.valueOf(then.revision())).add(then.how());
+                rows.addArray()
+                        .add(each)
+                        .add(then.revision() < 0 ? "?" : String.valueOf(then.revision()))
+                        .add(then.how());
             }
         }
         if (!picture.isEmpty()) {
@@ -122,19 +159,57 @@
     private void who(Audit audit, ArrayNode rows) {
         Audit.Who who = audit.revision(revision);
         for (Audit.Spell spell : who.did()) {
-            rows.addArray().add(spell.node()).add(String.valueOf(spell.incarnation())).add(time(spell.from().millis()))
-                    .add(spell.to() == null ? "at least " + time(spell.known().millis()) : time(spell.to().millis()))
-                    .add(String.valueOf(spell.opened())).add(String.valueOf(spell.declined())).add(String.valueOf(spell.failed()))
+            rows.addArray()
+                    .add(spell.node())
+                    .add(String.valueOf(spell.incarnation()))
+                    .add(time(spell.from().millis()))
+                    .add(
+                            spell.to() == null
+                                    ? "at least " + time(spell.known().millis())
+                                    : time(spell.to().millis()))
+                    .add(String.valueOf(spell.opened()))
+                    .add(String.valueOf(spell.declined()))
+                    .add(String.valueOf(spell.failed()))
                     .add(spell.surely() ? "" : "entries are missing");
         }
-        who.mayHave().forEach((name, why) -> rows.addArray().add(name).add("").add("").add("").add("").add("").add("")
-                .add("may have: " + why));
-        who.never().forEach(name -> rows.addArray().add(name).add("").add("").add("").add("").add("").add("").add("never"));
+        who.mayHave()
+                .forEach(
+                        (name, why) ->
+                                rows.addArray()
+                                        .add(name)
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("may have: " + why));
+        who.never()
+                .forEach(
+                        name ->
+                                rows.addArray()
+                                        .add(name)
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("")
+                                        .add("never"));
     }
 
     private static void entries(List<Map.Entry<String, Trace>> entries, ArrayNode rows) {
-        entries.forEach(entry -> rows.addArray().add(time(entry.getValue().at().millis())).add(entry.getKey())
-                .add(entry.getValue().kind() + entry.getValue().line().split(entry.getValue().kind().name(), 2)[1]));
+        entries.forEach(
+                entry ->
+                        rows.addArray()
+                                .add(time(entry.getValue().at().millis()))
+                                .add(entry.getKey())
+                                .add(
+                                        entry.getValue().kind()
+                                                + entry.getValue()
+                                                        .line()
+                                                        .split(entry.getValue().kind().name(), 2)[
+                                                        1]));
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/Discovery.java
+++ b/hosted/src/main/java/embershift/hosted/Discovery.java
@@ -8,7 +8,6 @@
 import embershift.protocol.WatchSchedule;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -17,8 +16,8 @@
 import java.util.TreeMap;
 
 /**
- * A watch at discovery: one call after the other, each waiting for news there, at the times of {@link WatchSchedule}.
- * Keeps the whole list; on a loop.
+ * A watch at discovery: one call after the other, each waiting for news there, at the times of
+ * {@link WatchSchedule}. Keeps the whole list; on a loop.
  */
 final class Discovery implements Link.Events {
 
@@ -37,8 +36,10 @@
     private HttpReply reply;
     private Loop.Timer timer;
     private boolean closed;
+
     /** Whether this connection has brought an answer: from then on its versions only grow. */
     private boolean answeredHere;
+
     private double heardAt = Double.NEGATIVE_INFINITY;
     private long calls;
 
@@ -82,14 +83,28 @@
             timer = null;
         }
         if (!closed) {
-            timer = loop.after(Math.max(0, schedule.due() - loop.now()), schedule.calling() ? this::failed : this::call);
+            timer =
+                    loop.after(
+                            Math.max(0, schedule.due() - loop.now()),
+                            schedule.calling() ? this::failed : this::call);
         }
     }
 
     private void send() {
-        String query = generation < 0 ? "" : "?after=" + generation + "&wait_ms=" + (long) (schedule.mayWait() * 1000);
-        link.write(ByteBuffer.wrap(("GET /api/targets" + query + " HTTP/1.1\r\nHost: " + address.getAddress().getHostAddress()
-                + ":" + address.getPort() + "\r\nAccept: application/json\r\n\r\n").getBytes(StandardCharsets.US_ASCII)));
+        String query =
+                generation < 0
+                        ? ""
+                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.mayWait() * 1000);
+        link.write(
+                ByteBuffer.wrap(
+                        ("GET /api/targets"
+                                        + query
+                                        + " HTTP/1.1\r\nHost: "
+                                        + address.getAddress().getHostAddress()
+                                        + ":"
+                                        + address.getPort()
+                                        + "\r\nAccept: application/json\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII)));
     }
 
     private void failed() {
@@ -112,7 +127,9 @@
             hangUp();
         }
         ObjectNode page = reply.status() == 200 ? Words.read(reply.body()) : null;
-        if (page == null || !page.path("generation").isNumber() || !page.path("instances").isArray()) {
+        if (page == null
+                || !page.path("generation").isNumber()
+                || !page.path("instances").isArray()) {
             failed();
             return;
         }
@@ -120,9 +137,13 @@
         long told = page.path("generation").asLong();
         boolean whole = page.path("reset").asBoolean() || generation < 0;
         boolean anew = told < generation;
-        boolean sameAgain = told == generation && !page.path("instances").isEmpty() && schedule.early(loop.now());
+        boolean sameAgain =
+                told == generation
+                        && !page.path("instances").isEmpty()
+                        && schedule.early(loop.now());
         if (answeredHere && (anew || sameAgain)) {
-            // An earlier answer that came once more, whole perhaps: what it lists as ready may have been told to drain since,
+            // An earlier answer that came once more, whole perhaps: what it lists as ready may have
+            // been told to drain since,
             // and the call that is out still waits there.
             hangUp();
             call();
--- a/hosted/src/main/java/embershift/hosted/Duties.java
+++ b/hosted/src/main/java/embershift/hosted/Duties.java
@@ -2,7 +2,6 @@
 
 import embershift.fleet.Record;
 import embershift.transport.Loop;
-
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -15,9 +14,12 @@
 
     /** Seconds by which others wait while a duty is to go to a certain one. */
     static final double HANDED_OVER = 2;
+
     private static final double TICK = 0.05;
+
     /** Seconds by which one that has a duty already is slower to claim another. */
     private static final double EACH = 0.3;
+
     private static final double JITTER = 0.1;
 
     private final Loop loop;
@@ -33,8 +35,14 @@
     private boolean leaving;
 
     /** {@code addresses}: where the instances are now, this one too. */
-    Duties(Loop loop, String name, Installation.Fleet fleet, Supplier<Record> record,
-           Supplier<List<InetSocketAddress>> addresses, BiConsumer<String, Long> count, long seed) {
+    Duties(
+            Loop loop,
+            String name,
+            Installation.Fleet fleet,
+            Supplier<Record> record,
+            Supplier<List<InetSocketAddress>> addresses,
+            BiConsumer<String, Long> count,
+            long seed) {
         this.loop = loop;
         this.name = name;
         this.fleet = fleet;
@@ -43,8 +51,13 @@
         chance = new Random(seed);
         commands = new RecordCaller(addresses, name, loop::execute);
         words = new RecordCaller(addresses, name, loop::execute);
-        nodes = new Nodes(loop, record, new RecordCaller(addresses, name, loop::execute),
-                new RecordCaller(addresses, name, loop::execute), this);
+        nodes =
+                new Nodes(
+                        loop,
+                        record,
+                        new RecordCaller(addresses, name, loop::execute),
+                        new RecordCaller(addresses, name, loop::execute),
+                        this);
         if (fleet != null) {
             if (fleet.discovery() != null) {
                 duties.add(new ListsDuty(this));
--- a/hosted/src/main/java/embershift/hosted/Duty.java
+++ b/hosted/src/main/java/embershift/hosted/Duty.java
@@ -1,5 +1,7 @@
 package embershift.hosted;
 
+import static net.logstash.logback.argument.StructuredArguments.kv;
+
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.fleet.Command;
 import embershift.fleet.Condition;
@@ -10,19 +12,16 @@
 import embershift.fleet.Plan;
 import embershift.fleet.SessionId;
 import embershift.fleet.Write;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
 import java.util.function.Consumer;
-
-import static net.logstash.logback.argument.StructuredArguments.kv;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
- * One duty at this instance: an {@link Owner} with its calls to the record. Those that extend it do the work, while it holds, by its
- * fence. On the loop.
+ * One duty at this instance: an {@link Owner} with its calls to the record. Those that extend it do
+ * the work, while it holds, by its fence. On the loop.
  */
 abstract class Duty implements Owner.Hands {
 
@@ -30,8 +29,7 @@
     private static final double CALL = 1.5;
     private static final double AGAIN = 0.2;
 
-    private record Writing(List<Write> some, Runnable done) {
-    }
+    private record Writing(List<Write> some, Runnable done) {}
 
     final Duties all;
     final DutyId id;
@@ -39,6 +37,7 @@
     private Fence begun = Fence.NONE;
     private final Deque<Writing> writes = new ArrayDeque<>();
     private boolean writing;
+
     /** The order to hand it over that was followed already. */
     private long followed;
 
@@ -83,8 +82,7 @@
     abstract void work();
 
     /** Called before the owner looks at the time, whether it holds or not. */
-    void prepare() {
-    }
+    void prepare() {}
 
     final void tick(double reluctance) {
         prepare();
@@ -134,9 +132,12 @@
         }
     }
 
-    /** Writes under this owner's fence, in this order; nothing of it is written once another was granted the duty. */
+    /**
+     * Writes under this owner's fence, in this order; nothing of it is written once another was
+     * granted the duty.
+     */
     final void write(List<Write> some) {
-        write(some, () -> { });
+        write(some, () -> {});
     }
 
     /** {@code done} runs once it is in the record, while this owner still has the duty. */
@@ -152,31 +153,42 @@
         writing = true;
         List<Write> some = writes.peek().some;
         Fence by = fence();
-        all.commands().ask(RecordCaller.changes(List.of(new Condition(id.fenceKey(), by.number())), some), CALL, outcome -> {
-            writing = false;
-            if (!by.equals(begun)) {
-                return;
-            }
-            if (outcome.done()) {
-                writes.poll().done.run();
-                writeNext();
-            } else if (outcome.reason().equals("condition")) {
-                owner.knows(now(), new Fence(by.number() + 1));
-            } else {
-                all.after(AGAIN, this::writeNext);
-            }
-        });
-    }
-
-    /** Gives a node an order by this owner's fence; a node that knows a later one ends the duty here. Hears the verdict, or null for none. */
-    final void order(Nodes.NodeLink link, String what, ObjectNode order, Consumer<ObjectNode> heard) {
-        link.order(order.put("duty", id.name()).put("fence", fence().number()).put("what", what), verdict -> {
-            if (verdict != null && verdict.path("verdict").asText().equals("OLD")) {
-                all.counted("orders refused as old");
-                owner.knows(now(), new Fence(verdict.path("known").asLong()));
-            }
-            heard.accept(verdict);
-        });
+        all.commands()
+                .ask(
+                        RecordCaller.changes(
+                                List.of(new Condition(id.fenceKey(), by.number())), some),
+                        CALL,
+                        outcome -> {
+                            writing = false;
+                            if (!by.equals(begun)) {
+                                return;
+                            }
+                            if (outcome.done()) {
+                                writes.poll().done.run();
+                                writeNext();
+                            } else if (outcome.reason().equals("condition")) {
+                                owner.knows(now(), new Fence(by.number() + 1));
+                            } else {
+                                all.after(AGAIN, this::writeNext);
+                            }
+                        });
+    }
+
+    /**
+     * Gives a node an order by this owner's fence; a node that knows a later one ends the duty
+     * here. Hears the verdict, or null for none.
+     */
+    final void order(
+            Nodes.NodeLink link, String what, ObjectNode order, Consumer<ObjectNode> heard) {
+        link.order(
+                order.put("duty", id.name()).put("fence", fence().number()).put("what", what),
+                verdict -> {
+                    if (verdict != null && verdict.path("verdict").asText().equals("OLD")) {
+                        all.counted("orders refused as old");
+                        owner.knows(now(), new Fence(verdict.path("known").asLong()));
+                    }
+                    heard.accept(verdict);
+                });
     }
 
     // The owner's hands.
@@ -188,23 +200,33 @@
 
     @Override
     public final void renew(SessionId session, double asked) {
-        all.words().ask(RecordClient.call("renew").put("session", session.number()), CALL, outcome -> {
-            if (outcome.done()) {
-                owner.renewed(now(), asked);
-            } else if (outcome.reason().equals("no-session")) {
-                owner.sessionOver(now());
-            }
-        });
+        all.words()
+                .ask(
+                        RecordClient.call("renew").put("session", session.number()),
+                        CALL,
+                        outcome -> {
+                            if (outcome.done()) {
+                                owner.renewed(now(), asked);
+                            } else if (outcome.reason().equals("no-session")) {
+                                owner.sessionOver(now());
+                            }
+                        });
     }
 
     @Override
     public final void look(DutyId duty) {
-        all.words().ask(RecordClient.call("get").put("key", duty.progressKey()), CALL, outcome -> {
-            if (outcome.done()) {
-                var item = outcome.answer().path("items").path(0);
-                owner.found(now(), item.isMissingNode() ? null : item.path("value").asText());
-            }
-        });
+        all.words()
+                .ask(
+                        RecordClient.call("get").put("key", duty.progressKey()),
+                        CALL,
+                        outcome -> {
+                            if (outcome.done()) {
+                                var item = outcome.answer().path("items").path(0);
+                                owner.found(
+                                        now(),
+                                        item.isMissingNode() ? null : item.path("value").asText());
+                            }
+                        });
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/FleetCommands.java
+++ b/hosted/src/main/java/embershift/hosted/FleetCommands.java
@@ -8,21 +8,26 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Toml;
 import embershift.door.Words;
-
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** The administrator's commands: each answers done (0), refused (1) or unknown (3) within a stated time. */
+/**
+ * The administrator's commands: each answers done (0), refused (1) or unknown (3) within a stated
+ * time.
+ */
 final class FleetCommands {
 
     private static final int REFUSED = 1;
     private static final int UNKNOWN = 3;
 
     abstract static class Command {
-        @Parameter(names = "--at", description = "Instances to ask, as HOST:PORT,HOST:PORT", required = true)
+        @Parameter(
+                names = "--at",
+                description = "Instances to ask, as HOST:PORT,HOST:PORT",
+                required = true)
         String at;
 
         @Parameter(names = "--within", description = "Seconds within which an answer comes")
@@ -63,8 +68,10 @@
 
         int told(RecordClient.Outcome outcome) {
             if (json) {
-                System.out.println(outcome.answer() == null ? Words.node().put("end", outcome.end())
-                        : outcome.answer().put("end", outcome.end()));
+                System.out.println(
+                        outcome.answer() == null
+                                ? Words.node().put("end", outcome.end())
+                                : outcome.answer().put("end", outcome.end()));
             } else if (outcome.done()) {
                 print(outcome.answer());
             } else {
@@ -112,13 +119,22 @@
                 String where = address.getHostString() + ":" + address.getPort();
                 all &= answer != null;
                 if (json) {
-                    System.out.println(answer == null ? Words.node().put("address", where).put("end", "unknown") : answer);
+                    System.out.println(
+                            answer == null
+                                    ? Words.node().put("address", where).put("end", "unknown")
+                                    : answer);
                 } else if (answer == null) {
                     rows.add(List.of(where, "no answer", "", "", "", "", ""));
                 } else {
-                    rows.add(List.of(where, answer.path("name").asText(), answer.path("role").asText(),
-                            answer.path("term").asText(), answer.path("leader").asText(), answer.path("agreed").asText(),
-                            answer.path("doubt").asBoolean() ? "in doubt" : ""));
+                    rows.add(
+                            List.of(
+                                    where,
+                                    answer.path("name").asText(),
+                                    answer.path("role").asText(),
+                                    answer.path("term").asText(),
+                                    answer.path("leader").asText(),
+                                    answer.path("agreed").asText(),
+                                    answer.path("doubt").asBoolean() ? "in doubt" : ""));
                 }
             }
             if (!json) {
@@ -144,25 +160,41 @@
                     best = answer;
                 }
             }
-            return told(best == null ? new RecordClient.Outcome("refused", Words.node().put("reason", "no-answer"))
-                    : new RecordClient.Outcome("done", best));
+            return told(
+                    best == null
+                            ? new RecordClient.Outcome(
+                                    "refused", Words.node().put("reason", "no-answer"))
+                            : new RecordClient.Outcome("done", best));
         }
 
         private static long rank(ObjectNode answer) {
-            return 2 * answer.path("term").asLong() + (answer.path("role").asText().equals("leader") ? 1 : 0);
+            return 2 * answer.path("term").asLong()
+                    + (answer.path("role").asText().equals("leader") ? 1 : 0);
         }
 
         @Override
         void print(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             for (JsonNode member : answer.path("members")) {
-                rows.add(List.of(member.path("name").asText(), member.path("id").asText(), member.path("address").asText(),
-                        member.path("role").asText(), member.path("has").asText(""),
-                        !member.has("heard") ? "" : member.path("heard").asBoolean() ? "yes" : "no"));
+                rows.add(
+                        List.of(
+                                member.path("name").asText(),
+                                member.path("id").asText(),
+                                member.path("address").asText(),
+                                member.path("role").asText(),
+                                member.path("has").asText(""),
+                                !member.has("heard")
+                                        ? ""
+                                        : member.path("heard").asBoolean() ? "yes" : "no"));
             }
             table(List.of("NAME", "ID", "ADDRESS", "ROLE", "HAS", "HEARD"), rows);
-            System.out.println("as " + answer.path("name").asText() + " has it, " + answer.path("role").asText() + " in term "
-                    + answer.path("term").asText());
+            System.out.println(
+                    "as "
+                            + answer.path("name").asText()
+                            + " has it, "
+                            + answer.path("role").asText()
+                            + " in term "
+                            + answer.path("term").asText());
         }
     }
 
@@ -184,8 +216,10 @@
         @Override
         void print(ObjectNode answer) {
             JsonNode item = answer.path("items").path(0);
-            System.out.println(item.isMissingNode() ? "nothing there, at revision " + answer.path("revision")
-                    : item.path("value").asText());
+            System.out.println(
+                    item.isMissingNode()
+                            ? "nothing there, at revision " + answer.path("revision")
+                            : item.path("value").asText());
         }
     }
 
@@ -200,7 +234,11 @@
         void print(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             for (JsonNode item : answer.path("items")) {
-                rows.add(List.of(item.path("key").asText(), item.path("revision").asText(), item.path("value").asText()));
+                rows.add(
+                        List.of(
+                                item.path("key").asText(),
+                                item.path("revision").asText(),
+                                item.path("value").asText()));
             }
             table(List.of("KEY", "REVISION", "VALUE"), rows);
         }
@@ -208,7 +246,9 @@
 
     @Parameters(commandDescription = "KEY VALUE: writes a key")
     private static final class Put extends Command {
-        @Parameter(names = "--if-revision", description = "Only where the key's revision is this one; 0: where there is none")
+        @Parameter(
+                names = "--if-revision",
+                description = "Only where the key's revision is this one; 0: where there is none")
         long revision = -1;
 
         @Override
@@ -225,7 +265,9 @@
 
     @Parameters(commandDescription = "KEY: takes a key away")
     private static final class Delete extends Command {
-        @Parameter(names = "--if-revision", description = "Only where the key's revision is this one")
+        @Parameter(
+                names = "--if-revision",
+                description = "Only where the key's revision is this one")
         long revision = -1;
 
         @Override
@@ -242,37 +284,54 @@
 
         @Override
         ObjectNode call() {
-            return RecordClient.call("watch").put("prefix", words.isEmpty() ? "" : words.get(0)).put("from", from);
+            return RecordClient.call("watch")
+                    .put("prefix", words.isEmpty() ? "" : words.get(0))
+                    .put("from", from);
         }
 
         @Override
         int run() {
             ObjectNode call = call();
             if (from < 0) {
-                ObjectNode status = RecordClient.askOne(addresses().get(0), RecordClient.call("status"), within);
+                ObjectNode status =
+                        RecordClient.askOne(
+                                addresses().get(0), RecordClient.call("status"), within);
                 if (status == null) {
-                    return told(new RecordClient.Outcome("refused", Words.node().put("reason", "no-answer")));
+                    return told(
+                            new RecordClient.Outcome(
+                                    "refused", Words.node().put("reason", "no-answer")));
                 }
                 call.put("from", status.path("revision").asLong() + 1);
             }
             ObjectNode answer = RecordClient.askOne(addresses().get(0), call, within);
-            return told(new RecordClient.Outcome(answer == null ? "refused" : answer.path("end").asText(),
-                    answer == null ? Words.node().put("reason", "nothing-changed") : answer));
+            return told(
+                    new RecordClient.Outcome(
+                            answer == null ? "refused" : answer.path("end").asText(),
+                            answer == null
+                                    ? Words.node().put("reason", "nothing-changed")
+                                    : answer));
         }
 
         @Override
         void print(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             for (JsonNode event : answer.path("events")) {
-                rows.add(List.of(event.path("revision").asText(), event.path("key").asText(),
-                        event.path("value").isNull() ? "(gone)" : event.path("value").asText()));
+                rows.add(
+                        List.of(
+                                event.path("revision").asText(),
+                                event.path("key").asText(),
+                                event.path("value").isNull()
+                                        ? "(gone)"
+                                        : event.path("value").asText()));
             }
             table(List.of("REVISION", "KEY", "VALUE"), rows);
             System.out.println("next: --from " + answer.path("next").asText());
         }
     }
 
-    @Parameters(commandDescription = "Begins a group with the one instance asked, whose folder is empty")
+    @Parameters(
+            commandDescription =
+                    "Begins a group with the one instance asked, whose folder is empty")
     private static final class Found extends Command {
         @Override
         ObjectNode call() {
@@ -280,7 +339,9 @@
         }
     }
 
-    @Parameters(commandDescription = "ADDRESS: takes the instance there into the group, once it has caught up")
+    @Parameters(
+            commandDescription =
+                    "ADDRESS: takes the instance there into the group, once it has caught up")
     private static final class Add extends Command {
         @Parameter(names = "--learner", description = "It only follows, and does not vote")
         boolean learner;
@@ -337,7 +398,8 @@
         }
 
         static RecordClient.Outcome refused(String reason, String text) {
-            return new RecordClient.Outcome("refused", Words.node().put("reason", reason).put("text", text));
+            return new RecordClient.Outcome(
+                    "refused", Words.node().put("reason", reason).put("text", text));
         }
     }
 
@@ -357,7 +419,11 @@
         OrderCommands.all().forEach(commands::put);
         commands.put("audit", new AuditCommand());
         Main.Help help = new Main.Help();
-        JCommander line = JCommander.newBuilder().programName("embershift-hosted fleet").addObject(help).build();
+        JCommander line =
+                JCommander.newBuilder()
+                        .programName("embershift-hosted fleet")
+                        .addObject(help)
+                        .build();
         commands.forEach((name, command) -> line.addCommand(name, List.of(command, help)));
         try {
             line.parse(args);
@@ -365,7 +431,8 @@
                 return 0;
             }
             if (line.getParsedCommand() == null) {
-                throw new ParameterException("wanted: one of " + String.join(", ", commands.keySet()));
+                throw new ParameterException(
+                        "wanted: one of " + String.join(", ", commands.keySet()));
             }
             return commands.get(line.getParsedCommand()).run();
         } catch (ParameterException e) {
--- a/hosted/src/main/java/embershift/hosted/Greeting.java
+++ b/hosted/src/main/java/embershift/hosted/Greeting.java
@@ -2,7 +2,6 @@
 
 import embershift.door.Frames;
 import embershift.raft.MemberId;
-
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -11,14 +10,22 @@
 import java.io.UncheckedIOException;
 
 /**
- * How two instances begin: who speaks, of which group, to whom, and which versions of the words between them it knows.
- * {@code to} 0: only to learn who is there; {@code group} 0: of none yet; {@code address}: where the speaker is reached, for one
- * who does not know the members yet.
+ * How two instances begin: who speaks, of which group, to whom, and which versions of the words
+ * between them it knows. {@code to} 0: only to learn who is there; {@code group} 0: of none yet;
+ * {@code address}: where the speaker is reached, for one who does not know the members yet.
  */
-record Greeting(int oldest, int newest, long group, MemberId from, String name, MemberId to, String address) {
+record Greeting(
+        int oldest,
+        int newest,
+        long group,
+        MemberId from,
+        String name,
+        MemberId to,
+        String address) {
 
     /** The versions that this program knows. */
     static final int OLDEST = 1;
+
     static final int NEWEST = 1;
     private static final int MAGIC = 0x454d4231;
 
@@ -53,12 +60,19 @@
     /** What a later version says behind the first fields is left unread. */
     static Greeting read(byte[] piece) throws Frames.Unreadable {
         try {
-            DataInputStream in = new DataInputStream(new ByteArrayInputStream(piece, 1, piece.length - 1));
+            DataInputStream in =
+                    new DataInputStream(new ByteArrayInputStream(piece, 1, piece.length - 1));
             if (in.readInt() != MAGIC) {
                 throw new Frames.Unreadable("no greeting of an instance");
             }
-            return new Greeting(in.readByte(), in.readByte(), in.readLong(), new MemberId(in.readLong()), in.readUTF(),
-                    new MemberId(in.readLong()), in.readUTF());
+            return new Greeting(
+                    in.readByte(),
+                    in.readByte(),
+                    in.readLong(),
+                    new MemberId(in.readLong()),
+                    in.readUTF(),
+                    new MemberId(in.readLong()),
+                    in.readUTF());
         } catch (IOException e) {
             throw new Frames.Unreadable("a greeting that ends early");
         }
--- a/hosted/src/main/java/embershift/hosted/Identity.java
+++ b/hosted/src/main/java/embershift/hosted/Identity.java
@@ -4,12 +4,14 @@
 import embershift.storage.Damaged;
 import embershift.storage.Disk;
 import embershift.storage.Sealed;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.security.SecureRandom;
 
-/** Who an instance is, as its folder says; {@code group} 0: it belongs to none yet. A lost folder loses it for good. */
+/**
+ * Who an instance is, as its folder says; {@code group} 0: it belongs to none yet. A lost folder
+ * loses it for good.
+ */
 record Identity(MemberId id, long group) {
 
     private static final String FILE = "identity";
@@ -24,7 +26,8 @@
             ByteBuffer in = ByteBuffer.wrap(content);
             return new Identity(new MemberId(in.getLong()), in.getLong());
         }
-        if (disk.names().stream().anyMatch(name -> name.startsWith("log-") || name.startsWith("snapshot-"))) {
+        if (disk.names().stream()
+                .anyMatch(name -> name.startsWith("log-") || name.startsWith("snapshot-"))) {
             throw new Damaged(FILE + ": it is gone, and the folder is not empty");
         }
         Identity fresh = new Identity(new MemberId(number()), 0);
@@ -37,6 +40,9 @@
     }
 
     void write(Disk disk) throws IOException {
-        Sealed.write(disk, FILE, ByteBuffer.allocate(2 * Long.BYTES).putLong(id.number()).putLong(group).array());
+        Sealed.write(
+                disk,
+                FILE,
+                ByteBuffer.allocate(2 * Long.BYTES).putLong(id.number()).putLong(group).array());
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Installation.java
+++ b/hosted/src/main/java/embershift/hosted/Installation.java
@@ -4,7 +4,6 @@
 import embershift.door.Toml;
 import embershift.fleet.Owner;
 import embershift.fleet.Rollout;
-
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -13,21 +12,37 @@
 import java.util.stream.Stream;
 
 /**
- * What an operator says of one instance. {@code folder} is its own; {@code address}: where the others reach it, if that is not
- * where it listens; {@code ways}: where this instance reaches others, by name, in place of what those say. Times in seconds.
+ * What an operator says of one instance. {@code folder} is its own; {@code address}: where the
+ * others reach it, if that is not where it listens; {@code ways}: where this instance reaches
+ * others, by name, in place of what those say. Times in seconds.
  */
-public record Installation(String name, String folder, String listen, String address, boolean drills, Pace pace,
-                           Bounds bounds, Map<String, String> ways, Fleet fleet) {
+public record Installation(
+        String name,
+        String folder,
+        String listen,
+        String address,
+        boolean drills,
+        Pace pace,
+        Bounds bounds,
+        Map<String, String> ways,
+        Fleet fleet) {
 
     /**
-     * What the duties go by; absent: this instance owns none. {@code discovery}: asked for all nodes; {@code manager}: who starts hosts and
-     * nodes anew; {@code session}: seconds without a word after which a duty goes to another. Others: see {@link Rollout.Terms}.
+     * What the duties go by; absent: this instance owns none. {@code discovery}: asked for all
+     * nodes; {@code manager}: who starts hosts and nodes anew; {@code session}: seconds without a
+     * word after which a duty goes to another. Others: see {@link Rollout.Terms}.
      */
-    public record Fleet(String discovery, String manager, @JsonProperty("session-s") Double session,
-                        @JsonProperty("settle-s") Double settle, @JsonProperty("patience-s") Double patience,
-                        @JsonProperty("silent-s") Double silent, @JsonProperty("first-share") Double share,
-                        @JsonProperty("tries") Integer tries, @JsonProperty("at-once") Integer flight,
-                        @JsonProperty("service") Double service) {
+    public record Fleet(
+            String discovery,
+            String manager,
+            @JsonProperty("session-s") Double session,
+            @JsonProperty("settle-s") Double settle,
+            @JsonProperty("patience-s") Double patience,
+            @JsonProperty("silent-s") Double silent,
+            @JsonProperty("first-share") Double share,
+            @JsonProperty("tries") Integer tries,
+            @JsonProperty("at-once") Integer flight,
+            @JsonProperty("service") Double service) {
 
         private static final double STUCK = 5;
 
@@ -43,7 +58,10 @@
             service = service == null ? usual.service() : service;
         }
 
-        /** Of a duty that is never done: one that hears no node, or can't ask what it should, lets others try. */
+        /**
+         * Of a duty that is never done: one that hears no node, or can't ask what it should, lets
+         * others try.
+         */
         Owner.Terms standing() {
             return terms(STUCK * session, Owner.Terms.USUAL.owners());
         }
@@ -54,13 +72,24 @@
         }
 
         Rollout.Terms rollout() {
-            return new Rollout.Terms(settle, patience, Rollout.Terms.USUAL.again(), flight, tries, silent, share, service);
+            return new Rollout.Terms(
+                    settle,
+                    patience,
+                    Rollout.Terms.USUAL.again(),
+                    flight,
+                    tries,
+                    silent,
+                    share,
+                    service);
         }
     }
 
     /** See {@link embershift.raft.Pace}. */
-    public record Pace(@JsonProperty("tick-s") Double tick, @JsonProperty("heartbeat-s") Double heartbeat,
-                       @JsonProperty("election-s") Double election, @JsonProperty("stall-s") Double stall) {
+    public record Pace(
+            @JsonProperty("tick-s") Double tick,
+            @JsonProperty("heartbeat-s") Double heartbeat,
+            @JsonProperty("election-s") Double election,
+            @JsonProperty("stall-s") Double stall) {
 
         public Pace {
             tick = tick == null ? 0.02 : tick;
@@ -79,11 +108,14 @@
     }
 
     /** What may pile up; {@code callers}: connections of those that are no instances. */
-    public record Bounds(@JsonProperty("command-bytes") Integer command, @JsonProperty("waiting-bytes") Integer waiting,
-                         @JsonProperty("snapshot-entries") Integer snapshotEntries,
-                         @JsonProperty("snapshot-log-bytes") Long snapshotLogBytes,
-                         @JsonProperty("trail-entries") Integer trail, @JsonProperty("log-file-bytes") Long logFile,
-                         @JsonProperty("callers") Integer callers) {
+    public record Bounds(
+            @JsonProperty("command-bytes") Integer command,
+            @JsonProperty("waiting-bytes") Integer waiting,
+            @JsonProperty("snapshot-entries") Integer snapshotEntries,
+            @JsonProperty("snapshot-log-bytes") Long snapshotLogBytes,
+            @JsonProperty("trail-entries") Integer trail,
+            @JsonProperty("log-file-bytes") Long logFile,
+            @JsonProperty("callers") Integer callers) {
 
         public Bounds {
             embershift.raft.Bounds usual = embershift.raft.Bounds.USUAL;
@@ -98,8 +130,14 @@
 
         embershift.raft.Bounds ofRaft() {
             embershift.raft.Bounds usual = embershift.raft.Bounds.USUAL;
-            return new embershift.raft.Bounds(command, usual.message(), usual.flight(), waiting, usual.chunk(),
-                    usual.snapshot(), trail);
+            return new embershift.raft.Bounds(
+                    command,
+                    usual.message(),
+                    usual.flight(),
+                    waiting,
+                    usual.chunk(),
+                    usual.snapshot(),
+                    trail);
         }
     }
 
@@ -115,11 +153,17 @@
     }
 
     static Installation read(String text, String file) throws Toml.Unusable {
-        Installation read = Toml.read(text, file, "installation", tree -> {
-            if (!tree.has("drills")) {
-                tree.put("drills", false);
-            }
-        }, Installation.class);
+        Installation read =
+                Toml.read(
+                        text,
+                        file,
+                        "installation",
+                        tree -> {
+                            if (!tree.has("drills")) {
+                                tree.put("drills", false);
+                            }
+                        },
+                        Installation.class);
         read.check(file);
         return read;
     }
@@ -131,12 +175,15 @@
             throw new Toml.Unusable(file + ": pace: " + e.getMessage());
         }
         if (bounds.waiting < bounds.command) {
-            throw new Toml.Unusable(file + ": bounds.waiting-bytes: not under bounds.command-bytes");
+            throw new Toml.Unusable(
+                    file + ": bounds.waiting-bytes: not under bounds.command-bytes");
         }
         List<String> addresses = new ArrayList<>(ways.values());
         addresses.addAll(List.of(listen, address));
         if (fleet != null) {
-            Stream.of(fleet.discovery, fleet.manager).filter(Objects::nonNull).forEach(addresses::add);
+            Stream.of(fleet.discovery, fleet.manager)
+                    .filter(Objects::nonNull)
+                    .forEach(addresses::add);
         }
         for (String each : addresses) {
             if (!Toml.isAddress(each)) {
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -1,5 +1,7 @@
 package embershift.hosted;
 
+import static net.logstash.logback.argument.StructuredArguments.kv;
+
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Frames;
 import embershift.door.Toml;
@@ -18,9 +20,6 @@
 import embershift.storage.NoRoom;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -37,23 +36,27 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-
-import static net.logstash.logback.argument.StructuredArguments.kv;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
- * One instance: sockets, timers and the disk round a {@link Replica}. All on one loop; what waits for the disk is done
- * aside, and what was ordered meanwhile goes there together.
+ * One instance: sockets, timers and the disk round a {@link Replica}. All on one loop; what waits
+ * for the disk is done aside, and what was ordered meanwhile goes there together.
  */
 final class Instance implements Replica.Port {
 
     private static final Logger LOG = LoggerFactory.getLogger(Instance.class);
     private static final int STOPPED = 3;
+
     /** Seconds until writes that found no room are tried again. */
     private static final double ROOM_AGAIN = 0.2;
+
     /** Seconds for which a leader that ends waits until another leads. */
     private static final double HAND_OVER = 1.5;
+
     private static final double LOOK = 0.02;
     private static final double LOOK_WHERE = 0.2;
+
     /** Seconds for which one that ends waits for its duties to be given back. */
     private static final double GIVE_BACK = 1;
 
@@ -70,15 +73,19 @@
     private boolean writing;
     private boolean noRoom;
     private final Map<MemberId, Way> ways = new HashMap<>();
+
     /** The connection that each other instance speaks on: its newest. */
     private final Map<MemberId, Entrance> entrances = new HashMap<>();
+
     private final Map<Long, Calls.Waiter> calls = new HashMap<>();
     private long lastCall;
     private final Set<Entrance> callers = new LinkedHashSet<>();
     private final TreeMap<String, Long> counts = new TreeMap<>();
     private final CountDownLatch ended = new CountDownLatch(1);
+
     /** Where this instance itself listens. */
     private InetSocketAddress listens;
+
     private volatile List<InetSocketAddress> instances = List.of();
     private Duties duties;
 
@@ -94,14 +101,32 @@
         mostTicks = 3 * pace.election();
         ticked = loop.now();
         if (keeper.cut() > 0) {
-            LOG.warn("the end of the log was cut", kv("bytes", keeper.cut()), kv("doubt", restored.doubtful()));
-        }
-        replica = new Replica(identity.id(), pace, installation.bounds().ofRaft(), new Replica.Habits(
-                installation.bounds().snapshotEntries(), installation.bounds().snapshotLogBytes(),
-                Replica.Habits.USUAL.sums()), restored, Identity.number(), Identity.number(), this);
-        LOG.info("instance", kv("name", installation.name()), kv("id", identity.id().toString()),
-                kv("group", Long.toHexString(identity.group())), kv("term", replica.raft().term()),
-                kv("entries", replica.raft().last()), kv("members", replica.raft().members().toString()));
+            LOG.warn(
+                    "the end of the log was cut",
+                    kv("bytes", keeper.cut()),
+                    kv("doubt", restored.doubtful()));
+        }
+        replica =
+                new Replica(
+                        identity.id(),
+                        pace,
+                        installation.bounds().ofRaft(),
+                        new Replica.Habits(
+                                installation.bounds().snapshotEntries(),
+                                installation.bounds().snapshotLogBytes(),
+                                Replica.Habits.USUAL.sums()),
+                        restored,
+                        Identity.number(),
+                        Identity.number(),
+                        this);
+        LOG.info(
+                "instance",
+                kv("name", installation.name()),
+                kv("id", identity.id().toString()),
+                kv("group", Long.toHexString(identity.group())),
+                kv("term", replica.raft().term()),
+                kv("entries", replica.raft().last()),
+                kv("members", replica.raft().members().toString()));
     }
 
     /** Starts; the program then lives on the loop. */
@@ -110,15 +135,28 @@
         Loop loop = new Loop();
         try {
             Instance instance = new Instance(installation, loop, folder);
-            InetSocketAddress address = loop.listen(Toml.socket(installation.listen()), instance::room,
-                    link -> loop.execute(() -> instance.new Entrance(link))).address();
-            loop.execute(() -> {
-                instance.listens = address;
-                instance.passTime();
-                instance.lookWhereAllAre();
-                instance.duties = new Duties(loop, installation.name(), installation.fleet(), instance.replica::record,
-                        () -> instance.instances, (what, many) -> instance.counts.merge(what, many, Long::sum), Identity.number());
-            });
+            InetSocketAddress address =
+                    loop.listen(
+                                    Toml.socket(installation.listen()),
+                                    instance::room,
+                                    link -> loop.execute(() -> instance.new Entrance(link)))
+                            .address();
+            loop.execute(
+                    () -> {
+                        instance.listens = address;
+                        instance.passTime();
+                        instance.lookWhereAllAre();
+                        instance.duties =
+                                new Duties(
+                                        loop,
+                                        installation.name(),
+                                        installation.fleet(),
+                                        instance.replica::record,
+                                        () -> instance.instances,
+                                        (what, many) ->
+                                                instance.counts.merge(what, many, Long::sum),
+                                        Identity.number());
+                    });
             Runtime.getRuntime().addShutdownHook(new Thread(instance::end, "end"));
             LOG.info("listening", kv("address", address.getHostString() + ":" + address.getPort()));
         } catch (IOException e) {
@@ -134,7 +172,10 @@
 
     // Time.
 
-    /** What the program did not foresee must not be gone on from: what it has promised can't be told any more. */
+    /**
+     * What the program did not foresee must not be gone on from: what it has promised can't be told
+     * any more.
+     */
     private void guarded(Runnable what) {
         try {
             what.run();
@@ -149,7 +190,9 @@
         loop.after(tick, this::passTime);
     }
 
-    /** Before anything that came is looked at: one that stood still must not take old news for new. */
+    /**
+     * Before anything that came is looked at: one that stood still must not take old news for new.
+     */
     private void catchUp() {
         double now = loop.now();
         int ticks = (int) ((now - ticked) / tick);
@@ -164,8 +207,13 @@
         List<InetSocketAddress> all = new ArrayList<>();
         MemberId leader = replica.raft().leader();
         for (Member member : replica.raft().members().all()) {
-            InetSocketAddress address = member.id().equals(identity.id()) ? listens
-                    : Toml.socket(installation.ways().getOrDefault(member.name(), member.address()));
+            InetSocketAddress address =
+                    member.id().equals(identity.id())
+                            ? listens
+                            : Toml.socket(
+                                    installation
+                                            .ways()
+                                            .getOrDefault(member.name(), member.address()));
             all.add(member.id().equals(leader) ? 0 : all.size(), address);
         }
         instances = List.copyOf(all);
@@ -186,34 +234,42 @@
         }
         writing = true;
         // After this turn, so that all that it orders goes together.
-        loop.execute(() -> {
-            List<Keeper.Order> batch = List.copyOf(orders);
-            orders.clear();
-            loop.aside(() -> keep(batch));
-        });
+        loop.execute(
+                () -> {
+                    List<Keeper.Order> batch = List.copyOf(orders);
+                    orders.clear();
+                    loop.aside(() -> keep(batch));
+                });
     }
 
     private void keep(List<Keeper.Order> batch) {
         try {
             keeper.keep(batch);
-            loop.execute(() -> {
-                if (noRoom) {
-                    noRoom = false;
-                    LOG.info("the disk takes writes again");
-                }
-                writing = false;
-                guarded(() -> replica.durable(loop.now(), batch.get(batch.size() - 1).number()));
-                write();
-            });
+            loop.execute(
+                    () -> {
+                        if (noRoom) {
+                            noRoom = false;
+                            LOG.info("the disk takes writes again");
+                        }
+                        writing = false;
+                        guarded(
+                                () ->
+                                        replica.durable(
+                                                loop.now(), batch.get(batch.size() - 1).number()));
+                        write();
+                    });
         } catch (NoRoom e) {
-            loop.execute(() -> {
-                if (!noRoom) {
-                    noRoom = true;
-                    LOG.error("no room: nothing is answered until there is", kv("why", e.getMessage()));
-                }
-                count("writes without room");
-                loop.after(ROOM_AGAIN, () -> loop.aside(() -> keep(batch)));
-            });
+            loop.execute(
+                    () -> {
+                        if (!noRoom) {
+                            noRoom = true;
+                            LOG.error(
+                                    "no room: nothing is answered until there is",
+                                    kv("why", e.getMessage()));
+                        }
+                        count("writes without room");
+                        loop.after(ROOM_AGAIN, () -> loop.aside(() -> keep(batch)));
+                    });
         } catch (IOException | RuntimeException e) {
             stop("the disk failed, and what is on it can't be told: " + e);
         }
@@ -222,14 +278,16 @@
     @Override
     public void sure() {
         LOG.info("has all again that it was in doubt of");
-        loop.aside(() -> {
-            try {
-                keeper.sure();
-            } catch (IOException e) {
-                // It will be in doubt again after the next start, which is on the safe side.
-                LOG.warn("the mark of doubt stays", kv("why", e.getMessage()));
-            }
-        });
+        loop.aside(
+                () -> {
+                    try {
+                        keeper.sure();
+                    } catch (IOException e) {
+                        // It will be in doubt again after the next start, which is on the safe
+                        // side.
+                        LOG.warn("the mark of doubt stays", kv("why", e.getMessage()));
+                    }
+                });
     }
 
     @Override
@@ -246,8 +304,12 @@
         Member member = replica.raft().members().get(to);
         if (member == null) {
             Entrance entrance = entrances.get(to);
-            // Whoever is not known here, as to one that joins nobody is, is answered where it says that it lives.
-            member = entrance == null ? null : new Member(to, entrance.name, entrance.address, Member.Role.LEARNER);
+            // Whoever is not known here, as to one that joins nobody is, is answered where it says
+            // that it lives.
+            member =
+                    entrance == null
+                            ? null
+                            : new Member(to, entrance.name, entrance.address, Member.Role.LEARNER);
         }
         if (member != null) {
             String address = installation.ways().getOrDefault(member.name(), member.address());
@@ -257,7 +319,10 @@
         }
     }
 
-    /** The way to another instance: one connection, dialled again when it is lost, on which only this one speaks. */
+    /**
+     * The way to another instance: one connection, dialled again when it is lost, on which only
+     * this one speaks.
+     */
     private final class Way implements Link.Events {
         private static final double FIRST_GAP = 0.03;
         private static final double LONGEST_GAP = 0.5;
@@ -318,11 +383,13 @@
             notBefore = now + gap;
             link = loop.connect(Toml.socket(address), this);
             Link dialled = link;
-            loop.after(STUCK, () -> {
-                if (link == dialled && !welcome) {
-                    drop(loop.now());
-                }
-            });
+            loop.after(
+                    STUCK,
+                    () -> {
+                        if (link == dialled && !welcome) {
+                            drop(loop.now());
+                        }
+                    });
         }
 
         private void drop(double now) {
@@ -336,7 +403,16 @@
 
         @Override
         public void connected() {
-            link.write(Frames.piece(Frames.HELLO, Greeting.of(identity.group(), identity.id(), installation.name(), to, installation.address()).bytes()));
+            link.write(
+                    Frames.piece(
+                            Frames.HELLO,
+                            Greeting.of(
+                                            identity.group(),
+                                            identity.id(),
+                                            installation.name(),
+                                            to,
+                                            installation.address())
+                                    .bytes()));
         }
 
         @Override
@@ -348,18 +424,22 @@
         @Override
         public void received(ByteBuffer bytes) {
             try {
-                frames.take(bytes, piece -> {
-                    if (piece[0] == Frames.WELCOME) {
-                        welcome = true;
-                        gap = FIRST_GAP;
-                    } else {
-                        String why = new String(piece, 1, piece.length - 1, StandardCharsets.UTF_8);
-                        LOG.warn("not welcome", kv("at", to.toString()), kv("why", why));
-                        count("refused by others");
-                        gap = LONGEST_GAP;
-                        drop(loop.now());
-                    }
-                });
+                frames.take(
+                        bytes,
+                        piece -> {
+                            if (piece[0] == Frames.WELCOME) {
+                                welcome = true;
+                                gap = FIRST_GAP;
+                            } else {
+                                String why =
+                                        new String(
+                                                piece, 1, piece.length - 1, StandardCharsets.UTF_8);
+                                LOG.warn("not welcome", kv("at", to.toString()), kv("why", why));
+                                count("refused by others");
+                                gap = LONGEST_GAP;
+                                drop(loop.now());
+                            }
+                        });
             } catch (Frames.Unreadable e) {
                 drop(loop.now());
             }
@@ -470,7 +550,11 @@
             String no = refusal(greeting);
             if (no != null) {
                 count("instances refused");
-                LOG.warn("refused", kv("name", greeting.name()), kv("id", greeting.from().toString()), kv("why", no));
+                LOG.warn(
+                        "refused",
+                        kv("name", greeting.name()),
+                        kv("id", greeting.from().toString()),
+                        kv("why", no));
                 link.write(Frames.piece(Frames.NO, no.getBytes(StandardCharsets.UTF_8)));
                 callers.remove(this);
                 link.finish();
@@ -491,14 +575,28 @@
                     older.close();
                 }
             }
-            link.write(Frames.piece(Frames.WELCOME, Greeting.of(identity.group(), identity.id(), installation.name(),
-                    greeting.from(), installation.address()).bytes()));
+            link.write(
+                    Frames.piece(
+                            Frames.WELCOME,
+                            Greeting.of(
+                                            identity.group(),
+                                            identity.id(),
+                                            installation.name(),
+                                            greeting.from(),
+                                            installation.address())
+                                    .bytes()));
         }
 
         private String refusal(Greeting greeting) {
             if (Greeting.common(greeting.oldest(), greeting.newest()) == 0) {
-                return "versions " + greeting.oldest() + " to " + greeting.newest() + " are not known here, but "
-                        + Greeting.OLDEST + " to " + Greeting.NEWEST;
+                return "versions "
+                        + greeting.oldest()
+                        + " to "
+                        + greeting.newest()
+                        + " are not known here, but "
+                        + Greeting.OLDEST
+                        + " to "
+                        + Greeting.NEWEST;
             }
             if (greeting.to().number() == 0) {
                 return null;
@@ -507,7 +605,10 @@
                 return "here is " + identity.id() + ", not " + greeting.to();
             }
             if (identity.group() != 0 && greeting.group() != identity.group()) {
-                return "of group " + Long.toHexString(greeting.group()) + ", here is " + Long.toHexString(identity.group());
+                return "of group "
+                        + Long.toHexString(greeting.group())
+                        + ", here is "
+                        + Long.toHexString(identity.group());
             }
             return greeting.group() == 0 ? "of no group" : null;
         }
@@ -517,7 +618,8 @@
                 throw new Frames.Unreadable("a message without a greeting");
             }
             count("messages taken");
-            replica.receive(loop.now(), from, Codec.message(Arrays.copyOfRange(piece, 1, piece.length)));
+            replica.receive(
+                    loop.now(), from, Codec.message(Arrays.copyOfRange(piece, 1, piece.length)));
         }
 
         void answer(ObjectNode answer) {
@@ -545,10 +647,11 @@
             if (node != null) {
                 duties.nodes().gone(node);
             }
-            waiting.forEach(call -> {
-                calls.remove(call);
-                replica.forget(call);
-            });
+            waiting.forEach(
+                    call -> {
+                        calls.remove(call);
+                        replica.forget(call);
+                    });
             waiting.clear();
             link.close();
         }
@@ -564,7 +667,9 @@
         }
     }
 
-    /** From now on of this group; whether that is on disk. Only once, before anything is promised. */
+    /**
+     * From now on of this group; whether that is on disk. Only once, before anything is promised.
+     */
     private boolean belong(long group) {
         Identity next = new Identity(identity.id(), group);
         try {
@@ -607,12 +712,20 @@
     /** Begins a group with this instance as its only one. */
     String found() {
         if (identity.group() != 0 || replica.raft().last() > 0) {
-            return "this instance belongs to group " + Long.toHexString(identity.group()) + " already";
+            return "this instance belongs to group "
+                    + Long.toHexString(identity.group())
+                    + " already";
         }
         if (!belong(Identity.number())) {
             return "the disk takes nothing";
         }
-        replica.found(loop.now(), new Member(identity.id(), installation.name(), installation.address(), Member.Role.VOTER));
+        replica.found(
+                loop.now(),
+                new Member(
+                        identity.id(),
+                        installation.name(),
+                        installation.address(),
+                        Member.Role.VOTER));
         return null;
     }
 
@@ -621,59 +734,79 @@
         Frames frames = new Frames();
         Link[] link = new Link[1];
         Loop.Timer[] timer = new Loop.Timer[1];
-        Consumer<String> no = why -> {
-            timer[0].cancel();
-            link[0].close();
-            answer(call, new Answer.Refused(Answer.Reason.MEMBERS, why));
-        };
+        Consumer<String> no =
+                why -> {
+                    timer[0].cancel();
+                    link[0].close();
+                    answer(call, new Answer.Refused(Answer.Reason.MEMBERS, why));
+                };
         timer[0] = loop.after(2, () -> no.accept("nobody answers at " + address));
-        link[0] = loop.connect(Toml.socket(address), new Link.Events() {
-            @Override
-            public void connected() {
-                link[0].write(Frames.piece(Frames.HELLO, Greeting.of(identity.group(), identity.id(), installation.name(),
-                        new MemberId(0), installation.address()).bytes()));
-            }
-
-            @Override
-            public void notConnected() {
-                no.accept("nobody is at " + address);
-            }
-
-            @Override
-            public void received(ByteBuffer bytes) {
-                try {
-                    frames.take(bytes, piece -> {
-                        try {
-                            met(Greeting.read(piece));
-                        } catch (Frames.Unreadable e) {
-                            no.accept(e.getMessage());
-                        }
-                    });
-                } catch (Frames.Unreadable e) {
-                    no.accept(e.getMessage());
-                }
-            }
-
-            private void met(Greeting other) {
-                if (other.group() != 0 && other.group() != identity.group()) {
-                    no.accept(other.name() + " belongs to group " + Long.toHexString(other.group()));
-                    return;
-                }
-                timer[0].cancel();
-                link[0].close();
-                replica.add(loop.now(), call, new Member(other.from(), other.name(), address, role));
-            }
-
-            @Override
-            public void ended() {
-                no.accept("who is at " + address + " ended the connection");
-            }
-
-            @Override
-            public void broken() {
-                no.accept("who is at " + address + " broke the connection");
-            }
-        });
+        link[0] =
+                loop.connect(
+                        Toml.socket(address),
+                        new Link.Events() {
+                            @Override
+                            public void connected() {
+                                link[0].write(
+                                        Frames.piece(
+                                                Frames.HELLO,
+                                                Greeting.of(
+                                                                identity.group(),
+                                                                identity.id(),
+                                                                installation.name(),
+                                                                new MemberId(0),
+                                                                installation.address())
+                                                        .bytes()));
+                            }
+
+                            @Override
+                            public void notConnected() {
+                                no.accept("nobody is at " + address);
+                            }
+
+                            @Override
+                            public void received(ByteBuffer bytes) {
+                                try {
+                                    frames.take(
+                                            bytes,
+                                            piece -> {
+                                                try {
+                                                    met(Greeting.read(piece));
+                                                } catch (Frames.Unreadable e) {
+                                                    no.accept(e.getMessage());
+                                                }
+                                            });
+                                } catch (Frames.Unreadable e) {
+                                    no.accept(e.getMessage());
+                                }
+                            }
+
+                            private void met(Greeting other) {
+                                if (other.group() != 0 && other.group() != identity.group()) {
+                                    no.accept(
+                                            other.name()
+                                                    + " belongs to group "
+                                                    + Long.toHexString(other.group()));
+                                    return;
+                                }
+                                timer[0].cancel();
+                                link[0].close();
+                                replica.add(
+                                        loop.now(),
+                                        call,
+                                        new Member(other.from(), other.name(), address, role));
+                            }
+
+                            @Override
+                            public void ended() {
+                                no.accept("who is at " + address + " ended the connection");
+                            }
+
+                            @Override
+                            public void broken() {
+                                no.accept("who is at " + address + " broke the connection");
+                            }
+                        });
     }
 
     @Override
@@ -686,19 +819,27 @@
 
     @Override
     public void role(boolean leads, long term, MemberId leader) {
-        Member member = leader == null || replica == null ? null : replica.raft().members().get(leader);
-        LOG.info(leads ? "leads" : "follows", kv("term", term), kv("leader", member == null ? "" : member.name()));
+        Member member =
+                leader == null || replica == null ? null : replica.raft().members().get(leader);
+        LOG.info(
+                leads ? "leads" : "follows",
+                kv("term", term),
+                kv("leader", member == null ? "" : member.name()));
         count(leads ? "terms led" : "changes of leader");
     }
 
     // The end.
 
-    /** At SIGTERM: hands over first, its duties and then the lead, so that nobody waits for it to be missed. */
+    /**
+     * At SIGTERM: hands over first, its duties and then the lead, so that nobody waits for it to be
+     * missed.
+     */
     private void end() {
-        loop.execute(() -> {
-            LOG.info("ends", kv("counts", counts.toString()));
-            awaitDutiesGivenBack(loop.now() + GIVE_BACK);
-        });
+        loop.execute(
+                () -> {
+                    LOG.info("ends", kv("counts", counts.toString()));
+                    awaitDutiesGivenBack(loop.now() + GIVE_BACK);
+                });
         try {
             ended.await((long) (1000 * (GIVE_BACK + HAND_OVER + 1)), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
--- a/hosted/src/main/java/embershift/hosted/ListsDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ListsDuty.java
@@ -6,18 +6,26 @@
 import embershift.fleet.HostsChange;
 import embershift.fleet.HostsTold;
 import embershift.fleet.Plan;
-
 import java.util.HashMap;
 import java.util.Map;
 
 /** Asks discovery for all nodes, and hands them the list by number and difference. */
 final class ListsDuty extends Duty implements Nodes.Listener {
 
-    /** Seconds between two words to a node that has the list, so that it does not ask discovery itself. */
+    /**
+     * Seconds between two words to a node that has the list, so that it does not ask discovery
+     * itself.
+     */
     private static final double KEEP = 1;
+
     private static final double AGAIN = 0.2;
-    /** Nodes that are told at one tick: a hundred that come back at once are told over a second or so. */
+
+    /**
+     * Nodes that are told at one tick: a hundred that come back at once are told over a second or
+     * so.
+     */
     private static final int AT_ONCE = 16;
+
     /** Seconds after which discovery counts as away: this owner can't do the duty then. */
     private static final double DEAF = 8;
 
@@ -42,16 +50,21 @@
         told = new HostsTold();
         nodes.clear();
         HostsTold mine = told;
-        discovery = new Discovery(all.loop(), Toml.socket(all.fleet().discovery()), (generation, whole, anew) -> {
-            all.counted("discovery answers");
-            if (anew) {
-                mine.discoveryBeganAnew();
-            }
-            if (mine.heard(generation, whole)) {
-                all.counted("lists made");
-                nodes.values().forEach(node -> node.next = Double.NEGATIVE_INFINITY);
-            }
-        });
+        discovery =
+                new Discovery(
+                        all.loop(),
+                        Toml.socket(all.fleet().discovery()),
+                        (generation, whole, anew) -> {
+                            all.counted("discovery answers");
+                            if (anew) {
+                                mine.discoveryBeganAnew();
+                            }
+                            if (mine.heard(generation, whole)) {
+                                all.counted("lists made");
+                                nodes.values()
+                                        .forEach(node -> node.next = Double.NEGATIVE_INFINITY);
+                            }
+                        });
     }
 
     @Override
@@ -64,7 +77,9 @@
     @Override
     void work() {
         double now = now();
-        if (now - discovery.heardAt() < DEAF && (all.nodes().linked().size() > 0 || all.record().beginning(Nodes.NODE).isEmpty())) {
+        if (now - discovery.heardAt() < DEAF
+                && (all.nodes().linked().size() > 0
+                        || all.record().beginning(Nodes.NODE).isEmpty())) {
             owner().progressed(now);
         }
         if (told.number() == 0) {
@@ -87,28 +102,37 @@
 
     private void tell(Nodes.NodeLink link, Told node) {
         HostsChange change = told.since(node.has);
-        ObjectNode order = Words.node().put("number", change.number()).put("base", change.base()).put("generation", change.generation());
+        ObjectNode order =
+                Words.node()
+                        .put("number", change.number())
+                        .put("base", change.base())
+                        .put("generation", change.generation());
         Words.texts(order.putObject("changed"), change.changed());
         Words.list(order.putArray("gone"), change.gone());
         node.out = true;
         all.counted(change.base() == 0 ? "lists told whole" : "lists told by difference");
         long incarnation = node.incarnation;
-        order(link, "hosts", order, verdict -> {
-            if (node.incarnation != incarnation) {
-                return;
-            }
-            node.out = false;
-            String end = verdict == null ? "" : verdict.path("end").asText();
-            if (end.equals("TAKEN") || end.equals("SAME")) {
-                node.has = change.number();
-                node.next = node.has == told.number() ? now() + KEEP : Double.NEGATIVE_INFINITY;
-            } else {
-                if (end.equals("WHOLE")) {
-                    node.has = 0;
-                }
-                node.next = now() + AGAIN;
-            }
-        });
+        order(
+                link,
+                "hosts",
+                order,
+                verdict -> {
+                    if (node.incarnation != incarnation) {
+                        return;
+                    }
+                    node.out = false;
+                    String end = verdict == null ? "" : verdict.path("end").asText();
+                    if (end.equals("TAKEN") || end.equals("SAME")) {
+                        node.has = change.number();
+                        node.next =
+                                node.has == told.number() ? now() + KEEP : Double.NEGATIVE_INFINITY;
+                    } else {
+                        if (end.equals("WHOLE")) {
+                            node.has = 0;
+                        }
+                        node.next = now() + AGAIN;
+                    }
+                });
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/Main.java
+++ b/hosted/src/main/java/embershift/hosted/Main.java
@@ -5,7 +5,6 @@
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
 import embershift.door.Toml;
-
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -17,11 +16,13 @@
     static final int USAGE = 2;
     private static final int CANNOT_START = 4;
 
-    private Main() {
-    }
+    private Main() {}
 
     private static class Installed {
-        @Parameter(names = "--installation", description = "The file that tells of this instance", required = true)
+        @Parameter(
+                names = "--installation",
+                description = "The file that tells of this instance",
+                required = true)
         String installation;
 
         Installation read() throws Toml.Unusable {
@@ -30,30 +31,33 @@
     }
 
     @Parameters(commandDescription = "Run one of the instances that agree")
-    private static final class Instances extends Installed {
-    }
+    private static final class Instances extends Installed {}
 
     @Parameters(commandDescription = "Say whether an instance could run by this file")
-    private static final class Check extends Installed {
-    }
+    private static final class Check extends Installed {}
 
     /** Of the program, and of each command. */
     static final class Help {
-        @Parameter(names = {"--help", "-h"}, description = "Say what there is", help = true)
+        @Parameter(
+                names = {"--help", "-h"},
+                description = "Say what there is",
+                help = true)
         private boolean wanted;
 
         /** Whether it was asked for; then it has been given. */
         boolean given(JCommander line) {
             if (wanted) {
-                (line.getParsedCommand() == null ? line : line.getCommands().get(line.getParsedCommand())).usage();
+                (line.getParsedCommand() == null
+                                ? line
+                                : line.getCommands().get(line.getParsedCommand()))
+                        .usage();
             }
             return wanted;
         }
     }
 
     @Parameters(commandDescription = "Administrators' commands; fleet --help tells them")
-    private static final class Fleet {
-    }
+    private static final class Fleet {}
 
     public static void main(String[] args) {
         int status = run(args);
@@ -68,9 +72,14 @@
         Check check = new Check();
         FleetCommands fleet = new FleetCommands();
         Help help = new Help();
-        JCommander line = JCommander.newBuilder().programName("embershift-hosted").addObject(help)
-                .addCommand("instance", List.of(instances, help)).addCommand("check", List.of(check, help))
-                .addCommand("fleet", new Fleet()).build();
+        JCommander line =
+                JCommander.newBuilder()
+                        .programName("embershift-hosted")
+                        .addObject(help)
+                        .addCommand("instance", List.of(instances, help))
+                        .addCommand("check", List.of(check, help))
+                        .addCommand("fleet", new Fleet())
+                        .build();
         if (args.length > 0 && args[0].equals("fleet")) {
             return fleet.run(Arrays.copyOfRange(args, 1, args.length));
         }
--- a/hosted/src/main/java/embershift/hosted/Manager.java
+++ b/hosted/src/main/java/embershift/hosted/Manager.java
@@ -5,15 +5,15 @@
 import embershift.protocol.Unreadable;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Locale;
 import java.util.function.Consumer;
 
 /**
- * Calls whoever starts things anew, one call to a connection: {@code RESTART host|node NAME ID} or {@code VOID ID}. It answers
- * {@code GOING}, {@code DONE}, {@code VOID} or {@code NO reason}, the same for the same id, whoever calls.
+ * Calls whoever starts things anew, one call to a connection: {@code RESTART host|node NAME ID} or
+ * {@code VOID ID}. It answers {@code GOING}, {@code DONE}, {@code VOID} or {@code NO reason}, the
+ * same for the same id, whoever calls.
  */
 final class Manager {
 
@@ -33,48 +33,52 @@
         boolean[] over = new boolean[1];
         Loop.Timer[] timer = new Loop.Timer[1];
         Line lines = new Line();
-        Consumer<Release.Managed> end = what -> {
-            if (!over[0]) {
-                over[0] = true;
-                timer[0].cancel();
-                link[0].close();
-                heard.accept(what);
-            }
-        };
+        Consumer<Release.Managed> end =
+                what -> {
+                    if (!over[0]) {
+                        over[0] = true;
+                        timer[0].cancel();
+                        link[0].close();
+                        heard.accept(what);
+                    }
+                };
         timer[0] = loop.after(PATIENCE, () -> end.accept(Release.Managed.UNKNOWN));
-        link[0] = loop.connect(address, new Link.Events() {
-            @Override
-            public void connected() {
-                link[0].write(Line.of(line));
-            }
+        link[0] =
+                loop.connect(
+                        address,
+                        new Link.Events() {
+                            @Override
+                            public void connected() {
+                                link[0].write(Line.of(line));
+                            }
 
-            @Override
-            public void notConnected() {
-                end.accept(Release.Managed.UNKNOWN);
-            }
+                            @Override
+                            public void notConnected() {
+                                end.accept(Release.Managed.UNKNOWN);
+                            }
 
-            @Override
-            public void received(ByteBuffer bytes) {
-                try {
-                    byte[] answer = lines.next(bytes);
-                    if (answer != null) {
-                        end.accept(read(Line.text(answer)));
-                    }
-                } catch (Unreadable e) {
-                    end.accept(Release.Managed.UNKNOWN);
-                }
-            }
+                            @Override
+                            public void received(ByteBuffer bytes) {
+                                try {
+                                    byte[] answer = lines.next(bytes);
+                                    if (answer != null) {
+                                        end.accept(read(Line.text(answer)));
+                                    }
+                                } catch (Unreadable e) {
+                                    end.accept(Release.Managed.UNKNOWN);
+                                }
+                            }
 
-            @Override
-            public void ended() {
-                end.accept(Release.Managed.UNKNOWN);
-            }
+                            @Override
+                            public void ended() {
+                                end.accept(Release.Managed.UNKNOWN);
+                            }
 
-            @Override
-            public void broken() {
-                end.accept(Release.Managed.UNKNOWN);
-            }
-        });
+                            @Override
+                            public void broken() {
+                                end.accept(Release.Managed.UNKNOWN);
+                            }
+                        });
     }
 
     private static Release.Managed read(String answer) {
--- a/hosted/src/main/java/embershift/hosted/Nodes.java
+++ b/hosted/src/main/java/embershift/hosted/Nodes.java
@@ -1,5 +1,7 @@
 package embershift.hosted;
 
+import static net.logstash.logback.argument.StructuredArguments.kv;
+
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Words;
@@ -10,9 +12,6 @@
 import embershift.fleet.Segment;
 import embershift.fleet.Write;
 import embershift.transport.Loop;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
-
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -22,18 +21,27 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
-import static net.logstash.logback.argument.StructuredArguments.kv;
-
-/** The nodes that are linked to this instance: who they are, what they say, and the orders that are out to them. On the loop. */
+/**
+ * The nodes that are linked to this instance: who they are, what they say, and the orders that are
+ * out to them. On the loop.
+ */
 final class Nodes {
 
     private static final Logger LOG = LoggerFactory.getLogger(Nodes.class);
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
     private static final double CALL = 3;
-    /** Seconds after which an order without a verdict is given up: it is void at the node by then, or soon. */
+
+    /**
+     * Seconds after which an order without a verdict is given up: it is void at the node by then,
+     * or soon.
+     */
     private static final double VERDICT = 5;
+
     private static final int VERSION = 1;
+
     /** Orders that may be out to one node. */
     private static final int MOST_OUT = 64;
 
@@ -48,8 +56,7 @@
         void unlinked(NodeLink node);
     }
 
-    private record Waiting(Consumer<ObjectNode> heard, double until) {
-    }
+    private record Waiting(Consumer<ObjectNode> heard, double until) {}
 
     /** One node's connection. */
     final class NodeLink {
@@ -63,7 +70,12 @@
         private boolean welcome;
         private final Map<Long, Waiting> waiting = new HashMap<>();
 
-        private NodeLink(String name, String boot, long incarnation, double clock, Instance.Entrance entrance) {
+        private NodeLink(
+                String name,
+                String boot,
+                long incarnation,
+                double clock,
+                Instance.Entrance entrance) {
             this.name = name;
             this.boot = boot;
             this.incarnation = incarnation;
@@ -72,7 +84,10 @@
             heardAt = loop.now();
         }
 
-        /** A time, by this instance's clock, since which the node is known to have run and been heard. */
+        /**
+         * A time, by this instance's clock, since which the node is known to have run and been
+         * heard.
+         */
         double heardAt() {
             return heardAt;
         }
@@ -95,11 +110,16 @@
 
         private void say(ObjectNode words) {
             time = time.next(System.currentTimeMillis());
-            entrance.tell(words.put("floor", floor()).put("time", time.toString()).put("at", loop.now()));
+            entrance.tell(
+                    words.put("floor", floor()).put("time", time.toString()).put("at", loop.now()));
         }
 
         private void out(String why) {
-            LOG.warn("node is out", kv("node", name), kv("incarnation", incarnation), kv("why", why));
+            LOG.warn(
+                    "node is out",
+                    kv("node", name),
+                    kv("incarnation", incarnation),
+                    kv("why", why));
             say(Words.node("out").put("why", why));
             entrance.finish();
             gone(this);
@@ -115,7 +135,12 @@
     private Hybrid time = Hybrid.START;
     private long lastOrder;
 
-    Nodes(Loop loop, Supplier<Record> record, RecordCaller caller, RecordCaller trails, Listener listener) {
+    Nodes(
+            Loop loop,
+            Supplier<Record> record,
+            RecordCaller caller,
+            RecordCaller trails,
+            Listener listener) {
         this.loop = loop;
         this.record = record;
         this.caller = caller;
@@ -153,7 +178,10 @@
         }
     }
 
-    /** Why an incarnation may not act for the fleet, by what this instance has of the record; or null. */
+    /**
+     * Why an incarnation may not act for the fleet, by what this instance has of the record; or
+     * null.
+     */
     private String whyOut(String name, String boot, long incarnation) {
         if (incarnation == 0) {
             return null;
@@ -164,7 +192,8 @@
         }
         Item item = record.get().get(NODE + name);
         return item != null && !item.value().equals(boot) && item.revision() > incarnation
-                ? "another process has the name " + name + " since" : null;
+                ? "another process has the name " + name + " since"
+                : null;
     }
 
     // What nodes say.
@@ -172,12 +201,24 @@
     NodeLink greeted(Instance.Entrance entrance, ObjectNode here) {
         String name = here.path("name").asText();
         String boot = here.path("boot").asText();
-        if (!NAME.matcher(name).matches() || !boot.matches("[0-9a-f]{1,16}") || here.path("version").asInt() != VERSION) {
-            entrance.tell(Words.node("out").put("why", "a node has a name of its own, and speaks version " + VERSION));
+        if (!NAME.matcher(name).matches()
+                || !boot.matches("[0-9a-f]{1,16}")
+                || here.path("version").asInt() != VERSION) {
+            entrance.tell(
+                    Words.node("out")
+                            .put(
+                                    "why",
+                                    "a node has a name of its own, and speaks version " + VERSION));
             entrance.finish();
             return null;
         }
-        NodeLink link = new NodeLink(name, boot, here.path("incarnation").asLong(), here.path("clock").asDouble(), entrance);
+        NodeLink link =
+                new NodeLink(
+                        name,
+                        boot,
+                        here.path("incarnation").asLong(),
+                        here.path("clock").asDouble(),
+                        entrance);
         String why = whyOut(name, boot, link.incarnation);
         if (why != null) {
             link.out(why);
@@ -194,22 +235,27 @@
 
     /** The name is this process's from now on, by a change whose revision is its incarnation. */
     private void register(NodeLink link) {
-        caller.ask(RecordClient.put(NODE + link.name, link.boot, -1), CALL, outcome -> {
-            if (outcome.done()) {
-                welcome(link, outcome.answer().path("number").asLong());
-            } else {
-                // It comes again.
-                link.entrance.close();
-            }
-        });
+        caller.ask(
+                RecordClient.put(NODE + link.name, link.boot, -1),
+                CALL,
+                outcome -> {
+                    if (outcome.done()) {
+                        welcome(link, outcome.answer().path("number").asLong());
+                    } else {
+                        // It comes again.
+                        link.entrance.close();
+                    }
+                });
     }
 
     /**
-     * Whether a process gives way to another that has its name: to one that began after it. A process whose registration was
-     * given up, and came about later all the same, has two incarnations, and may be known here by the higher one of a connection
-     * that it has left: it never gives way to itself.
+     * Whether a process gives way to another that has its name: to one that began after it. A
+     * process whose registration was given up, and came about later all the same, has two
+     * incarnations, and may be known here by the higher one of a connection that it has left: it
+     * never gives way to itself.
      */
-    static boolean givesWay(long incarnation, String boot, long otherIncarnation, String otherBoot) {
+    static boolean givesWay(
+            long incarnation, String boot, long otherIncarnation, String otherBoot) {
         return otherIncarnation > incarnation && !otherBoot.equals(boot);
     }
 
@@ -241,7 +287,8 @@
         if (!link.welcome) {
             return;
         }
-        // When the node had this word before it: one that lay long on its way is no news of the node.
+        // When the node had this word before it: one that lay long on its way is no news of the
+        // node.
         link.heardAt = Math.max(link.heardAt, Math.min(words.path("echo").asDouble(), loop.now()));
         switch (words.path("kind").asText()) {
             case "report" -> {
@@ -257,23 +304,32 @@
                 }
             }
             case "trail" -> keep(link, words);
-            default -> { }
+            default -> {}
         }
     }
 
-    /** Has a piece of a trail agreed on; it is acknowledged once it is, and once only kept, however often it came. */
+    /**
+     * Has a piece of a trail agreed on; it is acknowledged once it is, and once only kept, however
+     * often it came.
+     */
     private void keep(NodeLink link, ObjectNode words) {
         Segment segment = Segment.read(words.path("text").asText());
-        if (segment == null || !segment.node().equals(link.name) || segment.incarnation() != link.incarnation) {
+        if (segment == null
+                || !segment.node().equals(link.name)
+                || segment.incarnation() != link.incarnation) {
             LOG.warn("a piece of a trail that can't be", kv("node", link.name));
             return;
         }
-        trails.ask(RecordCaller.changes(List.of(new Condition(segment.key(), 0)),
-                List.of(new Write(segment.key(), segment.text(), false))), CALL, outcome -> {
-            if (outcome.done() || outcome.reason().equals("condition")) {
-                link.say(Words.node("kept").put("number", segment.number()));
-            }
-        });
+        trails.ask(
+                RecordCaller.changes(
+                        List.of(new Condition(segment.key(), 0)),
+                        List.of(new Write(segment.key(), segment.text(), false))),
+                CALL,
+                outcome -> {
+                    if (outcome.done() || outcome.reason().equals("condition")) {
+                        link.say(Words.node("kept").put("number", segment.number()));
+                    }
+                });
     }
 
     void gone(NodeLink link) {
