--- a/hosted/src/main/java/embershift/hosted/OrderCommands.java
+++ b/hosted/src/main/java/embershift/hosted/OrderCommands.java
@@ -11,7 +11,6 @@
 import embershift.fleet.ReleasePlan;
 import embershift.fleet.Revision;
 import embershift.fleet.Write;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -23,8 +22,7 @@
 
     static final String LATEST = "rollout/latest";
 
-    private OrderCommands() {
-    }
+    private OrderCommands() {}
 
     static Map<String, FleetCommands.Command> all() {
         Map<String, FleetCommands.Command> commands = new LinkedHashMap<>();
@@ -45,7 +43,8 @@
         return outcome.answer().path("items").path(0);
     }
 
-    private static RecordClient.Outcome change(RecordClient client, List<Condition> conditions, List<Write> writes, double within) {
+    private static RecordClient.Outcome change(
+            RecordClient client, List<Condition> conditions, List<Write> writes, double within) {
         return client.ask(RecordCaller.changes(conditions, writes), within);
     }
 
@@ -61,21 +60,46 @@
             }
             ObjectNode answer = Words.node();
             Map<String, ObjectNode> rows = new TreeMap<>();
-            names.answer().path("items").forEach(item -> rows.put(item.path("key").asText().substring(Nodes.NODE.length()),
-                    Words.node().put("incarnation", item.path("revision").asLong())));
-            states.answer().path("items").forEach(item -> {
-                ObjectNode row = rows.get(item.path("key").asText().substring(RolloutDuty.STATE.length()));
-                if (row != null) {
-                    String[] parts = item.path("value").asText().split(" ", 2);
-                    row.put("state", parts[0]).put("why", parts.length > 1 ? parts[1] : "");
-                }
-            });
-            outs.answer().path("items").forEach(item -> {
-                ObjectNode row = rows.get(item.path("key").asText().substring(Nodes.OUT.length()));
-                if (row != null) {
-                    row.put("out", item.path("value").asText());
-                }
-            });
+            names.answer()
+                    .path("items")
+                    .forEach(
+                            item ->
+                                    rows.put(
+                                            item.path("key")
+                                                    .asText()
+                                                    .substring(Nodes.NODE.length()),
+                                            Words.node()
+                                                    .put(
+                                                            "incarnation",
+                                                            item.path("revision").asLong())));
+            states.answer()
+                    .path("items")
+                    .forEach(
+                            item -> {
+                                ObjectNode row =
+                                        rows.get(
+                                                item.path("key")
+                                                        .asText()
+                                                        .substring(RolloutDuty.STATE.length()));
+                                if (row != null) {
+                                    String[] parts = item.path("value").asText().split(" ", 2);
+                                    row.put("state", parts[0])
+                                            .put("why", parts.length > 1 ? parts[1] : "");
+                                }
+                            });
+            outs.answer()
+                    .path("items")
+                    .forEach(
+                            item -> {
+                                ObjectNode row =
+                                        rows.get(
+                                                item.path("key")
+                                                        .asText()
+                                                        .substring(Nodes.OUT.length()));
+                                if (row != null) {
+                                    row.put("out", item.path("value").asText());
+                                }
+                            });
             rows.forEach((name, row) -> answer.withArray("nodes").add(row.put("name", name)));
             return new RecordClient.Outcome("done", answer);
         }
@@ -83,8 +107,15 @@
         @Override
         void print(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
-            answer.path("nodes").forEach(row -> rows.add(List.of(row.path("name").asText(), row.path("incarnation").asText(),
-                    row.path("state").asText("UNKNOWN"), row.path("why").asText(""))));
+            answer.path("nodes")
+                    .forEach(
+                            row ->
+                                    rows.add(
+                                            List.of(
+                                                    row.path("name").asText(),
+                                                    row.path("incarnation").asText(),
+                                                    row.path("state").asText("UNKNOWN"),
+                                                    row.path("why").asText(""))));
             FleetCommands.table(List.of("NODE", "INCARNATION", "STATE", ""), rows);
         }
     }
@@ -101,15 +132,23 @@
             Map<String, Map<String, String>> duties = new TreeMap<>();
             for (JsonNode item : answer.path("items")) {
                 String[] parts = item.path("key").asText().split("/");
-                Map<String, String> duty = duties.computeIfAbsent(parts[1], none -> new TreeMap<>());
+                Map<String, String> duty =
+                        duties.computeIfAbsent(parts[1], none -> new TreeMap<>());
                 duty.put(parts[2], item.path("value").asText());
                 if (parts[2].equals("fence")) {
                     duty.put("number", item.path("revision").asText());
                 }
             }
             List<List<String>> rows = new ArrayList<>();
-            duties.forEach((name, duty) -> rows.add(List.of(name, duty.getOrDefault("owner", "nobody"),
-                    duty.getOrDefault("number", ""), duty.getOrDefault("progress", ""), duty.getOrDefault("wanted", ""))));
+            duties.forEach(
+                    (name, duty) ->
+                            rows.add(
+                                    List.of(
+                                            name,
+                                            duty.getOrDefault("owner", "nobody"),
+                                            duty.getOrDefault("number", ""),
+                                            duty.getOrDefault("progress", ""),
+                                            duty.getOrDefault("wanted", ""))));
             FleetCommands.table(List.of("DUTY", "OWNER", "FENCE", "PROGRESS", "TO GO TO"), rows);
         }
     }
@@ -124,16 +163,24 @@
             if (fence.done() && item(fence).isMissingNode()) {
                 return refused("no-duty", "nobody has ever owned " + duty.name());
             }
-            return fence.done() ? client.ask(RecordClient.put("duty/" + duty.name() + "/wanted", words.get(1), -1), within) : fence;
+            return fence.done()
+                    ? client.ask(
+                            RecordClient.put("duty/" + duty.name() + "/wanted", words.get(1), -1),
+                            within)
+                    : fence;
         }
     }
 
-    @Parameters(commandDescription = "FIELD=VALUE ...: a new revision with these fields set: out/HOST, discovery, sockets, peers")
+    @Parameters(
+            commandDescription =
+                    "FIELD=VALUE ...: a new revision with these fields set: out/HOST, discovery, sockets, peers")
     private static final class Revise extends FleetCommands.Steps {
         @Parameter(names = "--remove", description = "Fields that go, set apart by commas")
         String remove = "";
 
-        @Parameter(names = "--back-to", description = "Begin with what this revision said, not with the latest")
+        @Parameter(
+                names = "--back-to",
+                description = "Begin with what this revision said, not with the latest")
         long backTo = -1;
 
         @Parameter(names = "--now", description = "To all nodes at once, not to a few first")
@@ -148,15 +195,21 @@
             }
             long number = item(latest).path("value").asLong();
             RecordClient.Outcome last = get(client, Revision.key(number));
-            RecordClient.Outcome from = backTo >= 0 && last.done() ? get(client, Revision.key(backTo)) : last;
+            RecordClient.Outcome from =
+                    backTo >= 0 && last.done() ? get(client, Revision.key(backTo)) : last;
             if (!from.done()) {
                 return from;
             }
-            Revision before = number == 0 ? Revision.NONE : Revision.read(item(last).path("value").asText());
-            Revision content = backTo == 0 || backTo < 0 && number == 0 ? Revision.NONE
-                    : Revision.read(item(from).path("value").asText());
+            Revision before =
+                    number == 0 ? Revision.NONE : Revision.read(item(last).path("value").asText());
+            Revision content =
+                    backTo == 0 || backTo < 0 && number == 0
+                            ? Revision.NONE
+                            : Revision.read(item(from).path("value").asText());
             if (before == null || content == null) {
-                return refused("no-revision", "the record has no revision " + (before == null ? number : backTo));
+                return refused(
+                        "no-revision",
+                        "the record has no revision " + (before == null ? number : backTo));
             }
             Map<String, String> all = new TreeMap<>(content.differenceFrom(before));
             all.putAll(changes);
@@ -167,14 +220,25 @@
             if (next.content().equals(before.content())) {
                 return refused("nothing-new", "revision " + number + " says so already");
             }
-            List<Write> writes = new ArrayList<>(List.of(new Write(LATEST, String.valueOf(next.number()), false),
-                    new Write(Revision.key(next.number()), next.text(), false)));
+            List<Write> writes =
+                    new ArrayList<>(
+                            List.of(
+                                    new Write(LATEST, String.valueOf(next.number()), false),
+                                    new Write(Revision.key(next.number()), next.text(), false)));
             if (atOnce) {
                 writes.add(new Write(RolloutDuty.NOW + next.number(), "1", false));
             }
-            RecordClient.Outcome made = change(client, List.of(new Condition(LATEST, item(latest).path("revision").asLong()),
-                    new Condition(Revision.key(next.number()), 0)), writes, within);
-            return made.done() ? new RecordClient.Outcome("done", made.answer().put("made", next.number())) : made;
+            RecordClient.Outcome made =
+                    change(
+                            client,
+                            List.of(
+                                    new Condition(LATEST, item(latest).path("revision").asLong()),
+                                    new Condition(Revision.key(next.number()), 0)),
+                            writes,
+                            within);
+            return made.done()
+                    ? new RecordClient.Outcome("done", made.answer().put("made", next.number()))
+                    : made;
         }
 
         private Map<String, String> changes() {
@@ -192,7 +256,8 @@
                 changes.put(word.substring(0, equals), word.substring(equals + 1));
             }
             if (changes.isEmpty() && backTo < 0) {
-                throw new ParameterException("wanted: revise FIELD=VALUE ..., --remove or --back-to");
+                throw new ParameterException(
+                        "wanted: revise FIELD=VALUE ..., --remove or --back-to");
             }
             return changes;
         }
@@ -203,7 +268,8 @@
         }
     }
 
-    @Parameters(commandDescription = "The revisions of the fleet's orders, and how far the last one is")
+    @Parameters(
+            commandDescription = "The revisions of the fleet's orders, and how far the last one is")
     private static final class Revisions extends FleetCommands.Steps {
         @Override
         RecordClient.Outcome run(RecordClient client) {
@@ -216,27 +282,47 @@
             for (JsonNode item : all.answer().path("items")) {
                 Revision revision = Revision.read(item.path("value").asText());
                 if (revision != null) {
-                    ObjectNode row = answer.withArray("revisions").addObject().put("number", revision.number())
-                            .put("chain", revision.chain());
+                    ObjectNode row =
+                            answer.withArray("revisions")
+                                    .addObject()
+                                    .put("number", revision.number())
+                                    .put("chain", revision.chain());
                     Words.texts(row.putObject("fields"), revision.fields());
                 }
             }
-            stage.answer().path("items").forEach(item -> answer.put(item.path("key").asText(), item.path("value").asText()));
+            stage.answer()
+                    .path("items")
+                    .forEach(
+                            item ->
+                                    answer.put(
+                                            item.path("key").asText(),
+                                            item.path("value").asText()));
             return new RecordClient.Outcome("done", answer);
         }
 
         @Override
         void print(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
-            answer.path("revisions").forEach(row -> rows.add(List.of(row.path("number").asText(),
-                    row.path("chain").asText().substring(0, 8), row.path("fields").toString())));
+            answer.path("revisions")
+                    .forEach(
+                            row ->
+                                    rows.add(
+                                            List.of(
+                                                    row.path("number").asText(),
+                                                    row.path("chain").asText().substring(0, 8),
+                                                    row.path("fields").toString())));
             FleetCommands.table(List.of("REVISION", "CHAIN", "FIELDS"), rows);
-            System.out.println("rollout: " + answer.path(RolloutDuty.STAGE).asText("not begun") + "; floor "
-                    + answer.path(RolloutDuty.FLOOR).asText("0"));
+            System.out.println(
+                    "rollout: "
+                            + answer.path(RolloutDuty.STAGE).asText("not begun")
+                            + "; floor "
+                            + answer.path(RolloutDuty.FLOOR).asText("0"));
         }
     }
 
-    @Parameters(commandDescription = "REVISION: the least on which any node may act for the fleet; only up")
+    @Parameters(
+            commandDescription =
+                    "REVISION: the least on which any node may act for the fleet; only up")
     private static final class Floor extends FleetCommands.Steps {
         @Override
         RecordClient.Outcome run(RecordClient client) {
@@ -246,15 +332,24 @@
             if (!latest.done()) {
                 return latest;
             }
-            if (!words.get(0).matches("\\d{1,18}") || Long.parseLong(words.get(0)) < item(now).path("value").asLong()
+            if (!words.get(0).matches("\\d{1,18}")
+                    || Long.parseLong(words.get(0)) < item(now).path("value").asLong()
                     || Long.parseLong(words.get(0)) > item(latest).path("value").asLong()) {
-                return refused("wrong", "a floor is a revision that there is, not below " + item(now).path("value").asLong());
+                return refused(
+                        "wrong",
+                        "a floor is a revision that there is, not below "
+                                + item(now).path("value").asLong());
             }
-            return client.ask(RecordClient.put(RolloutDuty.FLOOR, words.get(0), item(now).path("revision").asLong()), within);
+            return client.ask(
+                    RecordClient.put(
+                            RolloutDuty.FLOOR, words.get(0), item(now).path("revision").asLong()),
+                    within);
         }
     }
 
-    @Parameters(commandDescription = "NODE WHY: this process of it may not act for the fleet any more, and leaves")
+    @Parameters(
+            commandDescription =
+                    "NODE WHY: this process of it may not act for the fleet any more, and leaves")
     private static final class ShutOut extends FleetCommands.Steps {
         @Override
         RecordClient.Outcome run(RecordClient client) {
@@ -265,8 +360,16 @@
             if (node.done() && item(node).isMissingNode()) {
                 return refused("no-node", "there is no node " + words.get(0));
             }
-            return !node.done() ? node : client.ask(RecordClient.put(Nodes.OUT + words.get(0), item(node).path("revision").asLong()
-                    + " by-hand " + String.join(" ", words.subList(1, words.size())), -1), within);
+            return !node.done()
+                    ? node
+                    : client.ask(
+                            RecordClient.put(
+                                    Nodes.OUT + words.get(0),
+                                    item(node).path("revision").asLong()
+                                            + " by-hand "
+                                            + String.join(" ", words.subList(1, words.size())),
+                                    -1),
+                            within);
         }
     }
 
@@ -279,7 +382,9 @@
         }
     }
 
-    @Parameters(commandDescription = "NODE: there is no such node any more; one that comes again has a name again")
+    @Parameters(
+            commandDescription =
+                    "NODE: there is no such node any more; one that comes again has a name again")
     private static final class Forget extends FleetCommands.Steps {
         @Override
         RecordClient.Outcome run(RecordClient client) {
@@ -289,25 +394,42 @@
             if (!node.done()) {
                 return node;
             }
-            return item(node).isMissingNode() ? refused("no-node", "there is no node " + name)
-                    : change(client, List.of(new Condition(Nodes.NODE + name, item(node).path("revision").asLong())),
-                            List.of(new Write(Nodes.NODE + name, null, false), new Write(Nodes.OUT + name, null, false),
-                                    new Write(RolloutDuty.STATE + name, null, false)), within);
+            return item(node).isMissingNode()
+                    ? refused("no-node", "there is no node " + name)
+                    : change(
+                            client,
+                            List.of(
+                                    new Condition(
+                                            Nodes.NODE + name,
+                                            item(node).path("revision").asLong())),
+                            List.of(
+                                    new Write(Nodes.NODE + name, null, false),
+                                    new Write(Nodes.OUT + name, null, false),
+                                    new Write(RolloutDuty.STATE + name, null, false)),
+                            within);
         }
     }
 
-    @Parameters(commandDescription = "start NAME PART ... | show | go | pause | abort: hosts and nodes started anew in steps")
+    @Parameters(
+            commandDescription =
+                    "start NAME PART ... | show | go | pause | abort: hosts and nodes started anew in steps")
     private static final class Releases extends FleetCommands.Steps {
         @Parameter(names = "--size", description = "Parts that may be away at one time")
         int size = 1;
 
-        @Parameter(names = "--service", description = "Share of tunnels that must be opened of those not declined")
+        @Parameter(
+                names = "--service",
+                description = "Share of tunnels that must be opened of those not declined")
         double service = 0.9;
 
-        @Parameter(names = "--warm", description = "Seconds that a part serves before it counts as back")
+        @Parameter(
+                names = "--warm",
+                description = "Seconds that a part serves before it counts as back")
         double warm = 5;
 
-        @Parameter(names = "--patience", description = "Seconds without progress after which it pauses by itself")
+        @Parameter(
+                names = "--patience",
+                description = "Seconds without progress after which it pauses by itself")
         double patience = 60;
 
         @Override
@@ -316,8 +438,11 @@
             return switch (what) {
                 case "start" -> start(client);
                 case "show" -> list(client, "release/");
-                case "go", "pause", "abort" -> client.ask(RecordClient.put(ReleasePlan.WISH, what, -1), within);
-                default -> throw new ParameterException("wanted: release start NAME host:H|node:N ..., show, go, pause or abort");
+                case "go", "pause", "abort" ->
+                        client.ask(RecordClient.put(ReleasePlan.WISH, what, -1), within);
+                default ->
+                        throw new ParameterException(
+                                "wanted: release start NAME host:H|node:N ..., show, go, pause or abort");
             };
         }
 
@@ -329,7 +454,14 @@
                 }
                 parts.add(new ReleasePlan.Part(word.startsWith("node:"), word.substring(5)));
             }
-            ReleasePlan plan = new ReleasePlan(words.size() > 1 ? words.get(1) : "", size, service, warm, patience, parts);
+            ReleasePlan plan =
+                    new ReleasePlan(
+                            words.size() > 1 ? words.get(1) : "",
+                            size,
+                            service,
+                            warm,
+                            patience,
+                            parts);
             if (plan.wrong() != null) {
                 throw new ParameterException(plan.wrong());
             }
@@ -344,19 +476,37 @@
                     revision = item.path("revision").asLong();
                     ReleasePlan old = ReleasePlan.read(value);
                     if (old != null && old.name().equals(plan.name())) {
-                        return refused("name", "a release " + plan.name() + " was there already: its steps are known by that name");
+                        return refused(
+                                "name",
+                                "a release "
+                                        + plan.name()
+                                        + " was there already: its steps are known by that name");
                     }
                 }
             }
-            return change(client, List.of(new Condition(ReleasePlan.KEY, revision)), List.of(
-                    new Write(ReleasePlan.KEY, plan.text(), false), new Write(ReleasePlan.WISH, null, false),
-                    new Write(ReleasePlan.STATE, plan.name() + " waits for an owner", false)), within);
+            return change(
+                    client,
+                    List.of(new Condition(ReleasePlan.KEY, revision)),
+                    List.of(
+                            new Write(ReleasePlan.KEY, plan.text(), false),
+                            new Write(ReleasePlan.WISH, null, false),
+                            new Write(
+                                    ReleasePlan.STATE, plan.name() + " waits for an owner", false)),
+                    within);
         }
 
         @Override
         void print(ObjectNode answer) {
-            answer.path("items").forEach(item -> System.out.println(item.path("key").asText() + ": "
-                    + item.path("value").asText().strip().replace("\n", ", ")));
+            answer.path("items")
+                    .forEach(
+                            item ->
+                                    System.out.println(
+                                            item.path("key").asText()
+                                                    + ": "
+                                                    + item.path("value")
+                                                            .asText()
+                                                            .strip()
+                                                            .replace("\n", ", ")));
             if (!answer.has("items")) {
                 System.out.println("done");
             }
--- a/hosted/src/main/java/embershift/hosted/RecordClient.java
+++ b/hosted/src/main/java/embershift/hosted/RecordClient.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Frames;
 import embershift.door.Words;
-
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -16,13 +15,17 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the instances, one after the other until one can answer, within a time. Waits for answers: not for a loop. One thread
- * at a time.
+ * Asks the instances, one after the other until one can answer, within a time. Waits for answers:
+ * not for a loop. One thread at a time.
  */
 public final class RecordClient implements AutoCloseable {
 
-    /** Seconds that one instance is waited for before another is asked, and after a refusal that may pass. */
+    /**
+     * Seconds that one instance is waited for before another is asked, and after a refusal that may
+     * pass.
+     */
     private static final double ONE = 0.7;
+
     private static final double AGAIN = 0.03;
 
     private final Supplier<List<InetSocketAddress>> addresses;
@@ -68,7 +71,10 @@
         return Words.node().put("call", name);
     }
 
-    /** A change of one key; {@code revision} negative: whatever it was; {@code value} null: takes it away. */
+    /**
+     * A change of one key; {@code revision} negative: whatever it was; {@code value} null: takes it
+     * away.
+     */
     public static ObjectNode put(String key, String value, long revision) {
         ObjectNode call = call("change");
         ArrayNode conditions = call.putArray("conditions");
@@ -80,8 +86,9 @@
     }
 
     /**
-     * Has a call carried out, if it can be within so many seconds. A change goes under a session's number, so that it is
-     * carried out once however often it is sent. Unknown only where it was sent and not answered.
+     * Has a call carried out, if it can be within so many seconds. A change goes under a session's
+     * number, so that it is carried out once however often it is sent. Unknown only where it was
+     * sent and not answered.
      */
     public Outcome ask(ObjectNode call, double within) {
         long until = System.nanoTime() + (long) (within * 1e9);
@@ -89,8 +96,13 @@
             if (session == 0) {
                 Outcome opened = send(call("open").put("client", name).put("seconds", 30), until);
                 if (!opened.done()) {
-                    return new Outcome("refused", Words.node().put("reason", "no-leader").put("text", "no session could be "
-                            + "opened: " + opened.text()));
+                    return new Outcome(
+                            "refused",
+                            Words.node()
+                                    .put("reason", "no-leader")
+                                    .put(
+                                            "text",
+                                            "no session could be " + "opened: " + opened.text()));
                 }
                 session = opened.answer().path("number").asLong();
                 number = 0;
@@ -108,10 +120,12 @@
 
     private Outcome send(ObjectNode call, long until) {
         boolean mayHaveBeen = false;
-        ObjectNode last = Words.node().put("reason", "no-answer").put("text", "no instance answered");
+        ObjectNode last =
+                Words.node().put("reason", "no-answer").put("text", "no instance answered");
         while (System.nanoTime() < until) {
             try {
-                ObjectNode answer = once(call, Math.min(until, System.nanoTime() + (long) (ONE * 1e9)));
+                ObjectNode answer =
+                        once(call, Math.min(until, System.nanoTime() + (long) (ONE * 1e9)));
                 String end = answer.path("end").asText();
                 String reason = answer.path("reason").asText();
                 if (end.equals("done")) {
@@ -122,7 +136,9 @@
                     mayHaveBeen = true;
                 } else if (!reason.equals("not-leader") && !reason.equals("busy")) {
                     // Its session's end says nothing of what was sent before that.
-                    boolean open = mayHaveBeen && (reason.equals("no-session") || reason.equals("forgotten"));
+                    boolean open =
+                            mayHaveBeen
+                                    && (reason.equals("no-session") || reason.equals("forgotten"));
                     return new Outcome(open ? "unknown" : "refused", answer);
                 }
                 if (!reason.equals("busy")) {
@@ -138,13 +154,19 @@
             }
             pause(until);
         }
-        boolean change = !List.of("get", "list", "status", "watch").contains(call.path("call").asText());
+        boolean change =
+                !List.of("get", "list", "status", "watch").contains(call.path("call").asText());
         return new Outcome(mayHaveBeen && change ? "unknown" : "refused", last);
     }
 
     private static void pause(long until) {
         try {
-            Thread.sleep(Math.max(0, Math.min((long) (AGAIN * 1000), (until - System.nanoTime()) / 1_000_000)));
+            Thread.sleep(
+                    Math.max(
+                            0,
+                            Math.min(
+                                    (long) (AGAIN * 1000),
+                                    (until - System.nanoTime()) / 1_000_000)));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
@@ -11,7 +11,6 @@
 import embershift.fleet.Release;
 import embershift.fleet.ReleasePlan;
 import embershift.fleet.Write;
-
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -20,18 +19,22 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Starts hosts and nodes anew, step by step, as {@link Release} decides, while the record holds a plan. */
+/**
+ * Starts hosts and nodes anew, step by step, as {@link Release} decides, while the record holds a
+ * plan.
+ */
 final class ReleaseDuty extends Duty implements Nodes.Listener, Release.View, Release.Hands {
 
     private static final double SILENT = 2;
     private static final double TELL = 1;
     private static final double WINDOW = 5;
+
     /** Seconds that any one call may take. */
     private static final double LONGEST = 1;
+
     private static final int OWNERS = 6;
 
-    private record Count(double at, long opened, long failed) {
-    }
+    private record Count(double at, long opened, long failed) {}
 
     private Discovery discovery;
     private Manager manager;
@@ -43,7 +46,10 @@
     private final Map<String, Double> toldAt = new HashMap<>();
     private final Map<String, Deque<Count>> counts = new HashMap<>();
     private String state = "";
-    /** The step before was ended by this owner, under this fence: nobody can have begun the next. */
+
+    /**
+     * The step before was ended by this owner, under this fence: nobody can have begun the next.
+     */
     private boolean endedHere;
 
     ReleaseDuty(Duties all) {
@@ -59,7 +65,9 @@
             planRevision = revision;
             plan = item == null ? null : ReleasePlan.read(item.value());
             if (plan != null) {
-                own(new Plan(plan.name() + "-" + revision, plan.steps(), LONGEST), all.fleet().terms(3600, OWNERS));
+                own(
+                        new Plan(plan.name() + "-" + revision, plan.steps(), LONGEST),
+                        all.fleet().terms(3600, OWNERS));
             }
         }
     }
@@ -67,7 +75,11 @@
     @Override
     void begin() {
         manager = new Manager(all.loop(), Toml.socket(all.fleet().manager()));
-        discovery = new Discovery(all.loop(), Toml.socket(all.fleet().discovery()), (generation, whole, anew) -> { });
+        discovery =
+                new Discovery(
+                        all.loop(),
+                        Toml.socket(all.fleet().discovery()),
+                        (generation, whole, anew) -> {});
         counts.clear();
         toldAt.clear();
         out = Set.of();
@@ -81,7 +93,8 @@
         endedHere = false;
         if (step != null) {
             step = null;
-            // Its time may only have lapsed: should it come back under the same grant, the step is begun again.
+            // Its time may only have lapsed: should it come back under the same grant, the step is
+            // begun again.
             owner().acted(now(), stepNumber, owner().fence(), Owner.Effect.UNKNOWN);
         }
     }
@@ -98,13 +111,22 @@
         if (step != null) {
             Item wish = all.record().get(ReleasePlan.WISH);
             // Of a wish for an earlier release nothing holds.
-            step.wish(now, wish == null || wish.revision() < planRevision ? "go" : wish.value().split(" ", 2)[0]);
+            step.wish(
+                    now,
+                    wish == null || wish.revision() < planRevision
+                            ? "go"
+                            : wish.value().split(" ", 2)[0]);
             step.tick(now);
         }
         if (step != null) {
             tellOut(now);
             String waits = step.waitsFor();
-            state("step " + (stepNumber + 1) + " of " + plan.steps() + (waits.isEmpty() ? "" : ": " + waits));
+            state(
+                    "step "
+                            + (stepNumber + 1)
+                            + " of "
+                            + plan.steps()
+                            + (waits.isEmpty() ? "" : ": " + waits));
         }
     }
 
@@ -115,7 +137,10 @@
         }
     }
 
-    /** Which hosts are out: told anew to whoever may not know it, and to all from time to time, as nodes let go of it by themselves. */
+    /**
+     * Which hosts are out: told anew to whoever may not know it, and to all from time to time, as
+     * nodes let go of it by themselves.
+     */
     private void tellOut(double now) {
         for (Nodes.NodeLink link : all.nodes().linked()) {
             boolean knows = Words.list(link.report().path("out")).equals(out);
@@ -124,11 +149,16 @@
                 toldAt.put(link.name, now);
                 ObjectNode order = Words.node();
                 Words.list(order.putArray("hosts"), out);
-                order(link, "out", order, verdict -> {
-                    if (verdict != null && !verdict.path("verdict").asText().equals("TAKEN")) {
-                        toldAt.put(link.name, now() - TELL * 4 / 5);
-                    }
-                });
+                order(
+                        link,
+                        "out",
+                        order,
+                        verdict -> {
+                            if (verdict != null
+                                    && !verdict.path("verdict").asText().equals("TAKEN")) {
+                                toldAt.put(link.name, now() - TELL * 4 / 5);
+                            }
+                        });
             }
         }
     }
@@ -146,9 +176,14 @@
             if (link == null && shut != null && number(shut) >= item.revision()) {
                 continue;
             }
-            views.put(name, link == null ? new Release.NodeView(false, false, Set.of())
-                    : new Release.NodeView(now - link.heardAt() < SILENT, link.report().path("ready").asBoolean(),
-                            Words.list(link.report().path("out"))));
+            views.put(
+                    name,
+                    link == null
+                            ? new Release.NodeView(false, false, Set.of())
+                            : new Release.NodeView(
+                                    now - link.heardAt() < SILENT,
+                                    link.report().path("ready").asBoolean(),
+                                    Words.list(link.report().path("out"))));
         }
         return views;
     }
@@ -213,11 +248,13 @@
     private void call(String line, String partId) {
         if (owner().mayAct(now())) {
             Release mine = step;
-            manager.call(line, what -> {
-                if (step == mine && mine != null) {
-                    mine.managed(now(), partId, what);
-                }
-            });
+            manager.call(
+                    line,
+                    what -> {
+                        if (step == mine && mine != null) {
+                            mine.managed(now(), partId, what);
+                        }
+                    });
         }
     }
 
@@ -225,15 +262,24 @@
     public void ended(boolean aborted) {
         step = null;
         endedHere = true;
-        state(aborted ? "aborted, step " + (stepNumber + 1) + " is at a sound end"
-                : stepNumber + 1 == plan.steps() ? "done" : "step " + (stepNumber + 1) + " is done");
+        state(
+                aborted
+                        ? "aborted, step " + (stepNumber + 1) + " is at a sound end"
+                        : stepNumber + 1 == plan.steps()
+                                ? "done"
+                                : "step " + (stepNumber + 1) + " is done");
         owner().acted(now(), stepNumber, fence(), Owner.Effect.DONE);
     }
 
     @Override
     public void halted(String why) {
         told("the release halts: " + why);
-        write(List.of(new Write(ReleasePlan.WISH, "pause the release halted by itself: " + why, false),
-                new Write(ReleasePlan.STATE, plan.name() + " halted: " + why, false)));
+        write(
+                List.of(
+                        new Write(
+                                ReleasePlan.WISH,
+                                "pause the release halted by itself: " + why,
+                                false),
+                        new Write(ReleasePlan.STATE, plan.name() + " halted: " + why, false)));
     }
 }
--- a/hosted/src/main/java/embershift/hosted/RolloutDuty.java
+++ b/hosted/src/main/java/embershift/hosted/RolloutDuty.java
@@ -10,7 +10,6 @@
 import embershift.fleet.Revision;
 import embershift.fleet.Rollout;
 import embershift.fleet.Write;
-
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -26,8 +25,10 @@
     static final String REVISION = "revision/";
     static final String STAGE = "rollout/stage";
     static final String FLOOR = "rollout/floor";
+
     /** Revisions that go to all at once. */
     static final String NOW = "rollout/now/";
+
     static final String STATE = "state/";
     static final String WANTED = "release/wanted/";
     static final String BY_DUTY = "by-rollout";
@@ -36,12 +37,15 @@
     private static final double STATES = 0.5;
     private static final double FOLD = 10;
     private static final int MOST_STATES = 200;
+
     /** Revisions that are kept, beside those that some node may still go by. */
     private static final int KEPT = 500;
 
     private Rollout rollout;
+
     /** While the record is read: what this owner must know before it does anything. */
     private int toRead;
+
     private final Map<String, Item> read = new TreeMap<>();
     private final Map<String, String> statesTold = new HashMap<>();
     private double statesAt;
@@ -67,37 +71,49 @@
 
     /** By the record itself, not by what this instance has of it: that may be behind. */
     private void read(String prefix, long by) {
-        all.words().ask(RecordClient.call("list").put("prefix", prefix), READ_WITHIN, outcome -> {
-            if (!holds() || fence().number() != by) {
-                return;
-            }
-            if (!outcome.done()) {
-                read(prefix, by);
-                return;
-            }
-            for (JsonNode each : outcome.answer().path("items")) {
-                Item item = new Item(each.path("key").asText(), each.path("value").asText(), each.path("created").asLong(),
-                        each.path("revision").asLong(), null);
-                read.put(item.key(), item);
-            }
-            if (--toRead == 0) {
-                rollout = new Rollout(all.fleet().rollout(), this);
-                Item stage = read.get(STAGE);
-                rollout.found(now(), stage == null ? null : stage.value());
-                learn(read.values());
-                all.nodes().linked().forEach(this::reported);
-            }
-        });
+        all.words()
+                .ask(
+                        RecordClient.call("list").put("prefix", prefix),
+                        READ_WITHIN,
+                        outcome -> {
+                            if (!holds() || fence().number() != by) {
+                                return;
+                            }
+                            if (!outcome.done()) {
+                                read(prefix, by);
+                                return;
+                            }
+                            for (JsonNode each : outcome.answer().path("items")) {
+                                Item item =
+                                        new Item(
+                                                each.path("key").asText(),
+                                                each.path("value").asText(),
+                                                each.path("created").asLong(),
+                                                each.path("revision").asLong(),
+                                                null);
+                                read.put(item.key(), item);
+                            }
+                            if (--toRead == 0) {
+                                rollout = new Rollout(all.fleet().rollout(), this);
+                                Item stage = read.get(STAGE);
+                                rollout.found(now(), stage == null ? null : stage.value());
+                                learn(read.values());
+                                all.nodes().linked().forEach(this::reported);
+                            }
+                        });
     }
 
     private void learn(Collection<Item> items) {
         for (Item item : items) {
             if (item.key().startsWith(REVISION)) {
-                Revision revision = known.contains(keyNumber(item.key())) ? null : Revision.read(item.value());
+                Revision revision =
+                        known.contains(keyNumber(item.key())) ? null : Revision.read(item.value());
                 if (revision != null) {
                     known.add(revision.number());
-                    rollout.known(revision, read.containsKey(NOW + revision.number())
-                            || all.record().get(NOW + revision.number()) != null);
+                    rollout.known(
+                            revision,
+                            read.containsKey(NOW + revision.number())
+                                    || all.record().get(NOW + revision.number()) != null);
                 }
             } else if (item.key().equals(FLOOR)) {
                 rollout.floorIs(number(item));
@@ -130,7 +146,8 @@
             names.add(name);
             rollout.named(name);
             Item out = all.record().get(Nodes.OUT + name);
-            rollout.outIs(name, number(out), out != null && out.value().contains(" " + BY_DUTY + " "));
+            rollout.outIs(
+                    name, number(out), out != null && out.value().contains(" " + BY_DUTY + " "));
         }
         for (String name : List.copyOf(rollout.names())) {
             if (!names.contains(name) && all.nodes().get(name) == null) {
@@ -148,7 +165,9 @@
     void work() {
         double now = now();
         boolean nodesThere = !all.record().beginning(Nodes.NODE).isEmpty();
-        if (!nodesThere || all.nodes().linked().stream().anyMatch(link -> now - link.heardAt() < READ_WITHIN)) {
+        if (!nodesThere
+                || all.nodes().linked().stream()
+                        .anyMatch(link -> now - link.heardAt() < READ_WITHIN)) {
             owner().progressed(now);
         }
         if (rollout == null) {
@@ -192,11 +211,15 @@
         }
     }
 
-    /** Trails have half of the record at the most; a node's whole trail has to go into one answer. */
+    /**
+     * Trails have half of the record at the most; a node's whole trail has to go into one answer.
+     */
     private void fold() {
         Map<String, String> begins = new TreeMap<>();
         all.record().beginning(Folding.KEY).forEach(item -> begins.put(item.key(), item.value()));
-        List<Write> writes = Folding.fold(all.record().beginning("trail/"), begins, Record.ALL / 2, Record.ALL / 16);
+        List<Write> writes =
+                Folding.fold(
+                        all.record().beginning("trail/"), begins, Record.ALL / 2, Record.ALL / 16);
         if (!writes.isEmpty()) {
             all.counted("trails folded");
             write(writes);
@@ -208,10 +231,19 @@
         if (rollout != null) {
             JsonNode report = link.report();
             if (report.has("clock")) {
-                rollout.heard(link.heardAt(), new Rollout.Report(link.name, link.incarnation, report.path("revision").asLong(),
-                        report.path("chain").asText(), report.path("content").asText(), report.path("ready").asBoolean(),
-                        report.path("refused").asLong(), report.path("why").asText(), report.path("opened").asLong(),
-                        report.path("failed").asLong()));
+                rollout.heard(
+                        link.heardAt(),
+                        new Rollout.Report(
+                                link.name,
+                                link.incarnation,
+                                report.path("revision").asLong(),
+                                report.path("chain").asText(),
+                                report.path("content").asText(),
+                                report.path("ready").asBoolean(),
+                                report.path("refused").asLong(),
+                                report.path("why").asText(),
+                                report.path("opened").asLong(),
+                                report.path("failed").asLong()));
             }
         }
     }
@@ -231,22 +263,40 @@
         if (link == null) {
             return;
         }
-        ObjectNode order = Words.node().put("number", revision.number()).put("base", base).put("chain", revision.chain())
-                .put("content", revision.content());
-        Revision from = base == 0 ? null : Revision.read(all.record().get(Revision.key(base)) == null ? ""
-                : all.record().get(Revision.key(base)).value());
+        ObjectNode order =
+                Words.node()
+                        .put("number", revision.number())
+                        .put("base", base)
+                        .put("chain", revision.chain())
+                        .put("content", revision.content());
+        Revision from =
+                base == 0
+                        ? null
+                        : Revision.read(
+                                all.record().get(Revision.key(base)) == null
+                                        ? ""
+                                        : all.record().get(Revision.key(base)).value());
         if (from == null) {
             order.put("base", 0);
         }
-        Words.texts(order.putObject("fields"), from == null ? revision.fields() : revision.differenceFrom(from));
+        Words.texts(
+                order.putObject("fields"),
+                from == null ? revision.fields() : revision.differenceFrom(from));
         all.counted(from == null ? "revisions told whole" : "revisions told by difference");
         Rollout mine = rollout;
-        order(link, "revision", order, verdict -> {
-            if (mine == rollout && verdict != null) {
-                mine.answered(now(), node, verdict.path("end").asText().equals("TAKEN"),
-                        verdict.path("end").asText().equals("WHOLE"));
-            }
-        });
+        order(
+                link,
+                "revision",
+                order,
+                verdict -> {
+                    if (mine == rollout && verdict != null) {
+                        mine.answered(
+                                now(),
+                                node,
+                                verdict.path("end").asText().equals("TAKEN"),
+                                verdict.path("end").asText().equals("WHOLE"));
+                    }
+                });
     }
 
     @Override
--- a/hosted/src/test/java/embershift/hosted/DiscoveryTest.java
+++ b/hosted/src/test/java/embershift/hosted/DiscoveryTest.java
@@ -4,10 +4,6 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.transport.Loop;
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.BeforeMethod;
-import org.testng.annotations.Test;
-
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -20,6 +16,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
 
 /** The fleet's watch at discovery, whose answers may come twice. */
 public class DiscoveryTest {
@@ -35,8 +34,20 @@
         loop = new Loop();
         server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         server.setSoTimeout(10_000);
-        loop.execute(() -> discovery = new Discovery(loop, new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
-                (generation, whole, anew) -> heard.add(generation + " " + whole.values() + " " + anew)));
+        loop.execute(
+                () ->
+                        discovery =
+                                new Discovery(
+                                        loop,
+                                        new InetSocketAddress(
+                                                server.getInetAddress(), server.getLocalPort()),
+                                        (generation, whole, anew) ->
+                                                heard.add(
+                                                        generation
+                                                                + " "
+                                                                + whole.values()
+                                                                + " "
+                                                                + anew)));
     }
 
     @AfterMethod
@@ -53,14 +64,17 @@
 
     private static String call(BufferedReader lines) throws IOException {
         String first = lines.readLine();
-        for (String line = lines.readLine(); line != null && !line.isEmpty(); line = lines.readLine()) {
+        for (String line = lines.readLine();
+                line != null && !line.isEmpty();
+                line = lines.readLine()) {
             // Its other lines.
         }
         return first;
     }
 
     private static BufferedReader lines(Socket call) throws IOException {
-        return new BufferedReader(new InputStreamReader(call.getInputStream(), StandardCharsets.US_ASCII));
+        return new BufferedReader(
+                new InputStreamReader(call.getInputStream(), StandardCharsets.US_ASCII));
     }
 
     private static void say(Socket call, String words) throws IOException {
@@ -68,8 +82,14 @@
     }
 
     private static String answer(int generation, boolean whole, String state) {
-        String body = "{\"generation\":" + generation + ",\"reset\":" + whole
-                + ",\"instances\":[{\"instanceId\":\"s\",\"lifecycle\":\"" + state + "\"}]}";
+        String body =
+                "{\"generation\":"
+                        + generation
+                        + ",\"reset\":"
+                        + whole
+                        + ",\"instances\":[{\"instanceId\":\"s\",\"lifecycle\":\""
+                        + state
+                        + "\"}]}";
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
--- a/hosted/src/test/java/embershift/hosted/InputTest.java
+++ b/hosted/src/test/java/embershift/hosted/InputTest.java
@@ -9,12 +9,11 @@
 import embershift.door.Frames;
 import embershift.door.Toml;
 import embershift.raft.MemberId;
-import org.testng.annotations.Test;
-
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import org.testng.annotations.Test;
 
 /** What operators and other programs may hand in, right and wrong. */
 public class InputTest {
@@ -25,12 +24,25 @@
     public void installationThatCannotBeUsedIsRefusedInOneLineThatNamesTheKey() throws Exception {
         Installation least = Installation.read(LEAST, "x");
         assertEquals(least.address(), "127.0.0.1:1");
-        String[][] wrong = {{"more = 1\n", "more"}, {"[pace]\ntick-s = 0\n", "tick-s"}, {"[pace]\nelection-s = 0.1\n", "pace"},
-            {"address = \"nowhere\"\n", "address"}, {"[ways]\ni2 = \"h:70000\"\n", "65535"}, {"name = \"i2\"\n", "Duplicate"},
-            {"[bounds]\nwaiting-bytes = 8192\n", "waiting-bytes"}, {"listen", ""}};
+        String[][] wrong = {
+            {"more = 1\n", "more"},
+            {"[pace]\ntick-s = 0\n", "tick-s"},
+            {"[pace]\nelection-s = 0.1\n", "pace"},
+            {"address = \"nowhere\"\n", "address"},
+            {"[ways]\ni2 = \"h:70000\"\n", "65535"},
+            {"name = \"i2\"\n", "Duplicate"},
+            {"[bounds]\nwaiting-bytes = 8192\n", "waiting-bytes"},
+            {"listen", ""}
+        };
         for (String[] each : wrong) {
-            String message = expectThrows(Toml.Unusable.class, () -> Installation.read(LEAST + each[0], "x")).getMessage();
-            assertTrue(message.startsWith("x:") && message.contains(each[1]) && !message.contains("\n"), message);
+            String message =
+                    expectThrows(Toml.Unusable.class, () -> Installation.read(LEAST + each[0], "x"))
+                            .getMessage();
+            assertTrue(
+                    message.startsWith("x:")
+                            && message.contains(each[1])
+                            && !message.contains("\n"),
+                    message);
         }
         assertThrows(Toml.Unusable.class, () -> Installation.read("name = \"i1\"\n", "x"));
     }
@@ -48,7 +60,9 @@
             List<Integer> lengths = new ArrayList<>();
             Frames frames = new Frames();
             for (int at = 0; at < all.length; at += split) {
-                frames.take(ByteBuffer.wrap(all, at, Math.min(split, all.length - at)), piece -> lengths.add(piece.length));
+                frames.take(
+                        ByteBuffer.wrap(all, at, Math.min(split, all.length - at)),
+                        piece -> lengths.add(piece.length));
             }
             assertEquals(lengths, List.of(1, 301, 601));
         }
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -7,9 +7,6 @@
 import embershift.door.Words;
 import embershift.raft.MemberId;
 import embershift.testing.GoldenSamples;
-import org.testng.annotations.BeforeClass;
-import org.testng.annotations.Test;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -27,10 +24,13 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.TreeSet;
+import org.testng.annotations.BeforeClass;
+import org.testng.annotations.Test;
 
 /**
- * What an instance answers to callers, other instances and nodes, what the administrator's commands print, and the files of an instance's
- * directory stay as earlier versions have them. One instance of a group of its own runs in this process; cases build on each other.
+ * What an instance answers to callers, other instances and nodes, what the administrator's commands
+ * print, and the files of an instance's directory stay as earlier versions have them. One instance
+ * of a group of its own runs in this process; cases build on each other.
  */
 public class InstanceMessagesTest {
 
@@ -86,19 +86,29 @@
             port = free.getLocalPort();
         }
         file = folder.resolve("i1.toml");
-        Files.writeString(file, "name = \"i1\"\nfolder = \"" + folder.resolve("data") + "\"\nlisten = \"127.0.0.1:" + port + "\"\n");
+        Files.writeString(
+                file,
+                "name = \"i1\"\nfolder = \""
+                        + folder.resolve("data")
+                        + "\"\nlisten = \"127.0.0.1:"
+                        + port
+                        + "\"\n");
         assertEquals(Main.run(new String[] {"instance", "--installation", file.toString()}), -1);
     }
 
     /** Without ports and identities, which differ from run to run. */
     private String stable(String text) {
-        return text.replace(String.valueOf(port), "PORT").replace(folder.toString(), "FOLDER")
-                .replaceAll("\"(group|id|member)\":\"[0-9a-f]{2,}\"", "\"$1\":HEX").replaceAll("\\b[0-9a-f]{12,16}\\b", "HEX")
-                .replaceAll("\"time\":\"\\d+\\.\\d+\"", "\"time\":HYBRID").replaceAll("\"(at|seen)\":[0-9.E-]+", "\"$1\":NUMBER")
+        return text.replace(String.valueOf(port), "PORT")
+                .replace(folder.toString(), "FOLDER")
+                .replaceAll("\"(group|id|member)\":\"[0-9a-f]{2,}\"", "\"$1\":HEX")
+                .replaceAll("\\b[0-9a-f]{12,16}\\b", "HEX")
+                .replaceAll("\"time\":\"\\d+\\.\\d+\"", "\"time\":HYBRID")
+                .replaceAll("\"(at|seen)\":[0-9.E-]+", "\"$1\":NUMBER")
                 .replaceAll("(\"[a-z ]+\"):\\d+(?=[^{]*\\}\\})", "$1:N");
     }
 
-    private void call(GoldenSamples samples, Connection connection, String name, ObjectNode call) throws Exception {
+    private void call(GoldenSamples samples, Connection connection, String name, ObjectNode call)
+            throws Exception {
         samples.text("answer: " + name, stable(connection.call(call).toString()));
     }
 
@@ -117,41 +127,119 @@
         GoldenSamples samples = new GoldenSamples();
         try (Connection connection = new Connection(port)) {
             call(samples, connection, "status before a group", RecordClient.call("status"));
-            call(samples, connection, "get without a leader", RecordClient.call("get").put("key", "a"));
+            call(
+                    samples,
+                    connection,
+                    "get without a leader",
+                    RecordClient.call("get").put("key", "a"));
             call(samples, connection, "found", RecordClient.call("found"));
-            while (!connection.call(RecordClient.call("status")).path("role").asText().equals("leader")) {
+            while (!connection
+                    .call(RecordClient.call("status"))
+                    .path("role")
+                    .asText()
+                    .equals("leader")) {
                 Thread.sleep(5);
             }
             connection.calls = 100;
             call(samples, connection, "found again", RecordClient.call("found"));
-            ObjectNode opened = connection.call(RecordClient.call("open").put("client", "c").put("seconds", 30));
+            ObjectNode opened =
+                    connection.call(
+                            RecordClient.call("open").put("client", "c").put("seconds", 30));
             long session = opened.path("number").asLong();
             samples.text("answer: open", stable(opened.toString()));
-            call(samples, connection, "open for too long", RecordClient.call("open").put("client", "c").put("seconds", 1e9));
+            call(
+                    samples,
+                    connection,
+                    "open for too long",
+                    RecordClient.call("open").put("client", "c").put("seconds", 1e9));
             call(samples, connection, "change", in(session, 1, change("a", "one", 0L, false)));
-            call(samples, connection, "change sent again", in(session, 1, change("a", "one", 0L, false)));
-            call(samples, connection, "change of a condition that fails", in(session, 2, change("a", "two", 0L, false)));
-            call(samples, connection, "change bound to the session", in(session, 3, change("b", "bound", null, true)));
-            call(samples, connection, "change without a session", in(999, 1, change("b", "bound", null, true)));
-            call(samples, connection, "change that was forgotten", in(session, 1, change("a", "one", 0L, false)));
-            call(samples, connection, "change that is too large", in(session, 4, change("k".repeat(600), "one", null, false)));
+            call(
+                    samples,
+                    connection,
+                    "change sent again",
+                    in(session, 1, change("a", "one", 0L, false)));
+            call(
+                    samples,
+                    connection,
+                    "change of a condition that fails",
+                    in(session, 2, change("a", "two", 0L, false)));
+            call(
+                    samples,
+                    connection,
+                    "change bound to the session",
+                    in(session, 3, change("b", "bound", null, true)));
+            call(
+                    samples,
+                    connection,
+                    "change without a session",
+                    in(999, 1, change("b", "bound", null, true)));
+            call(
+                    samples,
+                    connection,
+                    "change that was forgotten",
+                    in(session, 1, change("a", "one", 0L, false)));
+            call(
+                    samples,
+                    connection,
+                    "change that is too large",
+                    in(session, 4, change("k".repeat(600), "one", null, false)));
             call(samples, connection, "get", RecordClient.call("get").put("key", "a"));
-            call(samples, connection, "get of nothing", RecordClient.call("get").put("key", "nothing"));
+            call(
+                    samples,
+                    connection,
+                    "get of nothing",
+                    RecordClient.call("get").put("key", "nothing"));
             call(samples, connection, "list", RecordClient.call("list").put("prefix", ""));
             call(samples, connection, "renew", RecordClient.call("renew").put("session", session));
-            call(samples, connection, "renew without a session", RecordClient.call("renew").put("session", 999));
-            call(samples, connection, "watch", RecordClient.call("watch").put("prefix", "").put("from", 1));
-            call(samples, connection, "watch from before all that is known", RecordClient.call("watch").put("prefix", "").put("from", 0));
+            call(
+                    samples,
+                    connection,
+                    "renew without a session",
+                    RecordClient.call("renew").put("session", 999));
+            call(
+                    samples,
+                    connection,
+                    "watch",
+                    RecordClient.call("watch").put("prefix", "").put("from", 1));
+            call(
+                    samples,
+                    connection,
+                    "watch from before all that is known",
+                    RecordClient.call("watch").put("prefix", "").put("from", 0));
             call(samples, connection, "end", RecordClient.call("end").put("session", session));
-            call(samples, connection, "add of no address", RecordClient.call("add").put("address", "nowhere"));
-            call(samples, connection, "add where nobody is", RecordClient.call("add").put("address", "127.0.0.1:1"));
-            call(samples, connection, "remove of nobody", RecordClient.call("remove").put("name", "i9"));
-            call(samples, connection, "remove of the last voter", RecordClient.call("remove").put("name", "i1"));
-            call(samples, connection, "transfer to itself", RecordClient.call("transfer").put("name", "i1"));
+            call(
+                    samples,
+                    connection,
+                    "add of no address",
+                    RecordClient.call("add").put("address", "nowhere"));
+            call(
+                    samples,
+                    connection,
+                    "add where nobody is",
+                    RecordClient.call("add").put("address", "127.0.0.1:1"));
+            call(
+                    samples,
+                    connection,
+                    "remove of nobody",
+                    RecordClient.call("remove").put("name", "i9"));
+            call(
+                    samples,
+                    connection,
+                    "remove of the last voter",
+                    RecordClient.call("remove").put("name", "i1"));
+            call(
+                    samples,
+                    connection,
+                    "transfer to itself",
+                    RecordClient.call("transfer").put("name", "i1"));
             call(samples, connection, "no such call", RecordClient.call("dance"));
             call(samples, connection, "status", RecordClient.call("status"));
-            connection.say(Words.piece(Frames.CALL, RecordClient.call("status").put("id", 7).put("version", 9)));
-            samples.text("answer: version that is not known", Words.read(connection.next()).toString());
+            connection.say(
+                    Words.piece(
+                            Frames.CALL,
+                            RecordClient.call("status").put("id", 7).put("version", 9)));
+            samples.text(
+                    "answer: version that is not known", Words.read(connection.next()).toString());
         }
         samples.assertMatch(getClass(), "calls.txt");
     }
@@ -159,19 +247,40 @@
     @Test(dependsOnMethods = "callsAreAnsweredAsBefore")
     public void otherInstancesAreGreetedAsBefore() throws Exception {
         GoldenSamples samples = new GoldenSamples();
-        samples.bytes("greeting", Greeting.of(7, new MemberId(1), "i1", new MemberId(2), "h:1").bytes());
+        samples.bytes(
+                "greeting", Greeting.of(7, new MemberId(1), "i1", new MemberId(2), "h:1").bytes());
         for (long[] each : new long[][] {{7, 0}, {7, 2}, {0, 0}}) {
             try (Connection connection = new Connection(port)) {
-                connection.say(Frames.piece(Frames.HELLO, Greeting.of(each[0], new MemberId(5), "i5", new MemberId(each[1]), "h:1").bytes()));
+                connection.say(
+                        Frames.piece(
+                                Frames.HELLO,
+                                Greeting.of(
+                                                each[0],
+                                                new MemberId(5),
+                                                "i5",
+                                                new MemberId(each[1]),
+                                                "h:1")
+                                        .bytes()));
                 byte[] piece = connection.next();
                 String said;
                 if (piece[0] == Frames.WELCOME) {
                     Greeting read = Greeting.read(piece);
-                    said = read.oldest() + " " + read.newest() + " " + read.name() + " " + read.to().number() + " " + read.address();
+                    said =
+                            read.oldest()
+                                    + " "
+                                    + read.newest()
+                                    + " "
+                                    + read.name()
+                                    + " "
+                                    + read.to().number()
+                                    + " "
+                                    + read.address();
                 } else {
                     said = new String(piece, 1, piece.length - 1, StandardCharsets.UTF_8);
                 }
-                samples.text("reply of kind " + piece[0] + " to group " + each[0] + " member " + each[1], stable(said));
+                samples.text(
+                        "reply of kind " + piece[0] + " to group " + each[0] + " member " + each[1],
+                        stable(said));
             }
         }
         samples.assertMatch(getClass(), "greetings.txt");
@@ -181,23 +290,49 @@
     public void nodesAreToldAsBefore() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         try (Connection node = new Connection(port)) {
-            node.say(Words.piece(Frames.NODE, Words.node("here").put("version", 1).put("name", "n1").put("boot", "ab12")
-                    .put("incarnation", 0).put("clock", 3.5)));
+            node.say(
+                    Words.piece(
+                            Frames.NODE,
+                            Words.node("here")
+                                    .put("version", 1)
+                                    .put("name", "n1")
+                                    .put("boot", "ab12")
+                                    .put("incarnation", 0)
+                                    .put("clock", 3.5)));
             byte[] piece = node.next();
-            samples.text("welcome, of kind " + piece[0], stable(Words.read(piece).toString()).replaceAll("\"incarnation\":\\d+", "\"incarnation\":N"));
-            node.say(Words.piece(Frames.NODE, Words.node("report").put("clock", 4.5).put("revision", 0)));
+            samples.text(
+                    "welcome, of kind " + piece[0],
+                    stable(Words.read(piece).toString())
+                            .replaceAll("\"incarnation\":\\d+", "\"incarnation\":N"));
+            node.say(
+                    Words.piece(
+                            Frames.NODE,
+                            Words.node("report").put("clock", 4.5).put("revision", 0)));
             samples.text("heard", stable(Words.read(node.next()).toString()));
             try (Connection caller = new Connection(port)) {
-                long incarnation = caller.call(RecordClient.call("get").put("key", "node/n1")).path("items").path(0).path("revision").asLong();
-                RecordClient client = new RecordClient(List.of(new InetSocketAddress("127.0.0.1", port)), "test");
-                client.ask(RecordClient.put("out/n1", incarnation + " by-hand because of it", -1), 5);
+                long incarnation =
+                        caller.call(RecordClient.call("get").put("key", "node/n1"))
+                                .path("items")
+                                .path(0)
+                                .path("revision")
+                                .asLong();
+                RecordClient client =
+                        new RecordClient(List.of(new InetSocketAddress("127.0.0.1", port)), "test");
+                client.ask(
+                        RecordClient.put("out/n1", incarnation + " by-hand because of it", -1), 5);
                 client.close();
             }
             samples.text("out", stable(Words.read(node.next()).toString()));
             assertEquals(node.next(), null);
         }
         try (Connection node = new Connection(port)) {
-            node.say(Words.piece(Frames.NODE, Words.node("here").put("version", 2).put("name", "n2").put("boot", "ab12")));
+            node.say(
+                    Words.piece(
+                            Frames.NODE,
+                            Words.node("here")
+                                    .put("version", 2)
+                                    .put("name", "n2")
+                                    .put("boot", "ab12")));
             samples.text("out, of another version", stable(Words.read(node.next()).toString()));
         }
         samples.assertMatch(getClass(), "nodes.txt");
@@ -222,44 +357,99 @@
             }
         }
         // Columns are as wide as the identities in them.
-        return "exit " + status + "\n" + stable(printed.toString(StandardCharsets.UTF_8)).replaceAll(" {2,}", "  ");
+        return "exit "
+                + status
+                + "\n"
+                + stable(printed.toString(StandardCharsets.UTF_8)).replaceAll(" {2,}", "  ");
     }
 
     @Test(dependsOnMethods = {"otherInstancesAreGreetedAsBefore", "nodesAreToldAsBefore"})
     public void commandsPrintAsBefore() throws Exception {
         GoldenSamples samples = new GoldenSamples();
-        String[] commands = {"status", "members", "put key value", "put key other --if-revision 0", "get key", "get nothing", "list", "list k",
-            "delete key --if-revision 0", "delete key", "watch --from 1", "found", "add nowhere", "remove i9", "transfer i9", "nodes", "duties",
-            "duty-transfer rollout i1", "revise out/h1=why sockets=500", "revise out/h1=why", "revise nonsense", "revise --remove out/h1 --now",
-            "revise --back-to 1", "revise --back-to 77", "revisions", "floor 9", "floor 1", "shut-out n1 some reason", "shut-out n9 x",
-            "let-in n1", "forget n1", "forget n1", "release start r1 host:h1 node:n1 --size 2", "release start r1 host:h1", "release show",
-            "release pause", "release go", "release abort", "release dance", "audit", "audit --verify", "audit --revision 1",
-            "audit --between 0,1", "audit --host h1", "audit --at-time nonsense", "get", "dance"};
+        String[] commands = {
+            "status",
+            "members",
+            "put key value",
+            "put key other --if-revision 0",
+            "get key",
+            "get nothing",
+            "list",
+            "list k",
+            "delete key --if-revision 0",
+            "delete key",
+            "watch --from 1",
+            "found",
+            "add nowhere",
+            "remove i9",
+            "transfer i9",
+            "nodes",
+            "duties",
+            "duty-transfer rollout i1",
+            "revise out/h1=why sockets=500",
+            "revise out/h1=why",
+            "revise nonsense",
+            "revise --remove out/h1 --now",
+            "revise --back-to 1",
+            "revise --back-to 77",
+            "revisions",
+            "floor 9",
+            "floor 1",
+            "shut-out n1 some reason",
+            "shut-out n9 x",
+            "let-in n1",
+            "forget n1",
+            "forget n1",
+            "release start r1 host:h1 node:n1 --size 2",
+            "release start r1 host:h1",
+            "release show",
+            "release pause",
+            "release go",
+            "release abort",
+            "release dance",
+            "audit",
+            "audit --verify",
+            "audit --revision 1",
+            "audit --between 0,1",
+            "audit --host h1",
+            "audit --at-time nonsense",
+            "get",
+            "dance"
+        };
         for (String each : commands) {
             samples.text("fleet " + each + " (" + samples.size() + ")", command(each.split(" ")));
             if (!each.startsWith("audit") && !each.startsWith("watch")) {
                 List<String> words = new ArrayList<>(List.of(each.split(" ")));
                 words.add("--json");
-                samples.text("fleet " + each + " --json (" + samples.size() + ")", command(words.toArray(new String[0])));
+                samples.text(
+                        "fleet " + each + " --json (" + samples.size() + ")",
+                        command(words.toArray(new String[0])));
             }
         }
-        samples.text("check", "exit " + Main.run(new String[] {"check", "--installation", file.toString()}));
-        samples.text("check of no file", "exit " + Main.run(new String[] {"check", "--installation", "/nowhere"}));
+        samples.text(
+                "check",
+                "exit " + Main.run(new String[] {"check", "--installation", file.toString()}));
+        samples.text(
+                "check of no file",
+                "exit " + Main.run(new String[] {"check", "--installation", "/nowhere"}));
         samples.text("no command", "exit " + Main.run(new String[] {}));
         samples.assertMatch(getClass(), "commands.txt");
     }
 
     @Test
     public void settingsHaveTheKeysOfBefore() throws Exception {
-        try (InputStream schema = Installation.class.getResourceAsStream("installation.schema.json")) {
-            new GoldenSamples().text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8)).assertMatch(getClass(), "settings.txt");
+        try (InputStream schema =
+                Installation.class.getResourceAsStream("installation.schema.json")) {
+            new GoldenSamples()
+                    .text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8))
+                    .assertMatch(getClass(), "settings.txt");
         }
     }
 
     @Test(dependsOnMethods = "commandsPrintAsBefore")
     public void directoryHasTheSameFiles() throws Exception {
         try (var files = Files.list(folder.resolve("data"))) {
-            assertEquals(new TreeSet<>(files.map(path -> path.getFileName().toString()).toList()),
+            assertEquals(
+                    new TreeSet<>(files.map(path -> path.getFileName().toString()).toList()),
                     new TreeSet<>(List.of("identity", "lock", "log-0000000000000001")));
         }
     }
--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -1,19 +1,18 @@
 package embershift.adapter;
 
-import embershift.policy.Filling;
-import embershift.policy.Policy;
-import embershift.model.GroupId;
 import embershift.model.Deployment;
+import embershift.model.GroupId;
 import embershift.model.HostId;
 import embershift.model.Listing;
 import embershift.model.News;
+import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
 import embershift.model.SetupEnd;
 import embershift.model.SubjectId;
-import embershift.model.ParticipantId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-
+import embershift.policy.Filling;
+import embershift.policy.Policy;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -30,8 +29,8 @@
 import java.util.function.Consumer;
 
 /**
- * Speaks the bench's wire: each line in becomes a call on its instance's module, each decision a line
- * out.
+ * Speaks the bench's wire: each line in becomes a call on its instance's module, each decision a
+ * line out.
  */
 public final class Adapter {
 
@@ -43,9 +42,12 @@
     private final OutputStream out;
     private final PrintStream trouble;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Listing>> lists = new ArrayList<>(java.util.Collections.nCopies(LISTS, null));
+    private final List<List<Listing>> lists =
+            new ArrayList<>(java.util.Collections.nCopies(LISTS, null));
+
     /** The instances with news in the present batch, in the order of their first. */
     private final Map<Integer, Instance> stirred = new LinkedHashMap<>();
+
     private long lineNumber;
 
     public Adapter(InputStream in, OutputStream out, PrintStream trouble) {
@@ -80,11 +82,14 @@
         Replies replies = new Replies(number, reply);
         List<Consumer<News>> arrivals = instance.arrivals;
         try {
-            instance.module.round(now, news -> {
-                for (Consumer<News> arrival : arrivals) {
-                    arrival.accept(news);
-                }
-            }, replies);
+            instance.module.round(
+                    now,
+                    news -> {
+                        for (Consumer<News> arrival : arrivals) {
+                            arrival.accept(news);
+                        }
+                    },
+                    replies);
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
             e.printStackTrace(trouble);
             replies.broken(e);
@@ -124,26 +129,34 @@
         int table = line.whole("table");
         int count = line.whole("hosts");
         if (table < 0 || table >= LISTS || count < 0) {
-            throw line.unreadable("table", "a list number from 0 to " + (LISTS - 1) + " and a count");
+            throw line.unreadable(
+                    "table", "a list number from 0 to " + (LISTS - 1) + " and a count");
         }
         List<Listing> listings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Fields item = next();
             if (item == null || !item.text("message").equals("ITEM")) {
-                throw (item == null ? line : item).unreadable("hosts", "as many ITEM lines as were told");
+                throw (item == null ? line : item)
+                        .unreadable("hosts", "as many ITEM lines as were told");
             }
-            Listing.State state = switch (item.text("health")) {
-                case "Ready" -> Listing.State.READY;
-                case "Terminating" -> Listing.State.DRAINING;
-                case "Gone" -> Listing.State.GONE;
-                default -> throw item.unreadable("health", "Ready, Terminating or Gone");
-            };
+            Listing.State state =
+                    switch (item.text("health")) {
+                        case "Ready" -> Listing.State.READY;
+                        case "Terminating" -> Listing.State.DRAINING;
+                        case "Gone" -> Listing.State.GONE;
+                        default -> throw item.unreadable("health", "Ready, Terminating or Gone");
+                    };
             HostId host = new HostId(item.text("host"));
             item.optional("class-of-host");
             String zone = item.optional("az");
-            listings.add(new Listing(host, state, zone == null ? null : new ZoneId(zone),
-                    item.numberOr("units", 1), (int) item.numberOr("unit-group", 0),
-                    item.numberOr("launched-s", 0)));
+            listings.add(
+                    new Listing(
+                            host,
+                            state,
+                            zone == null ? null : new ZoneId(zone),
+                            item.numberOr("units", 1),
+                            (int) item.numberOr("unit-group", 0),
+                            item.numberOr("launched-s", 0)));
         }
         lists.set(table, List.copyOf(listings));
     }
@@ -154,7 +167,11 @@
             long seed = line.wide("rng-seed");
             FirstMessage first = new FirstMessage(line);
             Deployment deployment = first.deployment(seed);
-            instances.put(who, new Instance(new Policy(deployment, new Filling(deployment)), first.reportColumns()));
+            instances.put(
+                    who,
+                    new Instance(
+                            new Policy(deployment, new Filling(deployment)),
+                            first.reportColumns()));
             stirred.remove(who);
             stirred.put(who, instances.get(who));
             return;
@@ -182,45 +199,50 @@
             case "ACCEPT":
             case "RESUMED":
                 return tunnel(word, line);
-            case "ACK_FIRST": {
-                TunnelId id = new TunnelId(line.text("handle"));
-                int setup = line.whole("trial");
-                HostId host = new HostId(line.text("host"));
-                double took = line.numberOr("cost-time-s", 0);
-                return news -> news.tunnelOpened(id, setup, host, took);
-            }
-            case "HINT_UPDATE": {
-                TunnelId id = new TunnelId(line.text("handle"));
-                line.whole("trial");
-                double value = line.number("value");
-                HostId host = new HostId(line.text("host"));
-                return switch (line.whole("sort")) {
-                    case 1 -> news -> news.tunnelLoadNoted(id, value * MICRO);
-                    case 2 -> news -> news.messageDelayNoted(host, value * MILLI);
-                    default -> null;
-                };
-            }
+            case "ACK_FIRST":
+                {
+                    TunnelId id = new TunnelId(line.text("handle"));
+                    int setup = line.whole("trial");
+                    HostId host = new HostId(line.text("host"));
+                    double took = line.numberOr("cost-time-s", 0);
+                    return news -> news.tunnelOpened(id, setup, host, took);
+                }
+            case "HINT_UPDATE":
+                {
+                    TunnelId id = new TunnelId(line.text("handle"));
+                    line.whole("trial");
+                    double value = line.number("value");
+                    HostId host = new HostId(line.text("host"));
+                    return switch (line.whole("sort")) {
+                        case 1 -> news -> news.tunnelLoadNoted(id, value * MICRO);
+                        case 2 -> news -> news.messageDelayNoted(host, value * MILLI);
+                        default -> null;
+                    };
+                }
             case "REPORT_BACK":
                 return setupEnd(line, instance);
-            case "GONE": {
-                TunnelId id = new TunnelId(line.text("handle"));
-                return news -> news.tunnelLeft(id);
-            }
-            case "PROBE_RESULT": {
-                HostId host = new HostId(line.text("host"));
-                boolean answered = line.whole("verdict") == 0;
-                double took = line.numberOr("cost-time-s", 0);
-                Consumer<News> report = report(host, line, instance);
-                return news -> {
-                    news.probeEnded(host, answered, took);
-                    report.accept(news);
-                };
-            }
-            case "PEER_DATA": {
-                int node = line.whole("src");
-                byte[] content = line.bytes("content");
-                return news -> news.nodeHeard(node, content);
-            }
+            case "GONE":
+                {
+                    TunnelId id = new TunnelId(line.text("handle"));
+                    return news -> news.tunnelLeft(id);
+                }
+            case "PROBE_RESULT":
+                {
+                    HostId host = new HostId(line.text("host"));
+                    boolean answered = line.whole("verdict") == 0;
+                    double took = line.numberOr("cost-time-s", 0);
+                    Consumer<News> report = report(host, line, instance);
+                    return news -> {
+                        news.probeEnded(host, answered, took);
+                        report.accept(news);
+                    };
+                }
+            case "PEER_DATA":
+                {
+                    int node = line.whole("src");
+                    byte[] content = line.bytes("content");
+                    return news -> news.nodeHeard(node, content);
+                }
             case "WAKEUP":
                 line.wide("ctx");
                 return null;
@@ -273,17 +295,18 @@
         TunnelId id = new TunnelId(line.text("handle"));
         int setup = line.whole("trial");
         HostId host = new HostId(line.text("host"));
-        SetupEnd end = switch (line.whole("verdict")) {
-            case 0 -> SetupEnd.COMPLETED;
-            case 13 -> SetupEnd.ERROR;
-            case 8 -> SetupEnd.FULL;
-            case 4 -> SetupEnd.TIMED_OUT;
-            case 14 -> SetupEnd.NO_CONNECTION;
-            case 10 -> SetupEnd.BROKEN;
-            case 1 -> SetupEnd.CANCELLED;
-            case 9 -> SetupEnd.NOT_SENT;
-            default -> throw line.unreadable("verdict", "one of 0, 1, 4, 8, 9, 10, 13, 14");
-        };
+        SetupEnd end =
+                switch (line.whole("verdict")) {
+                    case 0 -> SetupEnd.COMPLETED;
+                    case 13 -> SetupEnd.ERROR;
+                    case 8 -> SetupEnd.FULL;
+                    case 4 -> SetupEnd.TIMED_OUT;
+                    case 14 -> SetupEnd.NO_CONNECTION;
+                    case 10 -> SetupEnd.BROKEN;
+                    case 1 -> SetupEnd.CANCELLED;
+                    case 9 -> SetupEnd.NOT_SENT;
+                    default -> throw line.unreadable("verdict", "one of 0, 1, 4, 8, 9, 10, 13, 14");
+                };
         double took = line.numberOr("cost-time-s", 0);
         boolean over = line.flag("no-more");
         Consumer<News> report = report(host, line, instance);
@@ -296,7 +319,7 @@
     private Consumer<News> report(HostId host, Fields line, Instance instance) {
         double[] row = line.ended() ? new double[0] : line.row("metrics");
         if (row.length == 0 || instance == null) {
-            return news -> { };
+            return news -> {};
         }
         double over = instance.value(row, "x0");
         double open = instance.value(row, "rif");
--- a/node/src/main/java/embershift/adapter/Fields.java
+++ b/node/src/main/java/embershift/adapter/Fields.java
@@ -2,7 +2,9 @@
 
 import java.util.Base64;
 
-/** Reads the fields of one line of the wire in their order, and says plainly what is wrong with one. */
+/**
+ * Reads the fields of one line of the wire in their order, and says plainly what is wrong with one.
+ */
 final class Fields {
 
     private final long number;
@@ -112,7 +114,10 @@
         String[] parts = part.split(",", -1);
         double[] row = new double[parts.length];
         for (int i = 0; i < row.length; i++) {
-            row[i] = parts[i].equals("-") || parts[i].isEmpty() ? Double.NaN : number(field, parts[i]);
+            row[i] =
+                    parts[i].equals("-") || parts[i].isEmpty()
+                            ? Double.NaN
+                            : number(field, parts[i]);
         }
         return row;
     }
--- a/node/src/main/java/embershift/adapter/FirstMessage.java
+++ b/node/src/main/java/embershift/adapter/FirstMessage.java
@@ -3,7 +3,6 @@
 import embershift.model.Deployment;
 import embershift.protocol.DeploymentReader;
 import embershift.protocol.Unreadable;
-
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/node/src/main/java/embershift/adapter/Replies.java
+++ b/node/src/main/java/embershift/adapter/Replies.java
@@ -1,10 +1,9 @@
 package embershift.adapter;
 
-import embershift.model.DeclineReason;
 import embershift.model.Decisions;
+import embershift.model.DeclineReason;
 import embershift.model.HostId;
 import embershift.model.TunnelId;
-
 import java.util.Base64;
 
 /** Writes one instance's decisions as lines of the batch's reply. */
@@ -24,7 +23,12 @@
 
     @Override
     public void setUp(TunnelId id, HostId host, double timeOut) {
-        action("HAND_OFF").append(' ').append(id.name()).append(' ').append(host.name()).append(' ');
+        action("HAND_OFF")
+                .append(' ')
+                .append(id.name())
+                .append(' ')
+                .append(host.name())
+                .append(' ');
         seconds(timeOut);
     }
 
@@ -92,7 +96,10 @@
     }
 
     void broken(Throwable error) {
-        action("EXCEPTION").append(' ').append(String.valueOf(error).replaceAll("\\s+", " ")).append('\n');
+        action("EXCEPTION")
+                .append(' ')
+                .append(String.valueOf(error).replaceAll("\\s+", " "))
+                .append('\n');
     }
 
     private static String base64(byte[] content) {
--- a/node/src/main/java/embershift/operations/Bans.java
+++ b/node/src/main/java/embershift/operations/Bans.java
@@ -3,7 +3,6 @@
 import embershift.model.HostId;
 import embershift.routing.Router;
 import embershift.transport.Loop;
-
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -14,8 +13,9 @@
 import java.util.function.Consumer;
 
 /**
- * The hosts out by hand: what was called here, and what the other process at this address was told meanwhile. On the
- * loop; what waits for a disk is done aside, in the order in which it was asked for.
+ * The hosts out by hand: what was called here, and what the other process at this address was told
+ * meanwhile. On the loop; what waits for a disk is done aside, in the order in which it was asked
+ * for.
  */
 public final class Bans {
 
@@ -23,8 +23,9 @@
     public interface Keeping {
 
         /**
-         * Keeps one change. {@code known}: the bans that hold here, for where what was kept can't be read any more.
-         * {@code inTime}: whether the caller may still wait; once not, no change goes over one that another kept since.
+         * Keeps one change. {@code known}: the bans that hold here, for where what was kept can't
+         * be read any more. {@code inTime}: whether the caller may still wait; once not, no change
+         * goes over one that another kept since.
          */
         Kept change(HostId host, boolean out, Collection<HostId> known, BooleanSupplier inTime);
 
@@ -32,21 +33,32 @@
         Collection<HostId> read();
     }
 
-    /** What became of a change; {@code bans}: all that hold now, or null where that can't be told. */
-    public record Kept(End end, Collection<HostId> bans) {
+    /**
+     * What became of a change; {@code bans}: all that hold now, or null where that can't be told.
+     */
+    public record Kept(End end, Collection<HostId> bans) {}
+
+    /**
+     * Kept; holds in this process only; or came so late that it may not go over what others were
+     * told meanwhile.
+     */
+    public enum End {
+        KEPT,
+        HERE_ONLY,
+        TOO_LATE
     }
 
-    /** Kept; holds in this process only; or came so late that it may not go over what others were told meanwhile. */
-    public enum End { KEPT, HERE_ONLY, TOO_LATE }
-
     private final Loop loop;
     private final Router router;
     private final Keeping keeping;
     private final Set<HostId> out = new LinkedHashSet<>();
+
     /** Bans that hold here only, as they could not be kept. */
     private final Set<HostId> notKept = new LinkedHashSet<>();
+
     /** Hosts that others than this node's operators have out, by who that is. */
     private final Map<String, Set<HostId>> others = new HashMap<>();
+
     /** Changes asked for here: what was read before the latest of them is out of date. */
     private long changes;
 
@@ -61,27 +73,34 @@
     void change(HostId host, boolean banned, Consumer<End> done) {
         long change = ++changes;
         double owed = loop.now() + Stillness.OWED;
-        set(host, banned, () -> {
-            if (keeping == null) {
-                done.accept(End.HERE_ONLY);
-                return;
-            }
-            List<HostId> known = List.copyOf(out);
-            loop.aside(() -> {
-                Kept kept = keeping.change(host, banned, known, () -> loop.now() < owed);
-                loop.execute(() -> {
-                    if (kept.end == End.HERE_ONLY && banned) {
-                        notKept.add(host);
-                    } else {
-                        notKept.remove(host);
+        set(
+                host,
+                banned,
+                () -> {
+                    if (keeping == null) {
+                        done.accept(End.HERE_ONLY);
+                        return;
                     }
-                    if (change == changes) {
-                        follow(kept.bans);
-                    }
-                    done.accept(kept.end);
+                    List<HostId> known = List.copyOf(out);
+                    loop.aside(
+                            () -> {
+                                Kept kept =
+                                        keeping.change(
+                                                host, banned, known, () -> loop.now() < owed);
+                                loop.execute(
+                                        () -> {
+                                            if (kept.end == End.HERE_ONLY && banned) {
+                                                notKept.add(host);
+                                            } else {
+                                                notKept.remove(host);
+                                            }
+                                            if (change == changes) {
+                                                follow(kept.bans);
+                                            }
+                                            done.accept(kept.end);
+                                        });
+                            });
                 });
-            });
-        });
     }
 
     private void set(HostId host, boolean banned, Runnable done) {
@@ -98,7 +117,9 @@
         return out.contains(host) || others.values().stream().anyMatch(some -> some.contains(host));
     }
 
-    /** From now on these are the hosts that {@code whose} has out; what others say of a host stays. */
+    /**
+     * From now on these are the hosts that {@code whose} has out; what others say of a host stays.
+     */
     public void by(String whose, Collection<HostId> hosts) {
         Set<HostId> touched = new LinkedHashSet<>(hosts);
         touched.addAll(others.getOrDefault(whose, Set.of()));
@@ -107,7 +128,7 @@
         others.put(whose, new LinkedHashSet<>(hosts));
         for (HostId host : touched) {
             if (holds(host) != before.get(host)) {
-                router.byHand(host, holds(host), () -> { });
+                router.byHand(host, holds(host), () -> {});
             }
         }
     }
@@ -120,14 +141,16 @@
     /** Goes by what is kept now, as the other process may have been told something. */
     public void readAgain() {
         long before = changes;
-        loop.aside(() -> {
-            Collection<HostId> kept = keeping.read();
-            loop.execute(() -> {
-                if (before == changes) {
-                    follow(kept);
-                }
-            });
-        });
+        loop.aside(
+                () -> {
+                    Collection<HostId> kept = keeping.read();
+                    loop.execute(
+                            () -> {
+                                if (before == changes) {
+                                    follow(kept);
+                                }
+                            });
+                });
     }
 
     /** Goes by these bans; null where they are not known. */
@@ -139,12 +162,12 @@
         all.addAll(notKept);
         for (HostId host : all) {
             if (!out.contains(host)) {
-                set(host, true, () -> { });
+                set(host, true, () -> {});
             }
         }
         for (HostId host : List.copyOf(out)) {
             if (!all.contains(host)) {
-                set(host, false, () -> { });
+                set(host, false, () -> {});
             }
         }
     }
--- a/node/src/main/java/embershift/operations/Callers.java
+++ b/node/src/main/java/embershift/operations/Callers.java
@@ -6,7 +6,6 @@
 import embershift.routing.Tally;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -15,23 +14,34 @@
 import java.util.Set;
 
 /**
- * Listens for operators: one call to a connection. Who holds a connection without a whole call keeps nobody out: their
- * number and time are bounded, and the oldest of them gives way to the next that comes.
+ * Listens for operators: one call to a connection. Who holds a connection without a whole call
+ * keeps nobody out: their number and time are bounded, and the oldest of them gives way to the next
+ * that comes.
  */
 public final class Callers {
 
-    /** Callers without a whole call at one time; the other descriptors are for answers on their way out. */
+    /**
+     * Callers without a whole call at one time; the other descriptors are for answers on their way
+     * out.
+     */
     private static final int MOST = Router.OPERATORS * 3 / 4;
-    /** Of the descriptors for operators, those for callers that the loop has accepted and not handed over. */
+
+    /**
+     * Of the descriptors for operators, those for callers that the loop has accepted and not handed
+     * over.
+     */
     private static final int AHEAD = 8;
+
     /** Seconds from the accept within which the whole call must have come. */
     private static final double PATIENCE = 5;
 
     private final Loop loop;
     private final Desk desk;
     private final Tally tally;
+
     /** Those without a whole call, oldest first. */
     private final Set<Caller> waiting = new LinkedHashSet<>();
+
     private final Stillness stillness;
     private Loop.Listening listening;
 
@@ -44,20 +54,26 @@
 
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         beat();
-        listening = loop.listen(address, new Loop.Admission() {
-            @Override
-            public boolean mayAccept() {
-                return makeRoom();
-            }
-
-            @Override
-            public int free() {
-                return listening == null ? 0 : Router.OPERATORS - AHEAD - listening.open();
-            }
-        }, link -> {
-            tally.count("operators' connections");
-            new Caller(link);
-        });
+        listening =
+                loop.listen(
+                        address,
+                        new Loop.Admission() {
+                            @Override
+                            public boolean mayAccept() {
+                                return makeRoom();
+                            }
+
+                            @Override
+                            public int free() {
+                                return listening == null
+                                        ? 0
+                                        : Router.OPERATORS - AHEAD - listening.open();
+                            }
+                        },
+                        link -> {
+                            tally.count("operators' connections");
+                            new Caller(link);
+                        });
         return listening.address();
     }
 
@@ -67,8 +83,9 @@
     }
 
     /**
-     * Whether one more may come in, once others have made room. Only their own descriptors count, which no client takes:
-     * where tunnels hold more than there is, as after a lower limit, operators have to be heard all the more.
+     * Whether one more may come in, once others have made room. Only their own descriptors count,
+     * which no client takes: where tunnels hold more than there is, as after a lower limit,
+     * operators have to be heard all the more.
      */
     private boolean makeRoom() {
         while (waiting.size() >= MOST) {
@@ -103,7 +120,8 @@
         Caller(Link link) {
             this.link = link;
             waiting.add(this);
-            patience = loop.after(PATIENCE, () -> last(HttpAnswer.error(408, "no whole call came")));
+            patience =
+                    loop.after(PATIENCE, () -> last(HttpAnswer.error(408, "no whole call came")));
             link.events(this);
         }
 
@@ -140,7 +158,10 @@
             }
         }
 
-        /** A caller may end its sending once its call is out; one without a whole call hears nothing more. */
+        /**
+         * A caller may end its sending once its call is out; one without a whole call hears nothing
+         * more.
+         */
         @Override
         public void ended() {
             if (waiting.contains(this)) {
--- a/node/src/main/java/embershift/operations/Desk.java
+++ b/node/src/main/java/embershift/operations/Desk.java
@@ -9,13 +9,14 @@
 import embershift.routing.Router;
 import embershift.routing.Tally;
 import embershift.routing.Tally.Outcome;
-
 import java.util.List;
 import java.util.Locale;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** What operators may call, and what each call is answered; no sockets. One thread, the router's. */
+/**
+ * What operators may call, and what each call is answered; no sockets. One thread, the router's.
+ */
 public final class Desk {
 
     private static final String ROOT = "api";
@@ -32,8 +33,9 @@
     }
 
     /**
-     * Answers a call, now or, where it takes effect with the next round, after that. {@code waited}: it may have lain
-     * here so long that its caller has given up, and has since had the contrary done at another process.
+     * Answers a call, now or, where it takes effect with the next round, after that. {@code
+     * waited}: it may have lain here so long that its caller has given up, and has since had the
+     * contrary done at another process.
      */
     public void take(HttpRequest call, boolean waited, Consumer<HttpAnswer> answer) {
         List<String> path = call.path();
@@ -46,7 +48,9 @@
         } else if (!call.method().equals(method)) {
             answer.accept(HttpAnswer.onlyBy(method));
         } else if (byHand && waited) {
-            answer.accept(HttpAnswer.error(503, "this process stood still, nothing was changed: call again"));
+            answer.accept(
+                    HttpAnswer.error(
+                            503, "this process stood still, nothing was changed: call again"));
         } else if (byHand) {
             byHand(new HostId(path.get(2)), name.equals("exclude"), answer);
         } else {
@@ -55,7 +59,8 @@
     }
 
     private HttpAnswer ready() {
-        return ready.getAsBoolean() ? HttpAnswer.of(200, "{\"ready\":true}")
+        return ready.getAsBoolean()
+                ? HttpAnswer.of(200, "{\"ready\":true}")
                 : HttpAnswer.error(503, "this node takes no clients now");
     }
 
@@ -64,10 +69,24 @@
             answer.accept(HttpAnswer.error(404, "no host " + host.name() + " is known here"));
             return;
         }
-        bans.change(host, out, end -> answer.accept(end == Bans.End.TOO_LATE
-                ? HttpAnswer.error(503, "this process stood still in the middle of it: look which hosts are out, call again")
-                : HttpAnswer.of(200, "{\"host\":" + Json.quoted(host.name()) + ",\"out\":" + bans.holds(host) + ",\"kept\":"
-                + (end == Bans.End.KEPT) + "}")));
+        bans.change(
+                host,
+                out,
+                end ->
+                        answer.accept(
+                                end == Bans.End.TOO_LATE
+                                        ? HttpAnswer.error(
+                                                503,
+                                                "this process stood still in the middle of it: look which hosts are out, call again")
+                                        : HttpAnswer.of(
+                                                200,
+                                                "{\"host\":"
+                                                        + Json.quoted(host.name())
+                                                        + ",\"out\":"
+                                                        + bans.holds(host)
+                                                        + ",\"kept\":"
+                                                        + (end == Bans.End.KEPT)
+                                                        + "}")));
     }
 
     private HttpAnswer telemetry() {
@@ -75,19 +94,32 @@
         StringBuilder out = new StringBuilder("{\"operations\":{");
         String comma = "";
         for (ProfileId profile : tally.profiles()) {
-            out.append(comma).append(Json.quoted(profile.name()))
-                    .append(":{\"fulfilled\":").append(tally.of(profile, Outcome.OPENED))
-                    .append(",\"throttled\":").append(tally.of(profile, Outcome.DECLINED))
-                    .append(",\"faulted\":").append(tally.of(profile, Outcome.CLOSED_WITH_ERROR)).append('}');
+            out.append(comma)
+                    .append(Json.quoted(profile.name()))
+                    .append(":{\"fulfilled\":")
+                    .append(tally.of(profile, Outcome.OPENED))
+                    .append(",\"throttled\":")
+                    .append(tally.of(profile, Outcome.DECLINED))
+                    .append(",\"faulted\":")
+                    .append(tally.of(profile, Outcome.CLOSED_WITH_ERROR))
+                    .append('}');
             comma = ",";
         }
-        out.append("},\"relayed\":").append(tally.of(Tally.RELAYED))
-                .append(",\"open_requests\":").append(router.openTunnels())
-                .append(",\"registry_entries\":").append(router.listedHosts())
-                .append(",\"out_of_rotation\":").append(router.avoidedHosts())
-                .append(",\"declined\":{\"want_of_descriptors\":").append(tally.of(Tally.NO_DESCRIPTORS));
+        out.append("},\"relayed\":")
+                .append(tally.of(Tally.RELAYED))
+                .append(",\"open_requests\":")
+                .append(router.openTunnels())
+                .append(",\"registry_entries\":")
+                .append(router.listedHosts())
+                .append(",\"out_of_rotation\":")
+                .append(router.avoidedHosts())
+                .append(",\"declined\":{\"want_of_descriptors\":")
+                .append(tally.of(Tally.NO_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
-            out.append(',').append(Json.quoted(reason.name().toLowerCase(Locale.ROOT))).append(':').append(tally.of(reason));
+            out.append(',')
+                    .append(Json.quoted(reason.name().toLowerCase(Locale.ROOT)))
+                    .append(':')
+                    .append(tally.of(reason));
         }
         out.append("}}");
         return HttpAnswer.of(200, out.toString());
--- a/node/src/main/java/embershift/program/Companion.java
+++ b/node/src/main/java/embershift/program/Companion.java
@@ -6,8 +6,8 @@
 import embershift.transport.Loop;
 
 /**
- * What else lives on a node's loop, where its operator's file asks for it: takes orders from elsewhere and tells what the node does. The
- * platform's run has none. All calls come on the loop.
+ * What else lives on a node's loop, where its operator's file asks for it: takes orders from
+ * elsewhere and tells what the node does. The platform's run has none. All calls come on the loop.
  */
 public interface Companion {
 
--- a/node/src/main/java/embershift/program/Main.java
+++ b/node/src/main/java/embershift/program/Main.java
@@ -9,7 +9,6 @@
 import embershift.protocol.Addresses;
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Unreadable;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -23,8 +22,7 @@
 
     private static final int USAGE = 2;
 
-    private Main() {
-    }
+    private Main() {}
 
     /** A sub-command; returns the program's exit status, or lets it run on with -1. */
     private interface Command {
@@ -44,19 +42,28 @@
         }
     }
 
-    @Parameters(commandDescription = "Read a configuration and say whether a node could start by it")
+    @Parameters(
+            commandDescription = "Read a configuration and say whether a node could start by it")
     private static final class Check extends Configured implements Command {
         @Override
         public int run() throws IOException, Unreadable {
             NodeConfiguration configuration = read();
-            System.out.println("sound: " + configuration.name() + " would listen on "
-                    + Addresses.written(configuration.listen()) + (configuration.operated()
-                    ? ", for operators on " + Addresses.written(configuration.management()) : ""));
+            System.out.println(
+                    "sound: "
+                            + configuration.name()
+                            + " would listen on "
+                            + Addresses.written(configuration.listen())
+                            + (configuration.operated()
+                                    ? ", for operators on "
+                                            + Addresses.written(configuration.management())
+                                    : ""));
             return 0;
         }
     }
 
-    @Parameters(commandDescription = "Play a node with a host and a client, all in this process, and say how it went")
+    @Parameters(
+            commandDescription =
+                    "Play a node with a host and a client, all in this process, and say how it went")
     private static final class Rehearse implements Command {
         @Override
         public int run() throws IOException, Unreadable {
@@ -96,20 +103,27 @@
 
     /** Of the program, and of each command. */
     private static final class Help {
-        @Parameter(names = {"--help", "-h"}, description = "Say what there is", help = true)
+        @Parameter(
+                names = {"--help", "-h"},
+                description = "Say what there is",
+                help = true)
         private boolean wanted;
     }
 
     private abstract static class Configured {
-        @Parameter(names = "--configuration", description = "File to read; else the one that LB_CONFIG names")
+        @Parameter(
+                names = "--configuration",
+                description = "File to read; else the one that LB_CONFIG names")
         private String file = System.getenv("LB_CONFIG");
 
         NodeConfiguration read() throws Unreadable {
             if (file == null || file.isEmpty()) {
-                throw new Unreadable("no configuration: set LB_CONFIG or give --configuration FILE");
+                throw new Unreadable(
+                        "no configuration: set LB_CONFIG or give --configuration FILE");
             }
             try {
-                return NodeConfiguration.read(Files.readString(Path.of(file), StandardCharsets.UTF_8),
+                return NodeConfiguration.read(
+                        Files.readString(Path.of(file), StandardCharsets.UTF_8),
                         System.getenv("LB_MANAGEMENT"));
             } catch (IOException | InvalidPathException e) {
                 throw new Unreadable("configuration " + file + " can't be read: " + e.getMessage());
@@ -129,21 +143,36 @@
 
     /** The exit status; negative: the program goes on by itself. */
     public static int run(String[] args) throws IOException {
-        Map<String, Command> commands = Map.of("serve", new Serve(), "adapter", new Bench(),
-                "version", new Version(), "check", new Check(),
-                "rehearse", new Rehearse());
+        Map<String, Command> commands =
+                Map.of(
+                        "serve",
+                        new Serve(),
+                        "adapter",
+                        new Bench(),
+                        "version",
+                        new Version(),
+                        "check",
+                        new Check(),
+                        "rehearse",
+                        new Rehearse());
         Help help = new Help();
         JCommander line = new JCommander(help);
         line.setProgramName("java -jar embershift.jar");
-        commands.keySet().stream().sorted().forEach(name -> line.addCommand(name, List.of(commands.get(name), help)));
+        commands.keySet().stream()
+                .sorted()
+                .forEach(name -> line.addCommand(name, List.of(commands.get(name), help)));
         try {
             line.parse(args);
             if (help.wanted) {
-                (line.getParsedCommand() == null ? line : line.getCommands().get(line.getParsedCommand())).usage();
+                (line.getParsedCommand() == null
+                                ? line
+                                : line.getCommands().get(line.getParsedCommand()))
+                        .usage();
                 return 0;
             }
             if (line.getParsedCommand() == null) {
-                throw new ParameterException("a sub-command is wanted: adapter, check, rehearse, serve or version");
+                throw new ParameterException(
+                        "a sub-command is wanted: adapter, check, rehearse, serve or version");
             }
             return commands.get(line.getParsedCommand()).run();
         } catch (ParameterException | Unreadable e) {
--- a/node/src/main/java/embershift/program/Neighbours.java
+++ b/node/src/main/java/embershift/program/Neighbours.java
@@ -4,7 +4,6 @@
 import embershift.operations.Bans;
 import embershift.protocol.BanList;
 import embershift.protocol.Unreadable;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -28,44 +27,68 @@
 import java.util.zip.CRC32;
 
 /**
- * The processes that serve at one address, as they see each other in a folder that they have in common: each holds a byte
- * of a lock file from its yes until it leaves, which the system frees when it dies, however that was, and has written how
- * many descriptors it holds. Beside it lie the hosts out by hand, a list a change. Nobody waits for another here, as that
- * one may be stopped. What can't be read or written is told once each, and the
- * node serves on without. All calls may wait for a disk.
+ * The processes that serve at one address, as they see each other in a folder that they have in
+ * common: each holds a byte of a lock file from its yes until it leaves, which the system frees
+ * when it dies, however that was, and has written how many descriptors it holds. Beside it lie the
+ * hosts out by hand, a list a change. Nobody waits for another here, as that one may be stopped.
+ * What can't be read or written is told once each, and the node serves on without. All calls may
+ * wait for a disk.
  */
 final class Neighbours implements Bans.Keeping {
 
     /** Processes that can tell each other apart at one address. */
     private static final int MOST = 8;
+
     /** Where in the lock file the descriptors stand. */
     private static final int WORDS = 16;
+
     /** Where it stands whose each slot is. */
     private static final int OWNERS = WORDS + MOST * Word.BYTES;
-    /** Lists of bans that lie there at a time; times that a change, or a reading, is tried while others write. */
+
+    /**
+     * Lists of bans that lie there at a time; times that a change, or a reading, is tried while
+     * others write.
+     */
     private static final int LISTS = 16;
+
     private static final int MOST_TRIES = 64;
 
     private final Path folder;
+
     /** How the lists' names begin; their numbers follow. */
     private final String lists;
+
     private final FileChannel channel;
-    /** What tells the deployment that this process belongs to; what another one's left here concerns nobody else. */
+
+    /**
+     * What tells the deployment that this process belongs to; what another one's left here concerns
+     * nobody else.
+     */
     private final int deployment;
+
     private final Consumer<String> log;
     private final Set<String> told = new LinkedHashSet<>();
     private FileLock own;
-    /** The number of the last list seen, or 0: that it is gone since then does not say that none hold. */
+
+    /**
+     * The number of the last list seen, or 0: that it is gone since then does not say that none
+     * hold.
+     */
     private long last;
 
-    private Neighbours(Path folder, String address, String belongsTo, Consumer<String> log) throws IOException {
+    private Neighbours(Path folder, String address, String belongsTo, Consumer<String> log)
+            throws IOException {
         this.log = log;
         this.folder = folder;
         deployment = sum(belongsTo);
         lists = lists(address, belongsTo);
         // Kept open: closed, even a second channel to it would give all locks of this process up.
-        channel = FileChannel.open(folder.resolve(named(address) + ".lock"), StandardOpenOption.CREATE, StandardOpenOption.READ,
-                StandardOpenOption.WRITE);
+        channel =
+                FileChannel.open(
+                        folder.resolve(named(address) + ".lock"),
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.READ,
+                        StandardOpenOption.WRITE);
     }
 
     private static String named(String address) {
@@ -84,8 +107,8 @@
     }
 
     /**
-     * Null where there is no folder in common, or none that can be used, which the log then says. {@code belongsTo}: as
-     * {@code NodeConfiguration.belongsTo} has it.
+     * Null where there is no folder in common, or none that can be used, which the log then says.
+     * {@code belongsTo}: as {@code NodeConfiguration.belongsTo} has it.
      */
     static Neighbours in(String folder, String address, String belongsTo, Consumer<String> log) {
         if (folder == null || folder.isEmpty()) {
@@ -105,7 +128,9 @@
             for (int slot = 0; own == null && slot < MOST; slot++) {
                 own = locked(slot, false);
                 if (own != null) {
-                    channel.write(ByteBuffer.allocate(Integer.BYTES).putInt(deployment).flip(), owner(slot));
+                    channel.write(
+                            ByteBuffer.allocate(Integer.BYTES).putInt(deployment).flip(),
+                            owner(slot));
                 }
             }
         } catch (IOException e) {
@@ -117,14 +142,20 @@
         return OWNERS + (long) slot * Integer.BYTES;
     }
 
-    /** Whether a process of this deployment holds that slot; one that does not tell is taken for one. */
+    /**
+     * Whether a process of this deployment holds that slot; one that does not tell is taken for
+     * one.
+     */
     private boolean ofOurs(int slot) throws IOException {
         ByteBuffer owner = ByteBuffer.allocate(Integer.BYTES);
         int told = channel.read(owner, owner(slot)) == Integer.BYTES ? owner.flip().getInt() : 0;
         return told == 0 || told == deployment;
     }
 
-    /** Whether a process of another deployment serves at this address: the system would deal its clients out to both. */
+    /**
+     * Whether a process of another deployment serves at this address: the system would deal its
+     * clients out to both.
+     */
     synchronized boolean othersHere() {
         boolean others = false;
         try {
@@ -149,8 +180,9 @@
     }
 
     /**
-     * The lock on a slot, or null while another process, or another node in this one, holds it. {@code shared}: only to
-     * look; one that is stopped while it looks must not be taken by the others for one that serves.
+     * The lock on a slot, or null while another process, or another node in this one, holds it.
+     * {@code shared}: only to look; one that is stopped while it looks must not be taken by the
+     * others for one that serves.
      */
     private FileLock locked(int slot, boolean shared) throws IOException {
         try {
@@ -173,7 +205,10 @@
         return lock == null;
     }
 
-    /** What a process tells the others: the descriptors that it holds or may yet take, and how many tunnels fill a host. */
+    /**
+     * What a process tells the others: the descriptors that it holds or may yet take, and how many
+     * tunnels fill a host.
+     */
     record Word(int descriptors, double filling) {
         static final int BYTES = Integer.BYTES + Double.BYTES;
     }
@@ -192,7 +227,10 @@
                 if (held(slot) && ofOurs(slot)) {
                     boolean whole = channel.read(word, at) == Word.BYTES;
                     word.flip();
-                    words.add(whole ? new Word(Math.max(0, word.getInt()), word.getDouble()) : new Word(0, 0));
+                    words.add(
+                            whole
+                                    ? new Word(Math.max(0, word.getInt()), word.getDouble())
+                                    : new Word(0, 0));
                 }
             }
         } catch (IOException e) {
@@ -214,11 +252,15 @@
         return latest == null ? null : latest.bans;
     }
 
-    /** The last list that was written, and its number; 0 and none where there has been no list yet. */
-    private record Latest(long number, Collection<HostId> bans) {
-    }
+    /**
+     * The last list that was written, and its number; 0 and none where there has been no list yet.
+     */
+    private record Latest(long number, Collection<HostId> bans) {}
 
-    /** Null where it can't be told; the number of the last list that was seen stands in {@code last} all the same. */
+    /**
+     * Null where it can't be told; the number of the last list that was seen stands in {@code last}
+     * all the same.
+     */
     private Latest latest() {
         try {
             for (int tries = 0; tries < MOST_TRIES; tries++) {
@@ -232,9 +274,11 @@
                     if (Files.size(list) > BanList.LONGEST) {
                         throw new Unreadable("over " + BanList.LONGEST + " bytes");
                     }
-                    return new Latest(last, BanList.read(Files.readString(list, StandardCharsets.UTF_8)));
+                    return new Latest(
+                            last, BanList.read(Files.readString(list, StandardCharsets.UTF_8)));
                 } catch (NoSuchFileException e) {
-                    // Others wrote so many meanwhile that this one was swept away; or all lists are gone.
+                    // Others wrote so many meanwhile that this one was swept away; or all lists are
+                    // gone.
                     if (before == last) {
                         throw new Unreadable("it is gone");
                     }
@@ -251,7 +295,10 @@
         return folder.resolve(lists + number);
     }
 
-    /** Finds the last list: one at a time from the last one known, or all of them where that one is not there. */
+    /**
+     * Finds the last list: one at a time from the last one known, or all of them where that one is
+     * not there.
+     */
     private void look() throws IOException {
         if (last == 0 || !Files.exists(list(last))) {
             try (DirectoryStream<Path> all = Files.newDirectoryStream(folder, lists + "*")) {
@@ -272,13 +319,15 @@
     }
 
     /**
-     * Each change is a list of its own under the next number, and only one process can give a file a name that none has:
-     * so nobody holds anything that the others wait for, and who was stopped in the middle of a change finds, when it goes
-     * on, that its number has gone. A call that changes nothing takes a number too: else one that was stopped before it
-     * could still go over it.
+     * Each change is a list of its own under the next number, and only one process can give a file
+     * a name that none has: so nobody holds anything that the others wait for, and who was stopped
+     * in the middle of a change finds, when it goes on, that its number has gone. A call that
+     * changes nothing takes a number too: else one that was stopped before it could still go over
+     * it.
      */
     @Override
-    public synchronized Bans.Kept change(HostId host, boolean out, Collection<HostId> known, BooleanSupplier inTime) {
+    public synchronized Bans.Kept change(
+            HostId host, boolean out, Collection<HostId> known, BooleanSupplier inTime) {
         try {
             for (int tries = 0; tries < MOST_TRIES; tries++) {
                 Latest before = latest();
@@ -294,7 +343,8 @@
                 long next = last + 1;
                 if (written(next, BanList.write(after))) {
                     if (!inTime.getAsBoolean()) {
-                        // Stopped so long that its number may have been given, swept away and given again.
+                        // Stopped so long that its number may have been given, swept away and given
+                        // again.
                         return new Bans.Kept(Bans.End.TOO_LATE, read());
                     }
                     last = next;
--- a/node/src/main/java/embershift/program/Rehearsal.java
+++ b/node/src/main/java/embershift/program/Rehearsal.java
@@ -2,7 +2,6 @@
 
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Unreadable;
-
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -13,8 +12,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A node, a host, a discovery and a client in one process: a tunnel is opened, used and moved. It shows that
- * a node can live on this machine, and a build records by it the classes that nodes need from their start.
+ * A node, a host, a discovery and a client in one process: a tunnel is opened, used and moved. It
+ * shows that a node can live on this machine, and a build records by it the classes that nodes need
+ * from their start.
  */
 final class Rehearsal {
 
@@ -29,18 +29,20 @@
     private final ServerSocket host = listening();
     private final ServerSocket discovery = listening();
 
-    Rehearsal() throws IOException {
-    }
+    Rehearsal() throws IOException {}
 
     private static ServerSocket listening() throws IOException {
         return new ServerSocket(0, TUNNELS, InetAddress.getLoopbackAddress());
     }
 
-    /** Plays it all; fails where a client does not hear what it should. The node is left to its end. */
+    /**
+     * Plays it all; fails where a client does not hear what it should. The node is left to its end.
+     */
     void play(Log log) throws IOException, Unreadable {
         serve(host, this::beHost);
         serve(discovery, this::beDiscovery);
-        InetSocketAddress node = new Service(() -> NodeConfiguration.read(configuration(), null), log).start();
+        InetSocketAddress node =
+                new Service(() -> NodeConfiguration.read(configuration(), null), log).start();
         for (int i = 0; i < TUNNELS; i++) {
             try (Socket client = new Socket(node.getAddress(), node.getPort())) {
                 client.setSoTimeout(PATIENCE_MS);
@@ -58,27 +60,32 @@
     private static void expect(BufferedReader in, String line) throws IOException {
         String heard = in.readLine();
         if (!line.equals(heard)) {
-            throw new IOException("the rehearsal heard '" + heard + "' where '" + line + "' was due");
+            throw new IOException(
+                    "the rehearsal heard '" + heard + "' where '" + line + "' was due");
         }
     }
 
     private static void serve(ServerSocket server, Part part) {
-        daemon(() -> {
-            try {
-                while (true) {
-                    Socket socket = server.accept();
-                    daemon(() -> {
-                        try (socket; BufferedReader in = reader(socket)) {
-                            part.with(socket, in);
-                        } catch (IOException e) {
-                            // The node has ended this connection, as it does with all at its end.
+        daemon(
+                () -> {
+                    try {
+                        while (true) {
+                            Socket socket = server.accept();
+                            daemon(
+                                    () -> {
+                                        try (socket;
+                                                BufferedReader in = reader(socket)) {
+                                            part.with(socket, in);
+                                        } catch (IOException e) {
+                                            // The node has ended this connection, as it does with
+                                            // all at its end.
+                                        }
+                                    });
                         }
-                    });
-                }
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
     }
 
     private static void daemon(Runnable task) {
@@ -88,14 +95,17 @@
     }
 
     private static BufferedReader reader(Socket socket) throws IOException {
-        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+        return new BufferedReader(
+                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
     }
 
     private static void say(Socket socket, String words) throws IOException {
         socket.getOutputStream().write(words.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Answers questions, opens tunnels and echoes their lines; the first tunnel is moved instead. */
+    /**
+     * Answers questions, opens tunnels and echoes their lines; the first tunnel is moved instead.
+     */
     private void beHost(Socket socket, BufferedReader in) throws IOException {
         boolean first = false;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -117,15 +127,20 @@
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.isEmpty()) {
                 String list = list();
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                        + list.length() + "\r\n\r\n" + list);
+                say(
+                        socket,
+                        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+                                + list.length()
+                                + "\r\n\r\n"
+                                + list);
             }
         }
     }
 
     private String list() {
         return "{\"generation\":1,\"reset\":true,\"instances\":[{\"instanceId\":\"s\",\"hostPort\":\"127.0.0.1:"
-                + host.getLocalPort() + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":0,"
+                + host.getLocalPort()
+                + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":0,"
                 + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0}]}";
     }
 
@@ -139,7 +154,7 @@
               "limits":{"may-probe":true,"may-tell":true,"may-cancel":true,"may-duplicate":false,"most-setups":3,
                         "retry-after":true,"max-retry-after-s":1.5,"connect-timeout-s":0.25},
               "rules":{"answer-slack-s":0.016,"must-ask-in-s":2,"drain-grace-s":1,"cold-from":0.3,
-                       "warm-after-s":10,"fall-multiple":4,"fall-s":1.5}}}""".formatted(
-                discovery.getLocalPort(), list());
+                       "warm-after-s":10,"fall-multiple":4,"fall-s":1.5}}}"""
+                .formatted(discovery.getLocalPort(), list());
     }
 }
--- a/node/src/main/java/embershift/program/Service.java
+++ b/node/src/main/java/embershift/program/Service.java
@@ -9,9 +9,6 @@
 import embershift.protocol.Unreadable;
 import embershift.routing.Router;
 import embershift.transport.Loop;
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -20,20 +17,36 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import sun.misc.Signal;
+import sun.misc.SignalHandler;
 
 /** A node from its start to its exit. */
 public final class Service {
 
     /** The phases, in their order; each is entered once, on the loop's thread. */
-    enum Phase { STARTING, SERVING, LEAVING, CLOSING, STOPPED }
+    enum Phase {
+        STARTING,
+        SERVING,
+        LEAVING,
+        CLOSING,
+        STOPPED
+    }
 
-    /** Seconds for which a node that leaves stays at least: its front goes on sending for a moment. */
+    /**
+     * Seconds for which a node that leaves stays at least: its front goes on sending for a moment.
+     */
     private static final double LEAST_STAY = 0.8;
-    /** Seconds beyond the longest client timeout, or beyond LONGEST_WAIT, after which it must be out. */
+
+    /**
+     * Seconds beyond the longest client timeout, or beyond LONGEST_WAIT, after which it must be
+     * out.
+     */
     private static final double MOST_STAY = 0.45;
+
     private static final double LONGEST_WAIT = 3.0;
     private static final double LOOK = 0.02;
     private static final double LOOK_AT_NEIGHBOURS = 0.1;
+
     /** Seconds for which last words may still go out. */
     private static final double LAST_WORDS = 0.1;
 
@@ -45,8 +58,10 @@
     private final Source source;
     private final Log log;
     private final NodeConfiguration configuration;
+
     /** Null on the platform. */
     private final Companion companion;
+
     private NodeConfiguration latest;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private Phase phase = Phase.STARTING;
@@ -55,6 +70,7 @@
     private double leavingSince;
     private double leastStay;
     private Bans bans;
+
     /** Null where operators have no address, or there is no folder for it. */
     private volatile Neighbours neighbours;
 
@@ -70,8 +86,12 @@
         latest = configuration;
     }
 
-    /** Starts a node with a companion; it then lives on its loop. Returns where it listens; fails where it can't. */
-    public static InetSocketAddress start(Source source, Companion companion) throws IOException, Unreadable {
+    /**
+     * Starts a node with a companion; it then lives on its loop. Returns where it listens; fails
+     * where it can't.
+     */
+    public static InetSocketAddress start(Source source, Companion companion)
+            throws IOException, Unreadable {
         return new Service(source, new Log(System.err), companion).start();
     }
 
@@ -82,11 +102,14 @@
         loop.execute(() -> serve(serving));
         // Before the node can be seen to be ready: unhandled, both signals would end the program.
         if (Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN) {
-            // As under nohup: what was ignored before the program began can't be had, and nobody would see why.
-            log.line("SIGHUP is ignored by whoever started this process: a new configuration needs a restart");
+            // As under nohup: what was ignored before the program began can't be had, and nobody
+            // would see why.
+            log.line(
+                    "SIGHUP is ignored by whoever started this process: a new configuration needs a restart");
         }
         Signal.handle(new Signal("USR1"), signal -> loop.execute(this::printTally));
-        // Behind the start on the loop, so that one who leaves finds it over; before its end, as clients may be here by then.
+        // Behind the start on the loop, so that one who leaves finds it over; before its end, as
+        // clients may be here by then.
         Runtime.getRuntime().addShutdownHook(new Thread(this::leaveAndWait, "leave"));
         try {
             return serving.join();
@@ -109,7 +132,8 @@
             mindOthers();
             InetSocketAddress address = router.listen(configuration.listen());
             if (neighbours != null) {
-                // Before the yes: at that the other process may be told to leave, and must see who is here.
+                // Before the yes: at that the other process may be told to leave, and must see who
+                // is here.
                 neighbours.serve();
                 mindOthers();
                 bans.follow(neighbours.read());
@@ -126,50 +150,53 @@
 
     private void mindOthers() throws IOException {
         if (neighbours != null && neighbours.othersHere()) {
-            throw new IOException("can't listen on " + Addresses.written(configuration.listen())
-                    + ": a node of another deployment serves there");
+            throw new IOException(
+                    "can't listen on "
+                            + Addresses.written(configuration.listen())
+                            + ": a node of another deployment serves there");
         }
     }
 
     private void accompany() {
         Bans known = bans == null ? new Bans(loop, router, null) : bans;
-        companion.begin(new Companion.Node() {
-            @Override
-            public Loop loop() {
-                return loop;
-            }
-
-            @Override
-            public Router router() {
-                return router;
-            }
-
-            @Override
-            public Bans bans() {
-                return known;
-            }
-
-            @Override
-            public NodeConfiguration configuration() {
-                return latest;
-            }
-
-            @Override
-            public boolean serving() {
-                return phase == Phase.SERVING;
-            }
-
-            @Override
-            public void log(String line) {
-                log.line(line);
-            }
-
-            @Override
-            public void end(int status) {
-                // The end waits for this loop: not on it.
-                new Thread(() -> System.exit(status), "end").start();
-            }
-        });
+        companion.begin(
+                new Companion.Node() {
+                    @Override
+                    public Loop loop() {
+                        return loop;
+                    }
+
+                    @Override
+                    public Router router() {
+                        return router;
+                    }
+
+                    @Override
+                    public Bans bans() {
+                        return known;
+                    }
+
+                    @Override
+                    public NodeConfiguration configuration() {
+                        return latest;
+                    }
+
+                    @Override
+                    public boolean serving() {
+                        return phase == Phase.SERVING;
+                    }
+
+                    @Override
+                    public void log(String line) {
+                        log.line(line);
+                    }
+
+                    @Override
+                    public void end(int status) {
+                        // The end waits for this loop: not on it.
+                        new Thread(() -> System.exit(status), "end").start();
+                    }
+                });
     }
 
     private boolean ready() {
@@ -178,25 +205,34 @@
 
     /** First of all: while the node starts, operators hear a no, not nothing. */
     private void listenForOperators() throws IOException {
-        neighbours = Neighbours.in(System.getenv("TMPDIR"), Addresses.written(configuration.listen()),
-                configuration.belongsTo(), log::line);
+        neighbours =
+                Neighbours.in(
+                        System.getenv("TMPDIR"),
+                        Addresses.written(configuration.listen()),
+                        configuration.belongsTo(),
+                        log::line);
         bans = new Bans(loop, router, neighbours);
         Desk desk = new Desk(router, bans, this::ready);
-        InetSocketAddress address = new Callers(loop, desk, router.tally())
-                .listen(configuration.management());
+        InetSocketAddress address =
+                new Callers(loop, desk, router.tally()).listen(configuration.management());
         log.line("operators call " + Addresses.written(address));
     }
 
-    /** While another process serves at this address, both go by the same bans and share the descriptors. */
+    /**
+     * While another process serves at this address, both go by the same bans and share the
+     * descriptors.
+     */
     private void lookAtNeighbours() {
         Neighbours.Word mine = word();
-        loop.aside(() -> {
-            List<Neighbours.Word> others = neighbours.exchange(mine);
-            loop.execute(() -> {
-                heed(others);
-                loop.after(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
-            });
-        });
+        loop.aside(
+                () -> {
+                    List<Neighbours.Word> others = neighbours.exchange(mine);
+                    loop.execute(
+                            () -> {
+                                heed(others);
+                                loop.after(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
+                            });
+                });
     }
 
     private Neighbours.Word word() {
@@ -204,7 +240,8 @@
     }
 
     private void heed(List<Neighbours.Word> others) {
-        router.heldElsewhere(others.stream().mapToInt(Neighbours.Word::descriptors).sum(), others.size());
+        router.heldElsewhere(
+                others.stream().mapToInt(Neighbours.Word::descriptors).sum(), others.size());
         others.forEach(other -> router.toldOfFilling(other.filling()));
         if (!others.isEmpty()) {
             bans.readAgain();
@@ -216,7 +253,10 @@
         log.line(configuration.name() + " " + phase.name().toLowerCase(Locale.ROOT));
     }
 
-    /** Reads the configuration again; one after the other, so that the latest reading holds at the end. */
+    /**
+     * Reads the configuration again; one after the other, so that the latest reading holds at the
+     * end.
+     */
     private synchronized void reload() {
         try {
             NodeConfiguration next = source.read();
@@ -233,7 +273,8 @@
 
     private void goBy(NodeConfiguration next) {
         if (!next.belongsTo().equals(configuration.belongsTo())) {
-            // Its discovery and peers are another customer's: this node's tunnels would go to their hosts.
+            // Its discovery and peers are another customer's: this node's tunnels would go to their
+            // hosts.
             refuse("it is another deployment's, of " + next.belongsTo());
             return;
         }
@@ -241,8 +282,12 @@
         latest = next;
         router.reconfigure(companion == null ? next : companion.adapt(next));
         List<String> fixed = configuration.fixedChanges(next);
-        log.line("configuration taken, discovery at " + Addresses.written(next.discovery())
-                + (fixed.isEmpty() ? "" : "; only after a restart: " + String.join(", ", fixed)));
+        log.line(
+                "configuration taken, discovery at "
+                        + Addresses.written(next.discovery())
+                        + (fixed.isEmpty()
+                                ? ""
+                                : "; only after a restart: " + String.join(", ", fixed)));
     }
 
     private void printTally() {
@@ -261,8 +306,11 @@
     }
 
     private double mostStay() {
-        double longest = configuration.deployment().profiles().stream()
-                .mapToDouble(Deployment.Profile::clientTimeout).max().orElse(LONGEST_WAIT);
+        double longest =
+                configuration.deployment().profiles().stream()
+                        .mapToDouble(Deployment.Profile::clientTimeout)
+                        .max()
+                        .orElse(LONGEST_WAIT);
         return Math.min(LONGEST_WAIT, longest) + MOST_STAY;
     }
 
--- a/node/src/main/java/embershift/protocol/Addresses.java
+++ b/node/src/main/java/embershift/protocol/Addresses.java
@@ -4,11 +4,12 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** Addresses as the platform writes them: four numbers and a port. There are no names to look up. */
+/**
+ * Addresses as the platform writes them: four numbers and a port. There are no names to look up.
+ */
 public final class Addresses {
 
-    private Addresses() {
-    }
+    private Addresses() {}
 
     /** The address in the form that {@link #read} takes. */
     public static String written(InetSocketAddress address) {
--- a/node/src/main/java/embershift/protocol/BanList.java
+++ b/node/src/main/java/embershift/protocol/BanList.java
@@ -1,7 +1,6 @@
 package embershift.protocol;
 
 import embershift.model.HostId;
-
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
 import java.util.LinkedHashSet;
@@ -11,19 +10,26 @@
 import java.util.stream.Collectors;
 import java.util.zip.CRC32;
 
-/** The hosts out by hand as a text that one process leaves for the next: a version, a checksum and the ids. */
+/**
+ * The hosts out by hand as a text that one process leaves for the next: a version, a checksum and
+ * the ids.
+ */
 public final class BanList {
 
     private static final String HEAD = "embershift-bans 1 ";
+
     /** Hosts that may be out at one time, and characters of their text. */
     public static final int MOST = 4096;
+
     public static final int LONGEST = 1 << 20;
 
-    private BanList() {
-    }
+    private BanList() {}
 
     public static String write(Collection<HostId> bans) {
-        String ids = bans.stream().map(host -> Json.quoted(host.name())).collect(Collectors.joining(",", "[", "]"));
+        String ids =
+                bans.stream()
+                        .map(host -> Json.quoted(host.name()))
+                        .collect(Collectors.joining(",", "[", "]"));
         return HEAD + checksum(ids) + "\n" + ids + "\n";
     }
 
--- a/node/src/main/java/embershift/protocol/DeploymentReader.java
+++ b/node/src/main/java/embershift/protocol/DeploymentReader.java
@@ -7,15 +7,14 @@
 import embershift.model.Deployment.Repeat;
 import embershift.model.ProfileId;
 import embershift.model.ZoneId;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * What a node is told of its deployment, by paths such as {@code limits.may-probe}: the bench's first
- * message has them as such, a configuration as nested JSON. Unknown paths are ignored.
+ * What a node is told of its deployment, by paths such as {@code limits.may-probe}: the bench's
+ * first message has them as such, a configuration as nested JSON. Unknown paths are ignored.
  */
 public final class DeploymentReader {
 
@@ -34,8 +33,12 @@
 
     private static void flatten(String path, Object value, Map<String, String> pairs) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((name, inner) ->
-                    flatten(path.isEmpty() ? String.valueOf(name) : path + "." + name, inner, pairs));
+            map.forEach(
+                    (name, inner) ->
+                            flatten(
+                                    path.isEmpty() ? String.valueOf(name) : path + "." + name,
+                                    inner,
+                                    pairs));
         } else if (value instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
             pairs.put(path + ".count", String.valueOf(list.size()));
             for (int i = 0; i < list.size(); i++) {
@@ -53,28 +56,65 @@
         int count = (int) number("profiles.count");
         for (int i = 0; i < count; i++) {
             String row = "profiles." + i + ".";
-            Repeat repeat = oneOf(row + "repeat", Map.of("idempotent", Repeat.REPEATABLE,
-                    "deduplicated", Repeat.REFERENCED, "at_most_once", Repeat.ONCE_ONLY));
+            Repeat repeat =
+                    oneOf(
+                            row + "repeat",
+                            Map.of(
+                                    "idempotent",
+                                    Repeat.REPEATABLE,
+                                    "deduplicated",
+                                    Repeat.REFERENCED,
+                                    "at_most_once",
+                                    Repeat.ONCE_ONLY));
             boolean referenced = repeat == Repeat.REFERENCED;
-            profiles.add(new Profile(new ProfileId(text(row + "name")), repeat,
-                    referenced ? oneOf(row + "dedup-scope", Map.of("all", DedupScope.ALL,
-                            "zone", DedupScope.ZONE, "cell", DedupScope.CELL)) : DedupScope.ALL,
-                    referenced ? number(row + "dedup-window-s") : 0,
-                    number(row + "setup-goal-s"), number(row + "client-timeout-s"), messageGoal(i),
-                    numberOr(row + "credit", 1)));
+            profiles.add(
+                    new Profile(
+                            new ProfileId(text(row + "name")),
+                            repeat,
+                            referenced
+                                    ? oneOf(
+                                            row + "dedup-scope",
+                                            Map.of(
+                                                    "all",
+                                                    DedupScope.ALL,
+                                                    "zone",
+                                                    DedupScope.ZONE,
+                                                    "cell",
+                                                    DedupScope.CELL))
+                                    : DedupScope.ALL,
+                            referenced ? number(row + "dedup-window-s") : 0,
+                            number(row + "setup-goal-s"),
+                            number(row + "client-timeout-s"),
+                            messageGoal(i),
+                            numberOr(row + "credit", 1)));
         }
         boolean asked = oneOf("discovery", Map.of("subscribe", true, "automatic", false));
-        return new Deployment(seed, (int) number("balancers"), (int) numberOr("rank", -1),
-                new ZoneId(pairs.getOrDefault("az", "-")), profiles,
-                asked, asked ? number("rules.must-ask-in-s") : 0,
-                flag("limits.may-probe"), "true".equals(pairs.get("limits.may-tell")),
+        return new Deployment(
+                seed,
+                (int) number("balancers"),
+                (int) numberOr("rank", -1),
+                new ZoneId(pairs.getOrDefault("az", "-")),
+                profiles,
+                asked,
+                asked ? number("rules.must-ask-in-s") : 0,
+                flag("limits.may-probe"),
+                "true".equals(pairs.get("limits.may-tell")),
                 reportColumns().contains("x0"),
-                flag("limits.may-cancel"), flag("limits.may-duplicate"), (int) number("limits.most-setups"),
-                flag("limits.retry-after"), numberOr("limits.max-retry-after-s", 0),
-                numberOr("limits.connect-timeout-s", 0), numberOr("rules.answer-slack-s", 0),
-                number("rules.drain-grace-s"), number("rules.cold-from"), number("rules.warm-after-s"),
-                number("rules.fall-multiple"), number("rules.fall-s"), budget(),
-                "pass".equals(pairs.get("domain.mode")), numberOr("domain.park-s", 0));
+                flag("limits.may-cancel"),
+                flag("limits.may-duplicate"),
+                (int) number("limits.most-setups"),
+                flag("limits.retry-after"),
+                numberOr("limits.max-retry-after-s", 0),
+                numberOr("limits.connect-timeout-s", 0),
+                numberOr("rules.answer-slack-s", 0),
+                number("rules.drain-grace-s"),
+                number("rules.cold-from"),
+                number("rules.warm-after-s"),
+                number("rules.fall-multiple"),
+                number("rules.fall-s"),
+                budget(),
+                "pass".equals(pairs.get("domain.mode")),
+                numberOr("domain.park-s", 0));
     }
 
     /** How long a message of the i-th profile may take. */
@@ -90,16 +130,19 @@
 
     /** The budget of further setups: three settings that stand together or not at all. */
     private Budget budget() throws Unreadable {
-        List<String> paths = List.of("rules.extra-free", "rules.repeat-ratio", "rules.resend-span-s");
+        List<String> paths =
+                List.of("rules.extra-free", "rules.repeat-ratio", "rules.resend-span-s");
         if (paths.stream().noneMatch(this::stated)) {
             return Budget.NONE;
         }
-        Budget budget = new Budget(number(paths.get(0)), number(paths.get(1)), number(paths.get(2)));
+        Budget budget =
+                new Budget(number(paths.get(0)), number(paths.get(1)), number(paths.get(2)));
         for (String path : paths) {
             double least = path.endsWith("span-s") ? Double.MIN_VALUE : 0;
             double value = number(path);
             if (!(value >= least && value < Double.POSITIVE_INFINITY)) {
-                throw new Unreadable(path + ": expected a number " + (least > 0 ? "above 0" : "of 0 or more"));
+                throw new Unreadable(
+                        path + ": expected a number " + (least > 0 ? "above 0" : "of 0 or more"));
             }
         }
         return budget;
@@ -142,8 +185,10 @@
     private <T> T oneOf(String path, Map<String, T> values) throws Unreadable {
         T value = values.get(text(path));
         if (value == null) {
-            throw new Unreadable(path + ": expected one of "
-                    + String.join(", ", values.keySet().stream().sorted().toList()));
+            throw new Unreadable(
+                    path
+                            + ": expected one of "
+                            + String.join(", ", values.keySet().stream().sorted().toList()));
         }
         return value;
     }
--- a/node/src/main/java/embershift/protocol/HttpAnswer.java
+++ b/node/src/main/java/embershift/protocol/HttpAnswer.java
@@ -37,8 +37,17 @@
 
     public ByteBuffer bytes() {
         String body = json + "\n";
-        return ByteBuffer.wrap(("HTTP/1.1 " + status + " " + reason() + "\r\nContent-Type: application/json\r\n"
-                + (allow == null ? "" : "Allow: " + allow + "\r\n") + "Content-Length: " + body.length()
-                + "\r\nConnection: close\r\n\r\n" + body).getBytes(StandardCharsets.US_ASCII));
+        return ByteBuffer.wrap(
+                ("HTTP/1.1 "
+                                + status
+                                + " "
+                                + reason()
+                                + "\r\nContent-Type: application/json\r\n"
+                                + (allow == null ? "" : "Allow: " + allow + "\r\n")
+                                + "Content-Length: "
+                                + body.length()
+                                + "\r\nConnection: close\r\n\r\n"
+                                + body)
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 }
--- a/node/src/main/java/embershift/protocol/HttpMessage.java
+++ b/node/src/main/java/embershift/protocol/HttpMessage.java
@@ -4,12 +4,22 @@
 import java.util.Locale;
 
 /**
- * What requests and replies of HTTP/1.1 have in common (RFC 9112): a first line, header lines, and a body that is
- * counted, in chunks or runs to the end. Fed bytes in any split.
+ * What requests and replies of HTTP/1.1 have in common (RFC 9112): a first line, header lines, and
+ * a body that is counted, in chunks or runs to the end. Fed bytes in any split.
  */
 abstract class HttpMessage {
 
-    private enum Part { FIRST_LINE, FIELDS, BODY, TO_END, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, DONE }
+    private enum Part {
+        FIRST_LINE,
+        FIELDS,
+        BODY,
+        TO_END,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        DONE
+    }
 
     private final Line lines = new Line();
     private Part part = Part.FIRST_LINE;
@@ -92,8 +102,9 @@
                 }
                 left = said;
             }
-            case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
-            default -> { }
+            case "transfer-encoding" ->
+                    chunked = value.toLowerCase(Locale.ROOT).endsWith("chunked");
+            default -> {}
         }
         takeField(name, value);
     }
--- a/node/src/main/java/embershift/protocol/HttpRequest.java
+++ b/node/src/main/java/embershift/protocol/HttpRequest.java
@@ -7,13 +7,15 @@
 import java.util.List;
 
 /**
- * One request of an HTTP/1.1 client, read from bytes that come in any split. A body is read and dropped: no call needs
- * one. A request that can't be taken fails with {@link Refused}, which holds the status to answer with.
+ * One request of an HTTP/1.1 client, read from bytes that come in any split. A body is read and
+ * dropped: no call needs one. A request that can't be taken fails with {@link Refused}, which holds
+ * the status to answer with.
  */
 public final class HttpRequest extends HttpMessage {
 
     /** Bytes of the header with the first line, and of the body, that a request may have. */
     private static final int LARGEST_HEADER = 16 * 1024;
+
     private static final int LARGEST_BODY = 64 * 1024;
 
     /** Why a request is not taken. */
@@ -103,7 +105,8 @@
         }
         int query = text.indexOf('?');
         List<String> parts = new ArrayList<>();
-        for (String part : (query < 0 ? text : text.substring(0, query)).substring(1).split("/", -1)) {
+        for (String part :
+                (query < 0 ? text : text.substring(0, query)).substring(1).split("/", -1)) {
             parts.add(decoded(part));
         }
         return List.copyOf(parts);
--- a/node/src/main/java/embershift/protocol/Line.java
+++ b/node/src/main/java/embershift/protocol/Line.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Cuts lines out of bytes that come in any split. A line that came in parts is kept until its end; while
- * none is in hand nothing is held.
+ * Cuts lines out of bytes that come in any split. A line that came in parts is kept until its end;
+ * while none is in hand nothing is held.
  */
 public final class Line {
 
@@ -16,8 +16,8 @@
     private int held;
 
     /**
-     * The next line with the end that it came with, or null where the bytes hold none yet; all bytes up to
-     * there are taken.
+     * The next line with the end that it came with, or null where the bytes hold none yet; all
+     * bytes up to there are taken.
      */
     public byte[] next(ByteBuffer bytes) throws Unreadable {
         int start = bytes.position();
@@ -62,7 +62,9 @@
         return afterLastEnd(bytes) > bytes.position();
     }
 
-    /** Where the last line that ends in these bytes has ended, or their position where none does. */
+    /**
+     * Where the last line that ends in these bytes has ended, or their position where none does.
+     */
     static int afterLastEnd(ByteBuffer bytes) {
         int end = bytes.limit();
         while (end > bytes.position() && bytes.get(end - 1) != '\n') {
--- a/node/src/main/java/embershift/protocol/NodeConfiguration.java
+++ b/node/src/main/java/embershift/protocol/NodeConfiguration.java
@@ -1,7 +1,6 @@
 package embershift.protocol;
 
 import embershift.model.Deployment;
-
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -9,17 +8,24 @@
 import java.util.Objects;
 
 /** All that the platform tells a node when it starts. */
-public record NodeConfiguration(String name, InetSocketAddress listen, InetSocketAddress discovery,
-                                int sockets, InetSocketAddress management, InetSocketAddress peerListen,
-                                List<InetSocketAddress> peers,
-                                InetSocketAddress peersAll, RosterPage known, Object settings,
-                                Deployment deployment) {
+public record NodeConfiguration(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        int sockets,
+        InetSocketAddress management,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress peersAll,
+        RosterPage known,
+        Object settings,
+        Deployment deployment) {
 
     private static final int USUAL_SOCKETS = 1024;
 
     /**
-     * Reads a configuration. {@code management}, the operators' address, is taken from the text, else as given here,
-     * which may be null or empty where there is none.
+     * Reads a configuration. {@code management}, the operators' address, is taken from the text,
+     * else as given here, which may be null or empty where there is none.
      */
     public static NodeConfiguration read(String text, String management) throws Unreadable {
         JsonObject all = new JsonObject("configuration", Json.read(text));
@@ -28,23 +34,45 @@
         for (String peer : all.texts("peers")) {
             peers.add(Addresses.read(peer));
         }
-        int sockets = all.has("limits")
-                ? (int) all.child("limits").numberOr("sockets", USUAL_SOCKETS) : USUAL_SOCKETS;
+        int sockets =
+                all.has("limits")
+                        ? (int) all.child("limits").numberOr("sockets", USUAL_SOCKETS)
+                        : USUAL_SOCKETS;
         String operators = all.textOr("management", management);
-        return new NodeConfiguration(all.textOr("name", "-"), Addresses.read(all.text("listen")),
-                Addresses.read(all.text("discovery")), sockets,
+        return new NodeConfiguration(
+                all.textOr("name", "-"),
+                Addresses.read(all.text("listen")),
+                Addresses.read(all.text("discovery")),
+                sockets,
                 operators == null || operators.isEmpty() ? null : Addresses.read(operators),
-                all.has("peer_listen") ? Addresses.read(all.text("peer_listen")) : null, List.copyOf(peers),
+                all.has("peer_listen") ? Addresses.read(all.text("peer_listen")) : null,
+                List.copyOf(peers),
                 all.has("peers_all") ? Addresses.read(all.text("peers_all")) : null,
-                all.has("known") ? RosterPage.of(all.value("known")) : null, all.value("settings"),
+                all.has("known") ? RosterPage.of(all.value("known")) : null,
+                all.value("settings"),
                 DeploymentReader.ofJson(all.value("settings")).read(seed(all.text("seed"))));
     }
 
-    /** This one with what the orders of the fleet say in place of its own; null for what they leave alone. */
-    public NodeConfiguration with(InetSocketAddress otherDiscovery, Integer otherSockets, List<InetSocketAddress> otherPeers) {
-        return new NodeConfiguration(name, listen, otherDiscovery == null ? discovery : otherDiscovery,
-                otherSockets == null ? sockets : otherSockets, management, peerListen, otherPeers == null ? peers : otherPeers,
-                otherPeers == null ? peersAll : null, known, settings, deployment);
+    /**
+     * This one with what the orders of the fleet say in place of its own; null for what they leave
+     * alone.
+     */
+    public NodeConfiguration with(
+            InetSocketAddress otherDiscovery,
+            Integer otherSockets,
+            List<InetSocketAddress> otherPeers) {
+        return new NodeConfiguration(
+                name,
+                listen,
+                otherDiscovery == null ? discovery : otherDiscovery,
+                otherSockets == null ? sockets : otherSockets,
+                management,
+                peerListen,
+                otherPeers == null ? peers : otherPeers,
+                otherPeers == null ? peersAll : null,
+                known,
+                settings,
+                deployment);
     }
 
     /** Whether operators have an address; a second process may then listen beside this one. */
@@ -53,14 +81,20 @@
     }
 
     /**
-     * What tells this deployment from another's, whatever becomes of its limits, profiles and shares: the names of its tiers and
-     * of its zones. Two nodes of which these differ have neither hosts nor operators in common.
+     * What tells this deployment from another's, whatever becomes of its limits, profiles and
+     * shares: the names of its tiers and of its zones. Two nodes of which these differ have neither
+     * hosts nor operators in common.
      */
     public String belongsTo() {
-        return settings instanceof Map<?, ?> all ? all.get("tiers") + " in " + all.get("areas") : "";
+        return settings instanceof Map<?, ?> all
+                ? all.get("tiers") + " in " + all.get("areas")
+                : "";
     }
 
-    /** What differs in a later configuration and can't change before a restart; seeds do with each reading. */
+    /**
+     * What differs in a later configuration and can't change before a restart; seeds do with each
+     * reading.
+     */
     public List<String> fixedChanges(NodeConfiguration later) {
         List<String> changes = new ArrayList<>();
         if (!name.equals(later.name)) {
--- a/node/src/main/java/embershift/protocol/Opening.java
+++ b/node/src/main/java/embershift/protocol/Opening.java
@@ -2,21 +2,25 @@
 
 import embershift.model.GroupId;
 import embershift.model.HostId;
+import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
 import embershift.model.SubjectId;
-import embershift.model.ParticipantId;
 import embershift.model.TunnelId;
-
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.regex.Pattern;
 
-/** The line with which a client begins: the bytes as they came, and of its fields what decisions need. */
+/**
+ * The line with which a client begins: the bytes as they came, and of its fields what decisions
+ * need.
+ */
 public final class Opening {
 
     private static final String WORD = "OPEN ";
+
     /** Above nought, and under twelve days. */
-    private static final Pattern MILLISECONDS = Pattern.compile("0{0,9}[1-9]\\d{0,8}(\\.\\d{0,9})?");
+    private static final Pattern MILLISECONDS =
+            Pattern.compile("0{0,9}[1-9]\\d{0,8}(\\.\\d{0,9})?");
 
     private final byte[] line;
     private int digitsFrom = -1;
@@ -58,7 +62,11 @@
             int end = comma < 0 ? text.length() : comma;
             int equals = text.indexOf('=', at);
             if (equals > at && equals < end) {
-                takeField(text.substring(at, equals), text.substring(equals + 1, end), equals + 1, end);
+                takeField(
+                        text.substring(at, equals),
+                        text.substring(equals + 1, end),
+                        equals + 1,
+                        end);
             }
             at = end + 1;
         }
@@ -74,7 +82,8 @@
         switch (name) {
             case "c" -> profile = new ProfileId(value);
             case "d" -> {
-                // Guards timers and what goes on to hosts: Java would read 1e300, 0x1p9 or 5f as well. A second
+                // Guards timers and what goes on to hosts: Java would read 1e300, 0x1p9 or 5f as
+                // well. A second
                 // one would stay as it came.
                 if (digitsFrom >= 0 || !MILLISECONDS.matcher(value).matches()) {
                     throw new Unreadable("d is no number of milliseconds above 0, or comes twice");
@@ -86,14 +95,15 @@
             case "g" -> group = new GroupId(value);
             case "tenant" -> participant = new ParticipantId(value);
             case "at" -> standingAt = new HostId(value);
-            default -> { }  // goes on to the host like the rest of the line
+            default -> {} // goes on to the host like the rest of the line
         }
     }
 
     /** The line as it goes to a host: byte for byte, but for how long this node will wait. */
     public ByteBuffer toHost(double wait) {
-        byte[] digits = Long.toString(Math.max(1, (long) (wait * 1e3)))
-                .getBytes(StandardCharsets.ISO_8859_1);
+        byte[] digits =
+                Long.toString(Math.max(1, (long) (wait * 1e3)))
+                        .getBytes(StandardCharsets.ISO_8859_1);
         ByteBuffer out = ByteBuffer.allocate(line.length - (digitsTo - digitsFrom) + digits.length);
         out.put(line, 0, digitsFrom).put(digits).put(line, digitsTo, line.length - digitsTo);
         return out.flip();
--- a/node/src/main/java/embershift/protocol/Report.java
+++ b/node/src/main/java/embershift/protocol/Report.java
@@ -18,7 +18,7 @@
                     case "x0" -> over = value;
                     case "inflight", "rif" -> open = value;
                     case "queue", "q" -> queued = value;
-                    default -> { }  // figures that no decision reads
+                    default -> {} // figures that no decision reads
                 }
             }
         }
--- a/node/src/main/java/embershift/protocol/RosterPage.java
+++ b/node/src/main/java/embershift/protocol/RosterPage.java
@@ -3,16 +3,22 @@
 import embershift.model.HostId;
 import embershift.model.Listing;
 import embershift.model.ZoneId;
-
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
-/** What discovery says: a whole list or changes, and at which address each host is reached from here. */
-public record RosterPage(long generation, boolean whole, List<Listing> listings,
-                         Map<HostId, InetSocketAddress> addresses, int unreadable) {
+/**
+ * What discovery says: a whole list or changes, and at which address each host is reached from
+ * here.
+ */
+public record RosterPage(
+        long generation,
+        boolean whole,
+        List<Listing> listings,
+        Map<HostId, InetSocketAddress> addresses,
+        int unreadable) {
 
     public static RosterPage read(String text) throws Unreadable {
         return of(Json.read(text));
@@ -37,20 +43,29 @@
                 unreadable++;
             }
         }
-        return new RosterPage((long) page.number("generation"), page.flagOr("reset", false),
-                List.copyOf(listings), addresses, unreadable);
+        return new RosterPage(
+                (long) page.number("generation"),
+                page.flagOr("reset", false),
+                List.copyOf(listings),
+                addresses,
+                unreadable);
     }
 
     private static Listing listing(JsonObject item) throws Unreadable {
-        Listing.State state = switch (item.textOr("lifecycle", "")) {
-            case "in_service" -> Listing.State.READY;
-            case "terminating" -> Listing.State.DRAINING;
-            // A state that came up later must not keep the node from all other news.
-            default -> Listing.State.GONE;
-        };
+        Listing.State state =
+                switch (item.textOr("lifecycle", "")) {
+                    case "in_service" -> Listing.State.READY;
+                    case "terminating" -> Listing.State.DRAINING;
+                    // A state that came up later must not keep the node from all other news.
+                    default -> Listing.State.GONE;
+                };
         String zone = item.textOr("zone", null);
-        return new Listing(new HostId(item.text("instanceId")), state, zone == null ? null : new ZoneId(zone),
-                item.numberOr("weight", 1), (int) item.numberOr("cell", 0),
+        return new Listing(
+                new HostId(item.text("instanceId")),
+                state,
+                zone == null ? null : new ZoneId(zone),
+                item.numberOr("weight", 1),
+                (int) item.numberOr("cell", 0),
                 item.numberOr("startedAtMs", 0) / 1e3);
     }
 }
--- a/node/src/main/java/embershift/protocol/Tail.java
+++ b/node/src/main/java/embershift/protocol/Tail.java
@@ -4,8 +4,9 @@
 import java.util.function.Consumer;
 
 /**
- * Holds the beginning of a line back until its end has come, so that what was passed on ends with the end of a line: a client can
- * then be told to move at any time. What is longer than a line may be is passed on as it comes.
+ * Holds the beginning of a line back until its end has come, so that what was passed on ends with
+ * the end of a line: a client can then be told to move at any time. What is longer than a line may
+ * be is passed on as it comes.
  */
 public final class Tail {
 
--- a/node/src/main/java/embershift/protocol/Trail.java
+++ b/node/src/main/java/embershift/protocol/Trail.java
@@ -1,11 +1,10 @@
 package embershift.protocol;
 
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 
 /**
- * Follows the lines that a host sends through an open tunnel: which one came last, and whether the stream
- * now stands between two lines. Only the head of an unfinished line is kept.
+ * Follows the lines that a host sends through an open tunnel: which one came last, and whether the
+ * stream now stands between two lines. Only the head of an unfinished line is kept.
  */
 public final class Trail {
 
@@ -72,7 +71,10 @@
         return last;
     }
 
-    /** The load that the host told since the last call, in microseconds of work a second; NaN for none. */
+    /**
+     * The load that the host told since the last call, in microseconds of work a second; NaN for
+     * none.
+     */
     public double takeLoad() {
         double taken = load;
         load = Double.NaN;
--- a/node/src/main/java/embershift/routing/Ageing.java
+++ b/node/src/main/java/embershift/routing/Ageing.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * Things that may wait for the same time each, oldest first: looking for those that waited too long costs
- * nothing for the others.
+ * Things that may wait for the same time each, oldest first: looking for those that waited too long
+ * costs nothing for the others.
  */
 final class Ageing<T> {
 
--- a/node/src/main/java/embershift/routing/Contact.java
+++ b/node/src/main/java/embershift/routing/Contact.java
@@ -8,7 +8,6 @@
 import embershift.protocol.Unreadable;
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
@@ -18,22 +17,35 @@
     private static final ByteBuffer QUESTION = Line.of("STATS").asReadOnlyBuffer();
 
     final HostId host;
+
     /** Setups sent there since this node's start. */
     long setUps;
-    /** Whether it is listed as ready, and whether staff have it out: what was decided before either changed may still wait. */
+
+    /**
+     * Whether it is listed as ready, and whether staff have it out: what was decided before either
+     * changed may still wait.
+     */
     boolean listedReady;
+
     boolean byHand;
     private final Router router;
     private InetSocketAddress address;
     private Link link;
     private boolean connected;
     private Line lines = new Line();
+
     /** When the question now out was asked; NaN for none. */
     private double askedAt = Double.NaN;
-    /** Whether it has been written to the connection that there is; before that, what comes is no answer to it. */
+
+    /**
+     * Whether it has been written to the connection that there is; before that, what comes is no
+     * answer to it.
+     */
     private boolean written;
+
     /** When this connection brought its last answer; negative infinity for none yet. */
     private double answeredAt = Double.NEGATIVE_INFINITY;
+
     private Loop.Timer patience;
     private boolean unheard;
     private double messageDelayToldAt = Double.NEGATIVE_INFINITY;
@@ -57,7 +69,8 @@
         if (!now.equals(address)) {
             address = now;
             if (link != null && !Double.isNaN(askedAt)) {
-                // Another process is asked instead: that the one before has not answered tells nothing of it.
+                // Another process is asked instead: that the one before has not answered tells
+                // nothing of it.
                 connectAnew();
             } else if (link != null) {
                 hangUp();
@@ -86,7 +99,10 @@
         }
     }
 
-    /** Opens a connection for the question that is out, or waits in line for a place: until then no time of the host's runs. */
+    /**
+     * Opens a connection for the question that is out, or waits in line for a place: until then no
+     * time of the host's runs.
+     */
     void reach() {
         if (router.kept().take(this)) {
             askedAt = router.now();
@@ -121,18 +137,24 @@
         link = router.loop().connect(address, this);
     }
 
-    /** Asks; not just after an answer, as that one's double may still come and would be taken for the answer to this. */
+    /**
+     * Asks; not just after an answer, as that one's double may still come and would be taken for
+     * the answer to this.
+     */
     private void question() {
         double settled = answeredAt + router.doubleMayFollow();
         double now = router.now();
         if (now < settled) {
             Link of = link;
             double asked = askedAt;
-            router.loop().after(settled - now, () -> {
-                if (link == of && askedAt == asked && !written) {
-                    question();
-                }
-            });
+            router.loop()
+                    .after(
+                            settled - now,
+                            () -> {
+                                if (link == of && askedAt == asked && !written) {
+                                    question();
+                                }
+                            });
             return;
         }
         written = true;
@@ -173,10 +195,11 @@
         if (unheard) {
             router.hostUnheard(this);
         }
-        router.hear(news -> {
-            news.probeEnded(host, answered, took);
-            tell(news, report);
-        });
+        router.hear(
+                news -> {
+                    news.probeEnded(host, answered, took);
+                    tell(news, report);
+                });
     }
 
     /** Whether the host left the latest question unanswered. */
@@ -186,11 +209,15 @@
 
     void tell(News news, Report report) {
         if (!report.empty()) {
-            news.hostReported(host, report.loadOverCapacity(), report.openTunnels(), report.queued());
+            news.hostReported(
+                    host, report.loadOverCapacity(), report.openTunnels(), report.queued());
         }
     }
 
-    /** A message on an open tunnel took this long: slow ones are told once a second, and their end once. */
+    /**
+     * A message on an open tunnel took this long: slow ones are told once a second, and their end
+     * once.
+     */
     void messageTook(double delay, double now) {
         boolean slow = delay > router.slowMessage();
         if (slow ? now >= messageDelayToldAt + 1 : messagesSlow) {
@@ -235,7 +262,10 @@
         }
     }
 
-    /** What nobody asked for, as a second answer: whatever comes on this connection later may belong to an earlier question. */
+    /**
+     * What nobody asked for, as a second answer: whatever comes on this connection later may belong
+     * to an earlier question.
+     */
     private void outOfStep() {
         router.tally().count("probe connections out of step");
         if (Double.isNaN(askedAt)) {
@@ -251,8 +281,9 @@
     }
 
     /**
-     * A kept connection may be ended by the other side just as a question goes out on it: that is asked again, on a new one,
-     * in what is left of its time. Only there does no answer tell something of the host.
+     * A kept connection may be ended by the other side just as a question goes out on it: that is
+     * asked again, on a new one, in what is left of its time. Only there does no answer tell
+     * something of the host.
      */
     @Override
     public void broken() {
--- a/node/src/main/java/embershift/routing/KeptConnections.java
+++ b/node/src/main/java/embershift/routing/KeptConnections.java
@@ -6,8 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Who of the hosts may keep a connection on which it is asked. So many are reserved, whatever clients hold; beyond those
- * one is kept only where there is room, else it takes the place of one that rests, or waits for a place.
+ * Who of the hosts may keep a connection on which it is asked. So many are reserved, whatever
+ * clients hold; beyond those one is kept only where there is room, else it takes the place of one
+ * that rests, or waits for a place.
  *
  * @param <T> one host
  */
@@ -17,11 +18,16 @@
     private final Consumer<T> close;
     private int reserved;
     private int open;
+
     /** Those with a connection on which nothing is out, the longest resting first. */
     private final Set<T> resting = new LinkedHashSet<>();
+
     private final Set<T> line = new LinkedHashSet<>();
 
-    /** {@code room}: whether one more may be opened than is reserved; {@code close}: has one give its connection up. */
+    /**
+     * {@code room}: whether one more may be opened than is reserved; {@code close}: has one give
+     * its connection up.
+     */
     KeptConnections(BooleanSupplier room, Consumer<T> close) {
         this.room = room;
         this.close = close;
