--- a/node/src/test/java/embershift/routing/StandingFaultsTest.java
+++ b/node/src/test/java/embershift/routing/StandingFaultsTest.java
@@ -4,27 +4,33 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.Loopback;
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-
 import java.io.File;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.util.ArrayList;
 import java.util.List;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
 
-/** Terms of the operators' acceptance that the program did not keep: each case failed before its fault was mended. */
+/**
+ * Terms of the operators' acceptance that the program did not keep: each case failed before its
+ * fault was mended.
+ */
 public class StandingFaultsTest extends Loopback {
 
-    /** Milliseconds within which what must not come would have come, the system's second try to connect included. */
+    /**
+     * Milliseconds within which what must not come would have come, the system's second try to
+     * connect included.
+     */
     private static final int COMES_UP_MS = 1500;
 
     private void onLoop(Runnable step) throws Exception {
-        on(() -> {
-            step.run();
-            return null;
-        });
+        on(
+                () -> {
+                    step.run();
+                    return null;
+                });
     }
 
     /** Nothing is sent after the final answer, whose client may come again by then. */
@@ -43,11 +49,21 @@
         assertNothingComes(host, COMES_UP_MS);
     }
 
-    /** What may have run is sent again within the window only, which counts when the line goes out and not when that is decided. */
+    /**
+     * What may have run is sent again within the window only, which counts when the line goes out
+     * and not when that is decided.
+     */
     @Test
     public void referencedIsNotSentToAHostThatComesUpAfterItsWindow() throws Exception {
-        settings = new String[] {"repeat", "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":0.8",
-            "connect-timeout-s", "9", "client-timeout-s", "12"};
+        settings =
+                new String[] {
+                    "repeat",
+                    "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":0.8",
+                    "connect-timeout-s",
+                    "9",
+                    "client-timeout-s",
+                    "12"
+                };
         ServerSocket first = listening();
         ServerSocket late = comesUpLate();
         start("1024", first);
@@ -67,11 +83,20 @@
         assertTrue(hear(client).startsWith("ERR "));
     }
 
-    /** Once its window is over it can neither be sent again nor declined: like a once-only one it is worth the wait. */
+    /**
+     * Once its window is over it can neither be sent again nor declined: like a once-only one it is
+     * worth the wait.
+     */
     @Test
-    public void referencedWhoseWindowIsOverFirstIsLeftToItsHostUntilTheClientsTimeIsUp() throws Exception {
-        settings = new String[] {"repeat", "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":0.6",
-            "setup-goal-s", "0.3"};
+    public void referencedWhoseWindowIsOverFirstIsLeftToItsHostUntilTheClientsTimeIsUp()
+            throws Exception {
+        settings =
+                new String[] {
+                    "repeat",
+                    "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":0.6",
+                    "setup-goal-s",
+                    "0.3"
+                };
         ServerSocket host = listening();
         start("1024", host);
         Socket client = client("OPEN i k c=p,d=3000\r\n");
@@ -82,7 +107,10 @@
         assertEquals(hear(client), "UP late");
     }
 
-    /** Connections that the library takes in while the loop stands still hold descriptors that nobody counts. */
+    /**
+     * Connections that the library takes in while the loop stands still hold descriptors that
+     * nobody counts.
+     */
     @Test
     public void connectionsTakenInWhileTheLoopStandsStillKeepToTheLimit() throws Exception {
         int room = 60;
@@ -100,7 +128,10 @@
         assertTrue(taken <= room, taken + " taken in");
     }
 
-    /** Where nothing is left, others are still served: one that comes in beyond the limit holds up nobody, nor the timers. */
+    /**
+     * Where nothing is left, others are still served: one that comes in beyond the limit holds up
+     * nobody, nor the timers.
+     */
     @Test
     public void whatCantBeTakenInKeepsNobodyElseWaiting() throws Exception {
         ServerSocket host = listening();
@@ -133,9 +164,13 @@
         return new Object[][] {{""}, {"PING\r\n"}};
     }
 
-    /** A request that has come by the time at which its connection is ended is one that came in time. */
+    /**
+     * A request that has come by the time at which its connection is ended is one that came in
+     * time.
+     */
     @Test(dataProvider = "resting")
-    public void requestThatLiesUnreadOnARestingConnectionWhoseTimeIsUpIsTaken(String before) throws Exception {
+    public void requestThatLiesUnreadOnARestingConnectionWhoseTimeIsUpIsTaken(String before)
+            throws Exception {
         ServerSocket host = listening();
         start("1024", host);
         Socket resting = client(before);
@@ -155,7 +190,9 @@
         assertEquals(hear(resting), "UP r");
     }
 
-    /** The double of the latest list answers no call: the one that is out still waits at discovery. */
+    /**
+     * The double of the latest list answers no call: the one that is out still waits at discovery.
+     */
     @Test
     public void doubleOfTheLatestListIsNoAnswerToTheNextCall() throws Exception {
         ServerSocket host = listening();
@@ -166,7 +203,8 @@
         page(watch, list);
         assertEquals(call(watch), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
         page(watch, list);
-        // Not a second call on the connection on which the first is out: that one ends, and another is opened.
+        // Not a second call on the connection on which the first is out: that one ends, and another
+        // is opened.
         assertEquals(heard(watch), "");
         assertEquals(call(accept(discovery)), "GET /api/targets?after=2&wait_ms=1600 HTTP/1.1");
     }
--- a/node/src/test/java/embershift/routing/StandingTermsTest.java
+++ b/node/src/test/java/embershift/routing/StandingTermsTest.java
@@ -6,9 +6,6 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.Loopback;
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-
 import java.io.IOException;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -17,17 +14,28 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
 
-/** The terms of the operators' acceptance that no other test forces, each by what clients, hosts and discovery received. */
+/**
+ * The terms of the operators' acceptance that no other test forces, each by what clients, hosts and
+ * discovery received.
+ */
 public class StandingTermsTest extends Loopback {
 
     /** Milliseconds within which what must not come would have come. */
     private static final int NOTHING_MS = 400;
+
     private static final String ONCE_ONLY = "\"at_most_once\"";
     private static final String REPEATABLE = "\"idempotent\"";
-    /** Of a window, in seconds, that a short test can wait for, and not a busy machine's pause ends. */
+
+    /**
+     * Of a window, in seconds, that a short test can wait for, and not a busy machine's pause ends.
+     */
     private static final double WINDOW = 1.5;
-    private static final String REFERENCED = "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":" + WINDOW;
+
+    private static final String REFERENCED =
+            "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":" + WINDOW;
 
     private void effect(String repeat, String... others) {
         List<String> all = new ArrayList<>(List.of("repeat", repeat));
@@ -36,10 +44,11 @@
     }
 
     private void onLoop(Runnable step) throws Exception {
-        on(() -> {
-            step.run();
-            return null;
-        });
+        on(
+                () -> {
+                    step.run();
+                    return null;
+                });
     }
 
     // ---- Answers cut, doubled and without an end ----
@@ -81,16 +90,18 @@
         Socket side = accept(host);
         hear(side);
         long from = System.nanoTime();
-        CompletableFuture<Void> endless = CompletableFuture.runAsync(() -> {
-            try {
-                say(side, "UP ");
-                while (true) {
-                    say(side, "x".repeat(1000));
-                }
-            } catch (IOException e) {
-                // The node has closed.
-            }
-        });
+        CompletableFuture<Void> endless =
+                CompletableFuture.runAsync(
+                        () -> {
+                            try {
+                                say(side, "UP ");
+                                while (true) {
+                                    say(side, "x".repeat(1000));
+                                }
+                            } catch (IOException e) {
+                                // The node has closed.
+                            }
+                        });
         assertTrue(hear(client).startsWith("ERR "));
         assertTrue((System.nanoTime() - from) / 1e9 < 2.5, "answered only when its time was up");
         endless.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
@@ -122,7 +133,8 @@
     // ---- Effects and windows ----
 
     @Test
-    public void referencedIsSentAgainWithinItsWindowAndNeitherSentNorDeclinedPastIt() throws Exception {
+    public void referencedIsSentAgainWithinItsWindowAndNeitherSentNorDeclinedPastIt()
+            throws Exception {
         ServerSocket host = listening();
         effect(REFERENCED);
         start("1024", host);
@@ -144,7 +156,8 @@
     }
 
     @Test(dataProvider = "effects")
-    public void whoseHostsNeverCameUpIsDeclinedAndNothingComesThereLater(String repeat) throws Exception {
+    public void whoseHostsNeverCameUpIsDeclinedAndNothingComesThereLater(String repeat)
+            throws Exception {
         ServerSocket host = comesUpLate();
         effect(repeat);
         start("1024", host);
@@ -210,10 +223,11 @@
     public void whoComesWhileTheNodeClosesIsAnswered() throws Exception {
         ServerSocket host = listening();
         start("1024", host);
-        onLoop(() -> {
-            router.leave(false);
-            router.stop();
-        });
+        onLoop(
+                () -> {
+                    router.leave(false);
+                    router.stop();
+                });
         assertTrue(hear(client("OPEN i k c=p,d=3000\r\n")).startsWith("BUSY"));
         assertNothingComes(host, NOTHING_MS);
     }
@@ -243,8 +257,11 @@
         say(ends[0], "line\r\n");
         assertEquals(hear(ends[1]), "line");
         // Its two sides, the listener, discovery's and the datagrams'.
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L; on(loop::descriptors) > before + 5; ) {
-            assertTrue(System.nanoTime() < until, on(loop::descriptors) + " held, " + before + " before");
+        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+                on(loop::descriptors) > before + 5; ) {
+            assertTrue(
+                    System.nanoTime() < until,
+                    on(loop::descriptors) + " held, " + before + " before");
             Thread.sleep(5);
         }
         assertEquals(counted("faults"), 0);
@@ -278,8 +295,12 @@
     // ---- Lists ----
 
     private static String indented(String list) {
-        return list.replace("{", "{\r\n\t  ").replace(",", ",\n    ").replace(":", " :  ").replace("127.0.0.1 :  ", "127.0.0.1:")
-                .replace("]", "\n ]") + "\n";
+        return list.replace("{", "{\r\n\t  ")
+                        .replace(",", ",\n    ")
+                        .replace(":", " :  ")
+                        .replace("127.0.0.1 :  ", "127.0.0.1:")
+                        .replace("]", "\n ]")
+                + "\n";
     }
 
     @Test
@@ -289,11 +310,16 @@
         Socket watch = accept(discovery);
         call(watch);
         String body = indented(list(2, true, entry(host, "in_service")));
-        assertTrue(body.contains("\"hostPort\" :  \"127.0.0.1:" + host.getLocalPort() + "\""), body);
-        StringBuilder chunks = new StringBuilder("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
+        assertTrue(
+                body.contains("\"hostPort\" :  \"127.0.0.1:" + host.getLocalPort() + "\""), body);
+        StringBuilder chunks =
+                new StringBuilder("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
         for (int at = 0; at < body.length(); at += 33) {
             String piece = body.substring(at, Math.min(body.length(), at + 33));
-            chunks.append(Integer.toHexString(piece.length())).append("\r\n").append(piece).append("\r\n");
+            chunks.append(Integer.toHexString(piece.length()))
+                    .append("\r\n")
+                    .append(piece)
+                    .append("\r\n");
         }
         String all = chunks + "0\r\n\r\n";
         for (int at = 0; at < all.length(); at += 50) {
--- a/node/src/test/java/embershift/transport/LastWordsTest.java
+++ b/node/src/test/java/embershift/transport/LastWordsTest.java
@@ -3,8 +3,6 @@
 import static org.testng.Assert.assertEquals;
 
 import embershift.Loopback;
-import org.testng.annotations.Test;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,6 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.Test;
 
 /** What a peer said before its connection broke. */
 public class LastWordsTest extends Loopback {
@@ -28,58 +27,69 @@
     }
 
     /**
-     * A host says its last words and resets, as a close over unread bytes does, in the moment in which a line for it is read from
-     * the other side: writing that finds the reset before the words are read.
+     * A host says its last words and resets, as a close over unread bytes does, in the moment in
+     * which a line for it is read from the other side: writing that finds the reset before the
+     * words are read.
      */
     @Test
     public void lastWordsAreHeardThoughAWriteFoundTheResetThatFollowsThem() throws Exception {
         CompletableFuture<Link> taken = new CompletableFuture<>();
-        Loop.Listening listening = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true,
-                taken::complete);
+        Loop.Listening listening =
+                loop.listen(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        () -> true,
+                        taken::complete);
         Socket peer = talk(listening.address(), "");
         host = taken.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        on(() -> {
-            host.events(new Link.Events() {
-                @Override
-                public void received(ByteBuffer bytes) {
-                    seen.add(new String(text(bytes)));
-                }
+        on(
+                () -> {
+                    host.events(
+                            new Link.Events() {
+                                @Override
+                                public void received(ByteBuffer bytes) {
+                                    seen.add(new String(text(bytes)));
+                                }
 
-                @Override
-                public void ended() {
-                    seen.add("ended");
-                }
+                                @Override
+                                public void ended() {
+                                    seen.add("ended");
+                                }
 
-                @Override
-                public void broken() {
-                    seen.add("broken");
-                }
-            });
-            return null;
-        });
-        Loop.Listening other = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, link ->
-                link.events(new Link.Events() {
-                    @Override
-                    public void received(ByteBuffer bytes) {
-                        try {
-                            say(peer, "BYE\r\n");
-                            reset(peer);
-                        } catch (IOException e) {
-                            seen.add(e.toString());
-                        }
-                        host.write(bytes);
-                    }
+                                @Override
+                                public void broken() {
+                                    seen.add("broken");
+                                }
+                            });
+                    return null;
+                });
+        Loop.Listening other =
+                loop.listen(
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        () -> true,
+                        link ->
+                                link.events(
+                                        new Link.Events() {
+                                            @Override
+                                            public void received(ByteBuffer bytes) {
+                                                try {
+                                                    say(peer, "BYE\r\n");
+                                                    reset(peer);
+                                                } catch (IOException e) {
+                                                    seen.add(e.toString());
+                                                }
+                                                host.write(bytes);
+                                            }
 
-                    @Override
-                    public void ended() {
-                        // The test is over.
-                    }
+                                            @Override
+                                            public void ended() {
+                                                // The test is over.
+                                            }
 
-                    @Override
-                    public void broken() {
-                        // The test is over.
-                    }
-                }));
+                                            @Override
+                                            public void broken() {
+                                                // The test is over.
+                                            }
+                                        }));
         talk(other.address(), "line\r\n");
         assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
         assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "broken");
--- a/node/src/test/java/embershift/transport/LoopTest.java
+++ b/node/src/test/java/embershift/transport/LoopTest.java
@@ -3,10 +3,6 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.BeforeMethod;
-import org.testng.annotations.Test;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,6 +12,9 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
 
 public class LoopTest {
 
@@ -57,25 +56,29 @@
 
     @Test
     public void afterAPauseOfTheProcessSocketsGoBeforeLateTimers() throws Exception {
-        InetSocketAddress address = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-                () -> true,
-                link -> link.events(new Seen())).address();
+        InetSocketAddress address =
+                loop.listen(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                () -> true,
+                                link -> link.events(new Seen()))
+                        .address();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream().write(1);
             assertEquals(next(), "received 1");
             CountDownLatch sent = new CountDownLatch(1);
-            loop.execute(() -> {
-                loop.after(0.01, () -> seen.add("timer"));
-                double until = loop.now() + 0.2;
-                try {
-                    sent.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-                while (loop.now() < until) {
-                    Thread.onSpinWait();
-                }
-            });
+            loop.execute(
+                    () -> {
+                        loop.after(0.01, () -> seen.add("timer"));
+                        double until = loop.now() + 0.2;
+                        try {
+                            sent.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                        while (loop.now() < until) {
+                            Thread.onSpinWait();
+                        }
+                    });
             socket.getOutputStream().write(new byte[] {1, 2});
             sent.countDown();
             assertEquals(next(), "received 2");
@@ -87,21 +90,27 @@
     @Test
     public void whatWaitsForAPeerIsKeptBackByWhoClosesTheLinkAsItIsAboutToGoOut() throws Exception {
         int many = 64 << 20;
-        InetSocketAddress address = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, link -> {
-            link.events(new Seen() {
-                @Override
-                public void received(ByteBuffer bytes) {
-                    link.write(ByteBuffer.allocate(many));
-                    seen.add("waits " + link.backedUp());
-                }
-
-                @Override
-                public void draining() {
-                    seen.add("draining");
-                    link.close();
-                }
-            });
-        }).address();
+        InetSocketAddress address =
+                loop.listen(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                () -> true,
+                                link -> {
+                                    link.events(
+                                            new Seen() {
+                                                @Override
+                                                public void received(ByteBuffer bytes) {
+                                                    link.write(ByteBuffer.allocate(many));
+                                                    seen.add("waits " + link.backedUp());
+                                                }
+
+                                                @Override
+                                                public void draining() {
+                                                    seen.add("draining");
+                                                    link.close();
+                                                }
+                                            });
+                                })
+                        .address();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(1);
@@ -116,16 +125,21 @@
     @Test
     public void lookTakesInAtOnceWhatHasComeAndItsEnd() throws Exception {
         CountDownLatch sent = new CountDownLatch(1);
-        InetSocketAddress address = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, link -> {
-            link.events(new Seen());
-            try {
-                sent.await();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-            link.look();
-            seen.add("looked");
-        }).address();
+        InetSocketAddress address =
+                loop.listen(
+                                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                () -> true,
+                                link -> {
+                                    link.events(new Seen());
+                                    try {
+                                        sent.await();
+                                    } catch (InterruptedException e) {
+                                        Thread.currentThread().interrupt();
+                                    }
+                                    link.look();
+                                    seen.add("looked");
+                                })
+                        .address();
         Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.getOutputStream().write(new byte[5000]);
         socket.close();
@@ -137,10 +151,11 @@
 
     @Test
     public void timerThatIsTakenBackDoesNotRun() throws Exception {
-        loop.execute(() -> {
-            loop.after(0.01, () -> seen.add("taken back")).cancel();
-            loop.after(0.02, () -> seen.add("kept"));
-        });
+        loop.execute(
+                () -> {
+                    loop.after(0.01, () -> seen.add("taken back")).cancel();
+                    loop.after(0.02, () -> seen.add("kept"));
+                });
         assertEquals(next(), "kept");
     }
 }
--- a/node/src/test/java/embershift/transport/SocketOptionsTest.java
+++ b/node/src/test/java/embershift/transport/SocketOptionsTest.java
@@ -3,10 +3,6 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.Loopback;
-import org.testng.annotations.Test;
-import org.xnio.Options;
-import org.xnio.StreamConnection;
-
 import java.io.IOException;
 import java.lang.reflect.Field;
 import java.net.InetAddress;
@@ -15,6 +11,9 @@
 import java.nio.ByteBuffer;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import org.testng.annotations.Test;
+import org.xnio.Options;
+import org.xnio.StreamConnection;
 
 /** What the system is told of each socket that the loop opens or accepts. */
 public class SocketOptionsTest extends Loopback {
@@ -54,15 +53,20 @@
     public void smallWritesOnWhatIsOpenedAndAcceptedWaitForNoAcknowledgement() throws Exception {
         for (boolean shared : new boolean[] {false, true}) {
             CompletableFuture<Link> accepted = new CompletableFuture<>();
-            Loop.Listening listening = loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), shared,
-                    () -> true, accepted::complete);
+            Loop.Listening listening =
+                    loop.listen(
+                            new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                            shared,
+                            () -> true,
+                            accepted::complete);
             talk(listening.address(), "");
             Link link = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
             assertTrue(on(() -> sendsAtOnce(link)));
         }
         ServerSocket host = listening();
         Deaf events = new Deaf();
-        Link opened = on(() -> loop.connect((InetSocketAddress) host.getLocalSocketAddress(), events));
+        Link opened =
+                on(() -> loop.connect((InetSocketAddress) host.getLocalSocketAddress(), events));
         events.up.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
         assertTrue(on(() -> sendsAtOnce(opened)));
     }
--- a/raft/src/main/java/embershift/raft/Entries.java
+++ b/raft/src/main/java/embershift/raft/Entries.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The log in memory: all behind a base, which is the last place whose entry is not here any more. */
+/**
+ * The log in memory: all behind a base, which is the last place whose entry is not here any more.
+ */
 final class Entries {
 
     private long base;
@@ -82,7 +84,10 @@
         return some;
     }
 
-    /** The last place at or before this one whose term is not later than this one; the base at the least. */
+    /**
+     * The last place at or before this one whose term is not later than this one; the base at the
+     * least.
+     */
     long lastNotAfter(long index, long term) {
         long at = Math.min(index, last());
         while (at > base && term(at) > term) {
--- a/raft/src/main/java/embershift/raft/Keeper.java
+++ b/raft/src/main/java/embershift/raft/Keeper.java
@@ -5,14 +5,16 @@
 import embershift.storage.RecordLog;
 import embershift.storage.Sealed;
 import embershift.storage.Snapshots;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 
-/** What a member persists, on a disk: votes and entries in a log, snapshots beside it. One thread; may wait. */
+/**
+ * What a member persists, on a disk: votes and entries in a log, snapshots beside it. One thread;
+ * may wait.
+ */
 public final class Keeper {
 
     private static final byte VOTE = 1;
@@ -20,8 +22,8 @@
     private static final byte RESET = 3;
 
     /** One order of {@link Outside#persist}. */
-    public record Order(long number, Vote vote, Snapshot snapshot, boolean alone, List<Entry> entries) {
-    }
+    public record Order(
+            long number, Vote vote, Snapshot snapshot, boolean alone, List<Entry> entries) {}
 
     /** A file that is there while this member may have lost what it once promised. */
     private static final String DOUBT = "doubt";
@@ -33,6 +35,7 @@
     private long snapshotIndex;
     private Restored restored;
     private long cut;
+
     /** What the log says is not to be gone by, and the log does not say so yet. */
     private boolean resetOwed;
 
@@ -71,7 +74,8 @@
                         Entry entry = Codec.entry(content);
                         put(entries, entry);
                     }
-                    default -> throw new Damaged("a record of kind " + kept.body()[0] + " in the log");
+                    default ->
+                            throw new Damaged("a record of kind " + kept.body()[0] + " in the log");
                 }
             }
             int before = entries.size();
@@ -85,7 +89,8 @@
             }
             restored = new Restored(vote, snapshot, entries, doubt);
         } catch (Codec.Unreadable e) {
-            throw new Damaged("what is on disk is of another program or version: " + e.getMessage());
+            throw new Damaged(
+                    "what is on disk is of another program or version: " + e.getMessage());
         }
     }
 
@@ -96,7 +101,11 @@
             if (entry.index() < first) {
                 entries.clear();
             } else if (entry.index() > first + entries.size()) {
-                throw new Damaged("entry " + entry.index() + " in the log follows entry " + (first + entries.size() - 1));
+                throw new Damaged(
+                        "entry "
+                                + entry.index()
+                                + " in the log follows entry "
+                                + (first + entries.size() - 1));
             } else {
                 entries.subList((int) (entry.index() - first), entries.size()).clear();
             }
@@ -111,7 +120,10 @@
         }
         long first = entries.get(0).index();
         if (first > base + 1) {
-            throw new Damaged("the log begins at entry " + first + ", and there is no snapshot of those before it");
+            throw new Damaged(
+                    "the log begins at entry "
+                            + first
+                            + ", and there is no snapshot of those before it");
         }
         if (base == 0 || first == base + 1) {
             return entries;
@@ -139,7 +151,8 @@
     /**
      * Carries the orders out; all of it is on disk when this returns.
      *
-     * @throws embershift.storage.NoRoom where some or none of it is, and the same orders may be given again
+     * @throws embershift.storage.NoRoom where some or none of it is, and the same orders may be
+     *     given again
      */
     public void keep(List<Order> orders) throws IOException {
         List<RecordLog.Fresh> records = new ArrayList<>();
@@ -154,14 +167,16 @@
             }
             if (order.snapshot != null) {
                 if (order.snapshot.index() > snapshotIndex) {
-                    // What the log says before it must be there first, what it says after it only once the snapshot is.
+                    // What the log says before it must be there first, what it says after it only
+                    // once the snapshot is.
                     flush(records);
                     snapshots.write(order.snapshot.index(), Codec.bytes(order.snapshot));
                     snapshotIndex = order.snapshot.index();
                     dropTo = snapshotIndex;
                 }
                 if (order.alone) {
-                    // Also where the snapshot was written by an earlier try, which found no room for this.
+                    // Also where the snapshot was written by an earlier try, which found no room
+                    // for this.
                     records.add(record(order.snapshot.index(), RESET, new byte[0]));
                 }
             }
@@ -189,7 +204,8 @@
     }
 
     private static RecordLog.Fresh record(long mark, byte kind, byte[] content) {
-        return new RecordLog.Fresh(mark, ByteBuffer.allocate(1 + content.length).put(kind).put(content).array());
+        return new RecordLog.Fresh(
+                mark, ByteBuffer.allocate(1 + content.length).put(kind).put(content).array());
     }
 
     /** What was in doubt is made good, by the orders carried out until now. */
--- a/raft/src/main/java/embershift/raft/MemberId.java
+++ b/raft/src/main/java/embershift/raft/MemberId.java
@@ -1,6 +1,9 @@
 package embershift.raft;
 
-/** One instance with one folder: an instance that lost its folder comes back under another. 0 is nobody's. */
+/**
+ * One instance with one folder: an instance that lost its folder comes back under another. 0 is
+ * nobody's.
+ */
 public record MemberId(long number) implements Comparable<MemberId> {
 
     @Override
--- a/raft/src/main/java/embershift/raft/Members.java
+++ b/raft/src/main/java/embershift/raft/Members.java
@@ -17,7 +17,11 @@
 
     private Members(TreeMap<MemberId, Member> all) {
         this.all = all;
-        voters = all.values().stream().filter(member -> member.role() == Member.Role.VOTER).map(Member::id).toList();
+        voters =
+                all.values().stream()
+                        .filter(member -> member.role() == Member.Role.VOTER)
+                        .map(Member::id)
+                        .toList();
     }
 
     public static Members of(Collection<Member> members) {
@@ -50,7 +54,10 @@
 
     /** Null where there is none of that name. */
     public Member named(String name) {
-        return all.values().stream().filter(member -> member.name().equals(name)).findFirst().orElse(null);
+        return all.values().stream()
+                .filter(member -> member.name().equals(name))
+                .findFirst()
+                .orElse(null);
     }
 
     public List<MemberId> voters() {
--- a/raft/src/main/java/embershift/raft/Outside.java
+++ b/raft/src/main/java/embershift/raft/Outside.java
@@ -5,17 +5,24 @@
 /** What a member of the group has done for it. None of these may call back. */
 public interface Outside {
 
-    /** May be lost, late, doubled and reordered; never changed, and never handed to a later run of the receiver. */
+    /**
+     * May be lost, late, doubled and reordered; never changed, and never handed to a later run of
+     * the receiver.
+     */
     void send(MemberId to, Message message);
 
     /**
-     * To be on disk, in the order of the numbers; {@link Raft#durable} is owed for each. A null {@code vote} or
-     * {@code snapshot} changes nothing there. An entry takes the place of the one at its index and of all behind it. A
-     * snapshot comes before the entries; with {@code alone}, it takes the place of the whole log.
+     * To be on disk, in the order of the numbers; {@link Raft#durable} is owed for each. A null
+     * {@code vote} or {@code snapshot} changes nothing there. An entry takes the place of the one
+     * at its index and of all behind it. A snapshot comes before the entries; with {@code alone},
+     * it takes the place of the whole log.
      */
     void persist(long number, Vote vote, Snapshot snapshot, boolean alone, List<Entry> entries);
 
-    /** What this member was in doubt of is on disk again; until this is, too, a start finds it in doubt. */
+    /**
+     * What this member was in doubt of is on disk again; until this is, too, a start finds it in
+     * doubt.
+     */
     void sure();
 
     /** Agreed: each place once, in order, from the first behind the last {@code restore} on. */
--- a/raft/src/main/java/embershift/raft/Raft.java
+++ b/raft/src/main/java/embershift/raft/Raft.java
@@ -12,20 +12,37 @@
 import java.util.TreeMap;
 
 /**
- * One member of a group that agrees on a log: Raft as of Ongaro's thesis (2014), with votes asked for ahead (9.6), a leader
- * that steps down without a majority (6.2), reads by a round of heartbeats (6.4), hand-over (3.10) and changes of one
- * member at a time (4.1), the last with its correction: none before an entry of the own term is agreed.
+ * One member of a group that agrees on a log: Raft as of Ongaro's thesis (2014), with votes asked
+ * for ahead (9.6), a leader that steps down without a majority (6.2), reads by a round of
+ * heartbeats (6.4), hand-over (3.10) and changes of one member at a time (4.1), the last with its
+ * correction: none before an entry of the own term is agreed.
  *
- * <p>No I/O, no clock, no threads: fed ticks, messages and the news of what is on disk. Nothing is promised to others
- * before it is on disk.
+ * <p>No I/O, no clock, no threads: fed ticks, messages and the news of what is on disk. Nothing is
+ * promised to others before it is on disk.
  */
 public final class Raft {
 
     /** What a member is just now. */
-    public enum Role { FOLLOWER, LOOKING_AHEAD, CANDIDATE, LEADER }
+    public enum Role {
+        FOLLOWER,
+        LOOKING_AHEAD,
+        CANDIDATE,
+        LEADER
+    }
 
     /** Why something was not taken. */
-    public enum Refusal { NOT_LEADER, HANDING_OVER, TOO_MUCH, TOO_LARGE, NOT_YET, ALREADY, NAME_TAKEN, NO_SUCH_MEMBER, LAST_VOTER, TOO_FEW }
+    public enum Refusal {
+        NOT_LEADER,
+        HANDING_OVER,
+        TOO_MUCH,
+        TOO_LARGE,
+        NOT_YET,
+        ALREADY,
+        NAME_TAKEN,
+        NO_SUCH_MEMBER,
+        LAST_VOTER,
+        TOO_FEW
+    }
 
     /** What became of a proposal: the place it was given, or a refusal with {@code index} 0. */
     public record Taken(long index, long term, Refusal refusal) {
@@ -34,14 +51,11 @@
         }
     }
 
-    private record Batch(long number, int tick) {
-    }
+    private record Batch(long number, int tick) {}
 
-    private record Promise(long number, Runnable kept) {
-    }
+    private record Promise(long number, Runnable kept) {}
 
-    private record Reading(long ticket, long index) {
-    }
+    private record Reading(long ticket, long index) {}
 
     private final MemberId self;
     private final Pace pace;
@@ -56,15 +70,19 @@
     private MemberId leader;
     private final Entries log;
     private Snapshot snapshot;
+
     /** The members as of the places where they changed; the last ones hold, agreed or not. */
     private final TreeMap<Long, Members> memberships = new TreeMap<>();
+
     private long commit;
     private long handedOut;
     private boolean doubtful;
 
     private int ticks;
+
     /** Ticks since a leader was heard, or since this member last stood. */
     private int quiet;
+
     private int patience;
     private final Set<MemberId> granted = new HashSet<>();
     private final Set<MemberId> denied = new HashSet<>();
@@ -72,8 +90,13 @@
     private long issued;
     private final Deque<Batch> outstanding = new ArrayDeque<>();
     private final Deque<Promise> promises = new ArrayDeque<>();
-    /** The last place on disk here; of each outstanding batch, the last place that it will bring there. */
+
+    /**
+     * The last place on disk here; of each outstanding batch, the last place that it will bring
+     * there.
+     */
     private long onDisk;
+
     private final TreeMap<Long, Long> reaching = new TreeMap<>();
 
     private final TreeMap<MemberId, Progress> others = new TreeMap<>();
@@ -90,11 +113,19 @@
 
     private Install partial;
 
-    private record Install(long index, long term, int sum, byte[] data, int[] have) {
-    }
+    private record Install(long index, long term, int sum, byte[] data, int[] have) {}
 
-    /** {@code run}: another number at each start of this member; {@code seed}: of all its chance. */
-    public Raft(MemberId self, Pace pace, Bounds bounds, Restored restored, long run, long seed, Outside outside) {
+    /**
+     * {@code run}: another number at each start of this member; {@code seed}: of all its chance.
+     */
+    public Raft(
+            MemberId self,
+            Pace pace,
+            Bounds bounds,
+            Restored restored,
+            long run,
+            long seed,
+            Outside outside) {
         this.self = self;
         this.pace = pace;
         this.bounds = bounds;
@@ -274,7 +305,11 @@
             if (message instanceof Message.AskReply reply && reply.ahead() && reply.granted()) {
                 return true;
             }
-            follow(message.term(), message instanceof Message.Append || message instanceof Message.Install ? from : null);
+            follow(
+                    message.term(),
+                    message instanceof Message.Append || message instanceof Message.Install
+                            ? from
+                            : null);
             return true;
         }
         if (message.term() < term) {
@@ -294,7 +329,10 @@
     private void persist(boolean vote, Snapshot whole, boolean alone, List<Entry> entries) {
         long number = ++issued;
         outstanding.add(new Batch(number, ticks));
-        long reached = entries.isEmpty() ? whole == null ? 0 : whole.index() : entries.get(entries.size() - 1).index();
+        long reached =
+                entries.isEmpty()
+                        ? whole == null ? 0 : whole.index()
+                        : entries.get(entries.size() - 1).index();
         if (reached > 0) {
             reaching.put(number, reached);
         }
@@ -331,7 +369,8 @@
     // Elections.
 
     private void follow(long newTerm, MemberId newLeader) {
-        boolean news = newTerm > term || role != Role.FOLLOWER || !Objects.equals(leader, newLeader);
+        boolean news =
+                newTerm > term || role != Role.FOLLOWER || !Objects.equals(leader, newLeader);
         if (newTerm > term) {
             term = newTerm;
             votedFor = null;
@@ -398,13 +437,14 @@
         long now = term;
         persist(true, null, false, List.of());
         outside.follows(term, null);
-        onceDurable(() -> {
-            if (term == now && role == Role.CANDIDATE) {
-                ask(new Message.Ask(term, log.last(), log.lastTerm(), false, forced));
-                granted.add(self);
-                count();
-            }
-        });
+        onceDurable(
+                () -> {
+                    if (term == now && role == Role.CANDIDATE) {
+                        ask(new Message.Ask(term, log.last(), log.lastTerm(), false, forced));
+                        granted.add(self);
+                        count();
+                    }
+                });
     }
 
     private void count() {
@@ -420,9 +460,13 @@
     }
 
     private void asked(MemberId from, Message.Ask ask) {
-        boolean free = ask.ahead() && ask.term() > term || from.equals(votedFor) || votedFor == null && leader == null;
-        boolean current = ask.lastTerm() > log.lastTerm()
-                || ask.lastTerm() == log.lastTerm() && ask.lastIndex() >= log.last();
+        boolean free =
+                ask.ahead() && ask.term() > term
+                        || from.equals(votedFor)
+                        || votedFor == null && leader == null;
+        boolean current =
+                ask.lastTerm() > log.lastTerm()
+                        || ask.lastTerm() == log.lastTerm() && ask.lastIndex() >= log.last();
         if (!free || !current || doubtful || role == Role.LEADER) {
             promise(from, new Message.AskReply(term, false, ask.ahead()));
         } else if (ask.ahead()) {
@@ -438,8 +482,11 @@
     }
 
     private void answered(MemberId from, Message.AskReply reply) {
-        boolean mine = reply.ahead() ? role == Role.LOOKING_AHEAD && (!reply.granted() || reply.term() == term + 1)
-                : role == Role.CANDIDATE;
+        boolean mine =
+                reply.ahead()
+                        ? role == Role.LOOKING_AHEAD
+                                && (!reply.granted() || reply.term() == term + 1)
+                        : role == Role.CANDIDATE;
         if (mine) {
             (reply.granted() ? granted : denied).add(from);
             count();
@@ -474,7 +521,10 @@
         }
         if (++sinceCheck >= pace.election()) {
             sinceCheck = 0;
-            long heard = members().voters().stream().filter(id -> id.equals(self) || others.get(id).heard).count();
+            long heard =
+                    members().voters().stream()
+                            .filter(id -> id.equals(self) || others.get(id).heard)
+                            .count();
             if (heard < members().majority()) {
                 follow(term, null);
                 return;
@@ -493,24 +543,28 @@
 
     private void beat() {
         sinceBeat = 0;
-        others.forEach((id, progress) -> {
-            if (progress.way == Progress.Way.SNAPSHOT) {
-                outside.send(id, new Message.Append(term, 0, 0, List.of(), 0, log.last(), round));
-                if (progress.sincePiece >= pace.election()) {
-                    piece(id, progress);
-                }
-            } else if (progress.way == Progress.Way.PROBING) {
-                progress.waits = false;
-                advance(id, progress);
-            } else {
-                // Refused where what was sent ahead got lost.
-                outside.send(id, appendAfter(progress.next - 1, List.of()));
-            }
-        });
+        others.forEach(
+                (id, progress) -> {
+                    if (progress.way == Progress.Way.SNAPSHOT) {
+                        outside.send(
+                                id,
+                                new Message.Append(term, 0, 0, List.of(), 0, log.last(), round));
+                        if (progress.sincePiece >= pace.election()) {
+                            piece(id, progress);
+                        }
+                    } else if (progress.way == Progress.Way.PROBING) {
+                        progress.waits = false;
+                        advance(id, progress);
+                    } else {
+                        // Refused where what was sent ahead got lost.
+                        outside.send(id, appendAfter(progress.next - 1, List.of()));
+                    }
+                });
     }
 
     private Message.Append appendAfter(long before, List<Entry> entries) {
-        return new Message.Append(term, before, log.term(before), entries, commit, log.last(), round);
+        return new Message.Append(
+                term, before, log.term(before), entries, commit, log.last(), round);
     }
 
     /** Those that join become voters once they have all. */
@@ -520,9 +574,13 @@
         }
         for (Member member : members().all()) {
             Progress progress = others.get(member.id());
-            if (member.role() == Member.Role.JOINING && progress != null && progress.heard
+            if (member.role() == Member.Role.JOINING
+                    && progress != null
+                    && progress.heard
                     && progress.match >= Math.max(commit, firstOfTerm)) {
-                extend(Entry.Kind.MEMBERS, Codec.bytes(members().with(member.as(Member.Role.VOTER))));
+                extend(
+                        Entry.Kind.MEMBERS,
+                        Codec.bytes(members().with(member.as(Member.Role.VOTER))));
                 return;
             }
         }
@@ -580,10 +638,22 @@
     private void piece(MemberId id, Progress progress) {
         Snapshot whole = progress.snapshot;
         int from = (int) progress.offset;
-        byte[] piece = Arrays.copyOfRange(whole.data(), from, Math.min(whole.data().length, from + bounds.chunk()));
+        byte[] piece =
+                Arrays.copyOfRange(
+                        whole.data(), from, Math.min(whole.data().length, from + bounds.chunk()));
         progress.sincePiece = 0;
-        outside.send(id, new Message.Install(term, whole.index(), whole.term(), whole.members(), from, piece,
-                whole.data().length, whole.sum(), round));
+        outside.send(
+                id,
+                new Message.Install(
+                        term,
+                        whole.index(),
+                        whole.term(),
+                        whole.members(),
+                        from,
+                        piece,
+                        whole.data().length,
+                        whole.sum(),
+                        round));
     }
 
     private Progress heard(MemberId from, long itsRun, long itsRound) {
@@ -612,8 +682,10 @@
         if (reply.ok()) {
             boolean further = reply.index() > progress.match;
             progress.acknowledged(reply.index());
-            if (progress.way == Progress.Way.PROBING && reply.index() > 0 || further && progress.way == Progress.Way.SNAPSHOT
-                    && progress.match >= progress.snapshot.index()) {
+            if (progress.way == Progress.Way.PROBING && reply.index() > 0
+                    || further
+                            && progress.way == Progress.Way.SNAPSHOT
+                            && progress.match >= progress.snapshot.index()) {
                 progress.probe(progress.match + 1);
                 progress.way = Progress.Way.AHEAD;
             }
@@ -624,7 +696,8 @@
                 advance(from, progress);
                 handOver();
             }
-        } else if (progress.way != Progress.Way.SNAPSHOT && reply.index() > progress.match
+        } else if (progress.way != Progress.Way.SNAPSHOT
+                && reply.index() > progress.match
                 && (progress.way == Progress.Way.AHEAD || reply.index() == progress.next - 1)) {
             long agreed = log.lastNotAfter(reply.hint(), reply.hintTerm());
             progress.probe(Math.min(reply.index(), agreed + 1));
@@ -635,7 +708,9 @@
 
     private void installed(MemberId from, Message.InstallReply reply) {
         Progress progress = heard(from, reply.run(), reply.round());
-        if (progress != null && progress.way == Progress.Way.SNAPSHOT && progress.snapshot.index() == reply.index()
+        if (progress != null
+                && progress.way == Progress.Way.SNAPSHOT
+                && progress.snapshot.index() == reply.index()
                 && reply.offset() < progress.snapshot.data().length) {
             progress.offset = reply.offset();
             piece(from, progress);
@@ -643,7 +718,9 @@
         read();
     }
 
-    /** What a majority has on disk is agreed, if it is of this term, and all before it with that. */
+    /**
+     * What a majority has on disk is agreed, if it is of this term, and all before it with that.
+     */
     private void agree() {
         List<MemberId> voters = members().voters();
         long[] places = voters.stream().mapToLong(this::matchOf).sorted().toArray();
@@ -660,13 +737,21 @@
             if (!members().votes(self) && memberships.lastKey() <= commit) {
                 // It has led its own removal to the end; the others are to hear of that.
                 beat();
-                others.forEach((id, progress) -> outside.send(id, appendAfter(Math.min(progress.match, commit), List.of())));
-                Progress best = others.values().stream().max((one, other) -> Long.compare(one.match, other.match)).orElse(null);
-                others.forEach((id, progress) -> {
-                    if (progress == best) {
-                        outside.send(id, new Message.Stand(term));
-                    }
-                });
+                others.forEach(
+                        (id, progress) ->
+                                outside.send(
+                                        id,
+                                        appendAfter(Math.min(progress.match, commit), List.of())));
+                Progress best =
+                        others.values().stream()
+                                .max((one, other) -> Long.compare(one.match, other.match))
+                                .orElse(null);
+                others.forEach(
+                        (id, progress) -> {
+                            if (progress == best) {
+                                outside.send(id, new Message.Stand(term));
+                            }
+                        });
                 follow(term, null);
                 return;
             }
@@ -691,7 +776,9 @@
     }
 
     private Refusal refusal() {
-        return role != Role.LEADER ? Refusal.NOT_LEADER : heir != null ? Refusal.HANDING_OVER : null;
+        return role != Role.LEADER
+                ? Refusal.NOT_LEADER
+                : heir != null ? Refusal.HANDING_OVER : null;
     }
 
     /** Takes one member in, as one that joins or as a learner. */
@@ -724,15 +811,23 @@
         return change(refusal, members().without(id));
     }
 
-    /** Whether a majority of those that were left is here and up to date: else the group could lose itself by the change. */
+    /**
+     * Whether a majority of those that were left is here and up to date: else the group could lose
+     * itself by the change.
+     */
     private boolean bears(Members left) {
-        return left.voters().stream().filter(id -> heardOf(id) && (id.equals(self) || matchOf(id) >= commit)).count()
+        return left.voters().stream()
+                        .filter(id -> heardOf(id) && (id.equals(self) || matchOf(id) >= commit))
+                        .count()
                 >= left.majority();
     }
 
     private Taken change(Refusal early, Members changed) {
         Refusal refusal = early == null && changing() ? Refusal.NOT_YET : early;
-        Taken taken = refusal == null ? extend(Entry.Kind.MEMBERS, Codec.bytes(changed)) : Taken.not(refusal);
+        Taken taken =
+                refusal == null
+                        ? extend(Entry.Kind.MEMBERS, Codec.bytes(changed))
+                        : Taken.not(refusal);
         handOut();
         return taken;
     }
@@ -744,7 +839,12 @@
         }
         term = 1;
         persist(true, null, false, List.of());
-        Entry entry = new Entry(1, 1, Entry.Kind.MEMBERS, Codec.bytes(Members.of(List.of(first.as(Member.Role.VOTER)))));
+        Entry entry =
+                new Entry(
+                        1,
+                        1,
+                        Entry.Kind.MEMBERS,
+                        Codec.bytes(Members.of(List.of(first.as(Member.Role.VOTER)))));
         add(entry);
         persist(false, null, false, List.of(entry));
         quiet = patience;
@@ -775,7 +875,9 @@
         MemberId best = null;
         for (MemberId voter : members().voters()) {
             Progress progress = others.get(voter);
-            if (progress != null && progress.heard && (best == null || progress.match > others.get(best).match)) {
+            if (progress != null
+                    && progress.heard
+                    && (best == null || progress.match > others.get(best).match)) {
                 best = voter;
             }
         }
@@ -802,7 +904,8 @@
     /** One round of heartbeats at a time, for all reads that came before it. */
     private void startReading() {
         if (!reading.isEmpty() || nextReading.isEmpty() || commit < firstOfTerm) {
-            // A leader that has agreed on nothing in its term may not know all that was agreed before.
+            // A leader that has agreed on nothing in its term may not know all that was agreed
+            // before.
             return;
         }
         reading = nextReading.stream().map(each -> new Reading(each.ticket, commit)).toList();
@@ -814,8 +917,10 @@
 
     private void read() {
         while (!reading.isEmpty() && role == Role.LEADER) {
-            long have = members().voters().stream().filter(id -> id.equals(self)
-                    || others.get(id).round >= readingRound).count();
+            long have =
+                    members().voters().stream()
+                            .filter(id -> id.equals(self) || others.get(id).round >= readingRound)
+                            .count();
             if (have < members().majority()) {
                 return;
             }
@@ -839,10 +944,14 @@
         }
         follow(term, from);
         long before = message.before();
-        if (before > log.last() || before >= log.base() && log.term(before) != message.beforeTerm()) {
+        if (before > log.last()
+                || before >= log.base() && log.term(before) != message.beforeTerm()) {
             long hint = Math.min(before, log.last());
             hint = log.lastNotAfter(hint, message.beforeTerm());
-            promise(from, new Message.AppendReply(term, false, before, hint, log.term(hint), message.round(), run));
+            promise(
+                    from,
+                    new Message.AppendReply(
+                            term, false, before, hint, log.term(hint), message.round(), run));
             return;
         }
         List<Entry> fresh = new ArrayList<>();
@@ -852,7 +961,8 @@
             }
             if (entry.index() <= log.last() && log.term(entry.index()) != entry.term()) {
                 if (entry.index() <= commit) {
-                    throw new IllegalStateException("entry " + entry.index() + " was agreed otherwise");
+                    throw new IllegalStateException(
+                            "entry " + entry.index() + " was agreed otherwise");
                 }
                 cutFrom(entry.index());
             }
@@ -867,12 +977,13 @@
         long match = before + message.entries().size();
         commit = Math.max(commit, Math.min(message.commit(), match));
         if (doubtful && match >= message.last()) {
-            onceDurable(() -> {
-                if (doubtful) {
-                    doubtful = false;
-                    outside.sure();
-                }
-            });
+            onceDurable(
+                    () -> {
+                        if (doubtful) {
+                            doubtful = false;
+                            outside.sure();
+                        }
+                    });
         }
         promise(from, new Message.AppendReply(term, true, match, 0, 0, message.round(), run));
     }
@@ -883,26 +994,52 @@
         }
         follow(term, from);
         if (message.index() <= commit) {
-            promise(from, new Message.AppendReply(term, true, message.index(), 0, 0, message.round(), run));
+            promise(
+                    from,
+                    new Message.AppendReply(
+                            term, true, message.index(), 0, 0, message.round(), run));
             return;
         }
         if (message.size() > bounds.snapshot()) {
             return;
         }
-        if (partial == null || partial.index != message.index() || partial.term != message.indexTerm()
-                || partial.sum != message.sum() || partial.data.length != message.size()) {
-            partial = new Install(message.index(), message.indexTerm(), message.sum(), new byte[message.size()], new int[1]);
+        if (partial == null
+                || partial.index != message.index()
+                || partial.term != message.indexTerm()
+                || partial.sum != message.sum()
+                || partial.data.length != message.size()) {
+            partial =
+                    new Install(
+                            message.index(),
+                            message.indexTerm(),
+                            message.sum(),
+                            new byte[message.size()],
+                            new int[1]);
         }
         int have = partial.have[0];
         if (message.offset() <= have && message.offset() + message.piece().length > have) {
-            System.arraycopy(message.piece(), 0, partial.data, (int) message.offset(), message.piece().length);
+            System.arraycopy(
+                    message.piece(),
+                    0,
+                    partial.data,
+                    (int) message.offset(),
+                    message.piece().length);
             partial.have[0] = (int) message.offset() + message.piece().length;
         }
         if (partial.have[0] < message.size()) {
-            promise(from, new Message.InstallReply(term, message.index(), partial.have[0], message.round(), run));
+            promise(
+                    from,
+                    new Message.InstallReply(
+                            term, message.index(), partial.have[0], message.round(), run));
             return;
         }
-        Snapshot whole = new Snapshot(message.index(), message.indexTerm(), message.members(), partial.data, message.sum());
+        Snapshot whole =
+                new Snapshot(
+                        message.index(),
+                        message.indexTerm(),
+                        message.members(),
+                        partial.data,
+                        message.sum());
         partial = null;
         if (Snapshot.sum(whole.data()) != whole.sum()) {
             promise(from, new Message.InstallReply(term, message.index(), 0, message.round(), run));
@@ -924,30 +1061,33 @@
         handedOut = whole.index();
         persist(false, whole, alone, List.of());
         outside.restore(whole);
-        promise(from, new Message.AppendReply(term, true, whole.index(), 0, 0, message.round(), run));
+        promise(
+                from,
+                new Message.AppendReply(term, true, whole.index(), 0, 0, message.round(), run));
     }
 
     /**
-     * A snapshot of this member's own state after an entry that was handed out: it is kept, and once that is on disk the
-     * log before it goes, but for a trail.
+     * A snapshot of this member's own state after an entry that was handed out: it is kept, and
+     * once that is on disk the log before it goes, but for a trail.
      */
     public void compact(Snapshot whole) {
         if (whole.index() <= (snapshot == null ? 0 : snapshot.index())) {
             return;
         }
         persist(false, whole, false, List.of());
-        onceDurable(() -> {
-            if (snapshot == null || whole.index() > snapshot.index()) {
-                snapshot = whole;
-                long through = Math.min(whole.index(), log.last()) - bounds.trail();
-                if (through > log.base()) {
-                    Members then = members(through);
-                    log.dropThrough(through);
-                    memberships.headMap(through, true).clear();
-                    memberships.put(through, then);
-                }
-            }
-        });
+        onceDurable(
+                () -> {
+                    if (snapshot == null || whole.index() > snapshot.index()) {
+                        snapshot = whole;
+                        long through = Math.min(whole.index(), log.last()) - bounds.trail();
+                        if (through > log.base()) {
+                            Members then = members(through);
+                            log.dropThrough(through);
+                            memberships.headMap(through, true).clear();
+                            memberships.put(through, then);
+                        }
+                    }
+                });
         handOut();
     }
 
--- a/raft/src/main/java/embershift/raft/Vote.java
+++ b/raft/src/main/java/embershift/raft/Vote.java
@@ -1,5 +1,4 @@
 package embershift.raft;
 
 /** What a member must not forget: its term, and whom it gave its vote in it, or null. */
-public record Vote(long term, MemberId candidate) {
-}
+public record Vote(long term, MemberId candidate) {}
--- a/rig/src/main/java/embershift/rig/Main.java
+++ b/rig/src/main/java/embershift/rig/Main.java
@@ -12,12 +12,11 @@
 import embershift.rig.process.Measure;
 import embershift.rig.process.Play;
 import embershift.rig.process.Schedule;
-import embershift.rig.scale.Scale;
 import embershift.rig.process.Starts;
+import embershift.rig.scale.Scale;
 import embershift.rig.world.FleetWorld;
 import embershift.rig.world.ReleaseWorld;
 import embershift.rig.world.Worlds;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,8 +32,7 @@
     private static final int USAGE = 2;
     private static final long SHRINKING_NS = 600_000_000_000L;
 
-    private Main() {
-    }
+    private Main() {}
 
     private interface Command {
         int run() throws IOException, Schedule.Unreadable;
@@ -57,8 +55,12 @@
     }
 
     private static int told(Play.Report report, Path folder) throws IOException {
-        System.out.printf("%s seed %d: %s, all in step after %.2f s%n", report.schedule(), report.seed(),
-                report.broken() == null ? "nothing broken" : "BROKEN", report.healed());
+        System.out.printf(
+                "%s seed %d: %s, all in step after %.2f s%n",
+                report.schedule(),
+                report.seed(),
+                report.broken() == null ? "nothing broken" : "BROKEN",
+                report.healed());
         System.out.println(report.reached());
         if (report.broken() == null) {
             Instances.delete(folder);
@@ -69,7 +71,9 @@
         return BROKEN;
     }
 
-    @Parameters(commandDescription = "Plays random schedules; one that breaks something is shrunk and written as a file")
+    @Parameters(
+            commandDescription =
+                    "Plays random schedules; one that breaks something is shrunk and written as a file")
     private static final class Hunt implements Command {
         @Parameter(names = "--minutes", description = "How long")
         double minutes = 10;
@@ -98,11 +102,14 @@
             return 0;
         }
 
-        /** Real processes: the same schedule may break once and not again, so what can't be left out stays. */
+        /**
+         * Real processes: the same schedule may break once and not again, so what can't be left out
+         * stays.
+         */
         private static Schedule shrunk(Schedule schedule, long seed) throws IOException {
             Schedule small = schedule;
             long until = System.nanoTime() + SHRINKING_NS;
-            for (int i = 0; i < small.fault().size() && System.nanoTime() < until;) {
+            for (int i = 0; i < small.fault().size() && System.nanoTime() < until; ) {
                 List<Schedule.Fault> fewer = new ArrayList<>(small.fault());
                 fewer.remove(i);
                 Path folder = Files.createTempDirectory("rig");
@@ -136,7 +143,9 @@
         @Parameter(names = "--times", description = "How often each fault is tried")
         int times = 20;
 
-        @Parameter(names = "--revisions", description = "How many an instance that was away has to catch up on")
+        @Parameter(
+                names = "--revisions",
+                description = "How many an instance that was away has to catch up on")
         int revisions = 100_000;
 
         @Override
@@ -146,7 +155,9 @@
         }
     }
 
-    @Parameters(commandDescription = "Simulated fleets and releases: nodes, owners and whoever starts things anew, with faults between them")
+    @Parameters(
+            commandDescription =
+                    "Simulated fleets and releases: nodes, owners and whoever starts things anew, with faults between them")
     private static final class Fleets implements Command {
         @Parameter(names = "--worlds", description = "How many of each")
         long worlds = 1000;
@@ -158,7 +169,10 @@
         public int run() {
             for (long from = seed; from < seed + worlds; from += 1000) {
                 long many = Math.min(1000, seed + worlds - from);
-                for (String broken : new String[] {FleetWorld.firstBroken(from, many), ReleaseWorld.firstBroken(from, many)}) {
+                for (String broken :
+                        new String[] {
+                            FleetWorld.firstBroken(from, many), ReleaseWorld.firstBroken(from, many)
+                        }) {
                     if (broken != null) {
                         System.out.println(broken);
                         return BROKEN;
@@ -170,7 +184,9 @@
         }
     }
 
-    @Parameters(commandDescription = "Fleets of processes under faults drawn from seeds; exit 1 where something was broken")
+    @Parameters(
+            commandDescription =
+                    "Fleets of processes under faults drawn from seeds; exit 1 where something was broken")
     private static final class FleetHunt implements Command {
         @Parameter(names = "--minutes", description = "How long")
         double minutes = 10;
@@ -193,8 +209,12 @@
             for (long each = seed; System.nanoTime() < until; each++) {
                 Path folder = Files.createTempDirectory("rig");
                 FleetPlay.Report report = FleetPlay.play(each, lasts, instances, nodes, folder);
-                System.out.printf("seed %d: %s, all current after %.2f s%n%s%n", each,
-                        report.broken() == null ? "nothing broken" : "BROKEN", report.healed(), report.reached());
+                System.out.printf(
+                        "seed %d: %s, all current after %.2f s%n%s%n",
+                        each,
+                        report.broken() == null ? "nothing broken" : "BROKEN",
+                        report.healed(),
+                        report.reached());
                 if (report.broken() != null) {
                     System.out.println(report.broken() + "\nwhat is left of the run: " + folder);
                     return BROKEN;
@@ -205,7 +225,8 @@
         }
     }
 
-    @Parameters(commandDescription = "The figures of docs/duties.md and docs/audit.md, on this machine")
+    @Parameters(
+            commandDescription = "The figures of docs/duties.md and docs/audit.md, on this machine")
     private static final class FleetFigures implements Command {
         @Parameter(names = "--nodes", description = "How many nodes, each a process")
         int nodes = 10;
@@ -223,7 +244,9 @@
         }
     }
 
-    @Parameters(commandDescription = "FILE: how costs grow with the fleet, the figures of docs/CAPACITY.md; exit 1 where it is not whole")
+    @Parameters(
+            commandDescription =
+                    "FILE: how costs grow with the fleet, the figures of docs/CAPACITY.md; exit 1 where it is not whole")
     private static final class Scales implements Command {
         @Parameter(description = "FILE", required = true)
         List<String> files = new ArrayList<>();
@@ -237,7 +260,11 @@
         @Override
         public int run() throws IOException {
             try {
-                Scale.End end = Scale.run(Path.of(files.get(0)), json, report == null ? null : Path.of(report));
+                Scale.End end =
+                        Scale.run(
+                                Path.of(files.get(0)),
+                                json,
+                                report == null ? null : Path.of(report));
                 if (!end.whole()) {
                     System.err.println(end.why());
                 }
@@ -248,28 +275,41 @@
         }
     }
 
-    @Parameters(commandDescription = "How long nodes take until they are ready, many started at once, whatever discovery does; exit 1 "
-            + "where fewer than nine in ten are within 10 s")
+    @Parameters(
+            commandDescription =
+                    "How long nodes take until they are ready, many started at once, whatever discovery does; exit 1 "
+                            + "where fewer than nine in ten are within 10 s")
     private static final class StartTimes implements Command {
-        @Parameter(names = "--times", description = "How many starts at least; each round is played whole")
+        @Parameter(
+                names = "--times",
+                description = "How many starts at least; each round is played whole")
         int times = 100;
 
         @Parameter(names = "--together", description = "How many at once")
         int together = 30;
 
-        @Parameter(names = "--hosts", description = "How many hosts stand in the list that they start with")
+        @Parameter(
+                names = "--hosts",
+                description = "How many hosts stand in the list that they start with")
         int hosts = 90;
 
-        @Parameter(names = "--discovery", description = "What discovery does: sound, refused, silent, slow, half, endless; dealt out in turn")
+        @Parameter(
+                names = "--discovery",
+                description =
+                        "What discovery does: sound, refused, silent, slow, half, endless; dealt out in turn")
         List<FirstDiscovery.Kind> discovery = List.of(FirstDiscovery.Kind.values());
 
-        @Parameter(names = "--deployment", description = "The file whose run starts a node, from the folder that this is called in")
+        @Parameter(
+                names = "--deployment",
+                description =
+                        "The file whose run starts a node, from the folder that this is called in")
         String deployment = "deploy/balancer.toml";
 
         @Override
         public int run() throws IOException, Schedule.Unreadable {
             if (times < 1 || together < 1 || together > 100 || hosts < 1 || hosts > 500) {
-                throw new ParameterException("--times takes 1 or more, --together 1 to 100, --hosts 1 to 500");
+                throw new ParameterException(
+                        "--times takes 1 or more, --together 1 to 100, --hosts 1 to 500");
             }
             List<String> line = List.of("bash", "-c", Starts.platforms(Path.of(deployment)));
             Path folder = Files.createTempDirectory("rig");
@@ -290,7 +330,10 @@
 
     /** Of the program, and of each command. */
     private static final class Help {
-        @Parameter(names = {"--help", "-h"}, description = "Say what there is", help = true)
+        @Parameter(
+                names = {"--help", "-h"},
+                description = "Say what there is",
+                help = true)
         private boolean wanted;
     }
 
@@ -301,7 +344,8 @@
     /** The exit status. */
     public static int run(String[] args) {
         Help help = new Help();
-        JCommander line = JCommander.newBuilder().programName("embershift-rig").addObject(help).build();
+        JCommander line =
+                JCommander.newBuilder().programName("embershift-rig").addObject(help).build();
         Map<String, Command> commands = new LinkedHashMap<>();
         commands.put("play", new PlayIt());
         commands.put("hunt", new Hunt());
@@ -316,11 +360,15 @@
         try {
             line.parse(args);
             if (help.wanted) {
-                (line.getParsedCommand() == null ? line : line.getCommands().get(line.getParsedCommand())).usage();
+                (line.getParsedCommand() == null
+                                ? line
+                                : line.getCommands().get(line.getParsedCommand()))
+                        .usage();
                 return 0;
             }
             if (line.getParsedCommand() == null) {
-                throw new ParameterException("a command is wanted: " + String.join(", ", commands.keySet()));
+                throw new ParameterException(
+                        "a command is wanted: " + String.join(", ", commands.keySet()));
             }
             return commands.get(line.getParsedCommand()).run();
         } catch (ParameterException | Schedule.Unreadable e) {
--- a/rig/src/main/java/embershift/rig/Mutation.java
+++ b/rig/src/main/java/embershift/rig/Mutation.java
@@ -14,19 +14,21 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-
 import javax.tools.JavaCompiler;
 import javax.tools.ToolProvider;
 
 /**
- * A known mistake put into the program: one text of one source file replaced by another, and compiled beside the rest. A
- * checker that does not catch it proves nothing by its silence.
+ * A known mistake put into the program: one text of one source file replaced by another, and
+ * compiled beside the rest. A checker that does not catch it proves nothing by its silence.
  */
 public final class Mutation implements AutoCloseable {
 
     private final Path folder;
 
-    /** @throws IllegalArgumentException where the text does not stand there exactly once, or does not compile */
+    /**
+     * @throws IllegalArgumentException where the text does not stand there exactly once, or does
+     *     not compile
+     */
     public Mutation(Path source, String from, String to) throws IOException {
         String text = Files.readString(source, StandardCharsets.UTF_8);
         Matcher found = anyLayout(from).matcher(text);
@@ -35,18 +37,37 @@
         }
         folder = Files.createTempDirectory("mutation");
         Path changed = folder.resolve(source.getFileName());
-        Files.writeString(changed, anyLayout(from).matcher(text).replaceFirst(Matcher.quoteReplacement(to)), StandardCharsets.UTF_8);
+        Files.writeString(
+                changed,
+                anyLayout(from).matcher(text).replaceFirst(Matcher.quoteReplacement(to)),
+                StandardCharsets.UTF_8);
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
-        if (compiler.run(null, null, null, "-proc:none", "-nowarn", "-d", folder.toString(), "-cp", classPath(),
-                changed.toString()) != 0) {
+        if (compiler.run(
+                        null,
+                        null,
+                        null,
+                        "-proc:none",
+                        "-nowarn",
+                        "-d",
+                        folder.toString(),
+                        "-cp",
+                        classPath(),
+                        changed.toString())
+                != 0) {
             throw new IllegalArgumentException("does not compile: " + to);
         }
     }
 
-    /** The code whatever white space is between its signs: where a formatter breaks lines is no part of a mistake. */
+    /**
+     * The code whatever white space is between its signs: where a formatter breaks lines is no part
+     * of a mistake.
+     */
     private static Pattern anyLayout(String code) {
-        return Pattern.compile(code.codePoints().filter(sign -> !Character.isWhitespace(sign))
-                .mapToObj(sign -> Pattern.quote(Character.toString(sign))).collect(Collectors.joining("\\s*")));
+        return Pattern.compile(
+                code.codePoints()
+                        .filter(sign -> !Character.isWhitespace(sign))
+                        .mapToObj(sign -> Pattern.quote(Character.toString(sign)))
+                        .collect(Collectors.joining("\\s*")));
     }
 
     private static String classPath() {
@@ -68,10 +89,15 @@
         return new URLClassLoader(urls.toArray(new URL[0]), ClassLoader.getPlatformClassLoader());
     }
 
-    /** What the mistake breaks in a world of the seeds, or null: by {@code firstBroken} of that class, loaded with the mistake. */
-    public Object firstBroken(String world, long first, long many) throws IOException, ReflectiveOperationException {
+    /**
+     * What the mistake breaks in a world of the seeds, or null: by {@code firstBroken} of that
+     * class, loaded with the mistake.
+     */
+    public Object firstBroken(String world, long first, long many)
+            throws IOException, ReflectiveOperationException {
         try (URLClassLoader loader = loader()) {
-            return loader.loadClass("embershift.rig.world." + world).getMethod("firstBroken", long.class, long.class)
+            return loader.loadClass("embershift.rig.world." + world)
+                    .getMethod("firstBroken", long.class, long.class)
                     .invoke(null, first, many);
         }
     }
--- a/rig/src/main/java/embershift/rig/history/History.java
+++ b/rig/src/main/java/embershift/rig/history/History.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -13,16 +12,15 @@
 import java.util.TreeMap;
 
 /**
- * What happened in one run, by one clock: calls and their ends, faults, what receivers saw. Verdicts come from here alone.
- * Safe for many threads.
+ * What happened in one run, by one clock: calls and their ends, faults, what receivers saw.
+ * Verdicts come from here alone. Safe for many threads.
  */
 public final class History {
 
     private static final JsonMapper JSON = new JsonMapper();
 
     /** Something that happened, other than a call. {@code at}: seconds since the run began. */
-    public record Event(double at, String sort, String whom, String text) {
-    }
+    public record Event(double at, String sort, String whom, String text) {}
 
     private final long began = System.nanoTime();
     private final List<Operation> operations = new ArrayList<>();
@@ -64,13 +62,25 @@
     public synchronized void write(Path file) throws IOException {
         TreeMap<Double, List<ObjectNode>> lines = new TreeMap<>();
         for (Event event : events) {
-            lines.computeIfAbsent(event.at(), none -> new ArrayList<>()).add(JSON.createObjectNode().put("at", event.at())
-                    .put("sort", event.sort()).put("whom", event.whom()).put("text", event.text()));
+            lines.computeIfAbsent(event.at(), none -> new ArrayList<>())
+                    .add(
+                            JSON.createObjectNode()
+                                    .put("at", event.at())
+                                    .put("sort", event.sort())
+                                    .put("whom", event.whom())
+                                    .put("text", event.text()));
         }
         for (Operation each : operations) {
-            ObjectNode line = JSON.createObjectNode().put("at", each.began()).put("sort", "call").put("whom", "c" + each.caller())
-                    .put("kind", each.kind().name()).put("key", each.key()).put("expected", each.expected())
-                    .put("value", each.value()).put("end", each.end().name());
+            ObjectNode line =
+                    JSON.createObjectNode()
+                            .put("at", each.began())
+                            .put("sort", "call")
+                            .put("whom", "c" + each.caller())
+                            .put("kind", each.kind().name())
+                            .put("key", each.key())
+                            .put("expected", each.expected())
+                            .put("value", each.value())
+                            .put("end", each.end().name());
             if (each.end() != Operation.End.UNKNOWN) {
                 line.put("ended", each.ended());
             }
--- a/rig/src/main/java/embershift/rig/history/Linearizable.java
+++ b/rig/src/main/java/embershift/rig/history/Linearizable.java
@@ -11,24 +11,26 @@
 import java.util.TreeMap;
 
 /**
- * Whether calls on registers could have happened one after the other, each between its beginning and its end: the search
- * of Wing and Gong with the memory of Lowe, key by key. One that is unknown may have happened at any time after it began, or
- * never.
+ * Whether calls on registers could have happened one after the other, each between its beginning
+ * and its end: the search of Wing and Gong with the memory of Lowe, key by key. One that is unknown
+ * may have happened at any time after it began, or never.
  */
 public final class Linearizable {
 
     /** Gave up: there were too many ways to tell within the bound. */
-    public enum Verdict { YES, NO, GAVE_UP }
+    public enum Verdict {
+        YES,
+        NO,
+        GAVE_UP
+    }
 
     /** {@code text}: the key and the calls that can't be put in order, or nothing. */
-    public record Finding(Verdict verdict, String text) {
-    }
+    public record Finding(Verdict verdict, String text) {}
 
     /** Calls told of a history that can't be explained. */
     private static final int SHOWN = 12;
 
-    private record Seen(BitSet done, String state) {
-    }
+    private record Seen(BitSet done, String state) {}
 
     private final List<Operation> operations;
     private final Set<Seen> seen = new HashSet<>();
@@ -49,7 +51,10 @@
         for (Map.Entry<String, List<Operation>> key : byKey.entrySet()) {
             List<Operation> sorted = new ArrayList<>(key.getValue());
             // A read that nobody heard the end of says nothing.
-            sorted.removeIf(each -> each.end() == Operation.End.UNKNOWN && each.kind() == Operation.Kind.READ);
+            sorted.removeIf(
+                    each ->
+                            each.end() == Operation.End.UNKNOWN
+                                    && each.kind() == Operation.Kind.READ);
             sorted.sort(Comparator.comparingDouble(Operation::began));
             Verdict verdict = new Linearizable(sorted, steps).search();
             if (verdict == Verdict.NO) {
@@ -64,23 +69,40 @@
 
     /** The call whose end can't be explained any more, and the last ones before it. */
     private static String first(List<Operation> all, long steps) {
-        List<Operation> byEnd = all.stream().filter(each -> each.end() != Operation.End.UNKNOWN)
-                .sorted(Comparator.comparingDouble(Operation::ended)).toList();
+        List<Operation> byEnd =
+                all.stream()
+                        .filter(each -> each.end() != Operation.End.UNKNOWN)
+                        .sorted(Comparator.comparingDouble(Operation::ended))
+                        .toList();
         for (Operation last : byEnd) {
             // As it looked when that call had just ended.
-            List<Operation> then = all.stream().filter(each -> each.began() <= last.ended())
-                    .map(each -> each.ended() <= last.ended() ? each : new Operation(each.caller(), each.kind(), each.key(),
-                            each.expected(), each.value(), each.began(), Double.POSITIVE_INFINITY, Operation.End.UNKNOWN))
-                    .toList();
+            List<Operation> then =
+                    all.stream()
+                            .filter(each -> each.began() <= last.ended())
+                            .map(
+                                    each ->
+                                            each.ended() <= last.ended()
+                                                    ? each
+                                                    : new Operation(
+                                                            each.caller(),
+                                                            each.kind(),
+                                                            each.key(),
+                                                            each.expected(),
+                                                            each.value(),
+                                                            each.began(),
+                                                            Double.POSITIVE_INFINITY,
+                                                            Operation.End.UNKNOWN))
+                            .toList();
             if (new Linearizable(then, steps).search() == Verdict.NO) {
-                return last + " after " + then.subList(Math.max(0, then.size() - SHOWN), then.size());
+                return last
+                        + " after "
+                        + then.subList(Math.max(0, then.size() - SHOWN), then.size());
             }
         }
         return "all together";
     }
 
-    private record Choice(int from, BitSet done, String state) {
-    }
+    private record Choice(int from, BitSet done, String state) {}
 
     private Verdict search() {
         List<Choice> stack = new ArrayList<>();
@@ -125,12 +147,15 @@
         return switch (operation.kind()) {
             case READ -> Objects.equals(operation.value(), state);
             case PUT -> true;
-            case SWAP -> Objects.equals(operation.expected(), state) != (operation.end() == Operation.End.REFUSED);
+            case SWAP ->
+                    Objects.equals(operation.expected(), state)
+                            != (operation.end() == Operation.End.REFUSED);
         };
     }
 
     private static String after(Operation operation, String state) {
-        return operation.kind() == Operation.Kind.READ || operation.end() == Operation.End.REFUSED ? state
+        return operation.kind() == Operation.Kind.READ || operation.end() == Operation.End.REFUSED
+                ? state
                 : operation.value();
     }
 }
--- a/rig/src/main/java/embershift/rig/process/DutyHistory.java
+++ b/rig/src/main/java/embershift/rig/process/DutyHistory.java
@@ -14,22 +14,30 @@
 /** What receivers of a duty's orders wrote down, and the verdict on it. */
 public final class DutyHistory {
 
-    /** An order that reached a receiver, or its start. {@code at}: the machine's monotonic time, ns. */
-    public record Line(long at, String receiver, String what, String owner, int step, long fence) {
-    }
+    /**
+     * An order that reached a receiver, or its start. {@code at}: the machine's monotonic time, ns.
+     */
+    public record Line(long at, String receiver, String what, String owner, int step, long fence) {}
 
-    private DutyHistory() {
-    }
+    private DutyHistory() {}
 
     /** All lines of these receivers, in the order of their times. */
     public static List<Line> read(Path folder, List<String> receivers) throws IOException {
         List<Line> lines = new ArrayList<>();
         for (String receiver : receivers) {
-            for (String text : Files.readAllLines(folder.resolve(receiver + ".orders"), StandardCharsets.UTF_8)) {
+            for (String text :
+                    Files.readAllLines(
+                            folder.resolve(receiver + ".orders"), StandardCharsets.UTF_8)) {
                 String[] words = text.split(" ");
                 if (words.length == 5) {
-                    lines.add(new Line(Long.parseLong(words[0]), receiver, words[1], words[2], Integer.parseInt(words[3]),
-                            Long.parseLong(words[4])));
+                    lines.add(
+                            new Line(
+                                    Long.parseLong(words[0]),
+                                    receiver,
+                                    words[1],
+                                    words[2],
+                                    Integer.parseInt(words[3]),
+                                    Long.parseLong(words[4])));
                 }
             }
         }
@@ -37,7 +45,10 @@
         return lines;
     }
 
-    /** What was broken, or null: fences taken at a receiver never fall, and steps begin in their order. */
+    /**
+     * What was broken, or null: fences taken at a receiver never fall, and steps begin in their
+     * order.
+     */
     public static String broken(List<Line> lines) {
         Map<String, Long> highest = new HashMap<>();
         int next = 0;
--- a/rig/src/main/java/embershift/rig/process/FirstDiscovery.java
+++ b/rig/src/main/java/embershift/rig/process/FirstDiscovery.java
@@ -30,7 +30,8 @@
 
     private static final double SLOW_S = 8;
     private static final double PIECE_S = 0.05;
-    private static final String HEAD = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
+    private static final String HEAD =
+            "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
 
     private final Kind kind;
     private final Supplier<String> page;
@@ -76,7 +77,13 @@
                 }
                 say(socket, HEAD + text.length() + "\r\n\r\n" + text);
             }
-            case HALF -> say(socket, HEAD + text.length() + "\r\n\r\n" + text.substring(0, text.length() / 2));
+            case HALF ->
+                    say(
+                            socket,
+                            HEAD
+                                    + text.length()
+                                    + "\r\n\r\n"
+                                    + text.substring(0, text.length() / 2));
             case ENDLESS -> {
                 say(socket, HEAD + Integer.MAX_VALUE + "\r\n\r\n" + text);
                 while (!server.isClosed()) {
@@ -84,7 +91,7 @@
                     say(socket, " ".repeat(100));
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/rig/src/main/java/embershift/rig/process/FleetMeasure.java
+++ b/rig/src/main/java/embershift/rig/process/FleetMeasure.java
@@ -2,7 +2,6 @@
 
 import embershift.fleet.Segment;
 import embershift.fleet.Trace;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -13,14 +12,16 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What the duties cost and how long they are without an owner, with nodes as processes: the figures of docs/duties.md and docs/audit.md. */
+/**
+ * What the duties cost and how long they are without an owner, with nodes as processes: the figures
+ * of docs/duties.md and docs/audit.md.
+ */
 public final class FleetMeasure {
 
     private static final double PATIENCE = 60;
     private static final double SPAN = 10;
 
-    private FleetMeasure() {
-    }
+    private FleetMeasure() {}
 
     private static void say(String form, Object... parts) {
         System.out.println(String.format(Locale.ROOT, form, parts));
@@ -28,16 +29,29 @@
 
     private static String spread(List<Double> all) {
         Collections.sort(all);
-        return all.isEmpty() ? "none" : String.format(Locale.ROOT, "p50 %.2f s, p99 %.2f s, worst %.2f s of %d", all.get(all.size() / 2),
-                all.get((int) Math.ceil(0.99 * all.size()) - 1), all.get(all.size() - 1), all.size());
+        return all.isEmpty()
+                ? "none"
+                : String.format(
+                        Locale.ROOT,
+                        "p50 %.2f s, p99 %.2f s, worst %.2f s of %d",
+                        all.get(all.size() / 2),
+                        all.get((int) Math.ceil(0.99 * all.size()) - 1),
+                        all.get(all.size() - 1),
+                        all.size());
     }
 
     /** Everything, with so many nodes; {@code times} of each fault. */
     public static void all(int nodes, int times, int revisions) throws IOException {
         Path folder = Files.createTempDirectory("rig");
         try (FleetSite site = new FleetSite(folder, 3, nodes, 4, "", "report-s = 0.5\n")) {
-            FleetSite.await("all nodes current", PATIENCE, () -> site.list("state/").values().stream()
-                    .filter(state -> state.startsWith("CURRENT")).count() == nodes);
+            FleetSite.await(
+                    "all nodes current",
+                    PATIENCE,
+                    () ->
+                            site.list("state/").values().stream()
+                                            .filter(state -> state.startsWith("CURRENT"))
+                                            .count()
+                                    == nodes);
             memory(site);
             Instances.sleep(3);
             calls(site, nodes, "with the list handed on");
@@ -54,7 +68,9 @@
     private static void memory(FleetSite site) throws IOException {
         long sum = 0;
         for (String name : site.nodeNames()) {
-            for (String line : Files.readAllLines(Path.of("/proc", String.valueOf(site.node(name).pid()), "status"))) {
+            for (String line :
+                    Files.readAllLines(
+                            Path.of("/proc", String.valueOf(site.node(name).pid()), "status"))) {
                 if (line.startsWith("VmRSS")) {
                     sum += Long.parseLong(line.replaceAll("\\D", ""));
                 }
@@ -66,7 +82,9 @@
     private static void calls(FleetSite site, int nodes, String how) {
         long before = site.hosts.calls();
         Instances.sleep(SPAN);
-        say("discovery calls %s, %d nodes: %.2f a second", how, nodes, (site.hosts.calls() - before) / SPAN);
+        say(
+                "discovery calls %s, %d nodes: %.2f a second",
+                how, nodes, (site.hosts.calls() - before) / SPAN);
     }
 
     /** All instances stand still: each node asks by itself after a while; then they go on. */
@@ -81,7 +99,9 @@
             most = Math.max(most, now - before);
             before = now;
         }
-        say("discovery calls over 10 s in which all instances stop, %d nodes: %d, at most %d in 0.1 s", nodes, before - first, most);
+        say(
+                "discovery calls over 10 s in which all instances stop, %d nodes: %d, at most %d in 0.1 s",
+                nodes, before - first, most);
         calls(site, nodes, "with no instance");
         site.instances.names().forEach(site.instances::goOn);
         site.awaitOwner("lists", null);
@@ -101,7 +121,10 @@
             Instances.sleep(0.4);
         }
         long last = base + revisions;
-        FleetSite.await("all nodes at " + last, PATIENCE, () -> String.valueOf(last).equals(site.get("rollout/floor")));
+        FleetSite.await(
+                "all nodes at " + last,
+                PATIENCE,
+                () -> String.valueOf(last).equals(site.get("rollout/floor")));
         Instances.sleep(3);
         List<Double> took = new ArrayList<>();
         long bytes = 0;
@@ -139,9 +162,13 @@
         long goal = latest(site);
         long back = System.currentTimeMillis();
         site.ways.clearAll();
-        FleetSite.await("all nodes at " + goal, 2 * PATIENCE, () -> String.valueOf(goal).equals(site.get("rollout/floor")));
-        say("%d nodes back at once from 20 s without instances: all current after %.2f s", nodes,
-                (System.currentTimeMillis() - back) / 1000.0);
+        FleetSite.await(
+                "all nodes at " + goal,
+                2 * PATIENCE,
+                () -> String.valueOf(goal).equals(site.get("rollout/floor")));
+        say(
+                "%d nodes back at once from 20 s without instances: all current after %.2f s",
+                nodes, (System.currentTimeMillis() - back) / 1000.0);
     }
 
     private static void gaps(FleetSite site, String fault, int times) throws IOException {
@@ -157,18 +184,29 @@
                     site.instances.program(owner).terminate();
                 }
                 default -> {
-                    FleetSite.Said said = site.fleet("duty-transfer", "rollout", site.instances.names().stream()
-                            .filter(name -> !name.equals(owner)).findFirst().orElseThrow());
+                    FleetSite.Said said =
+                            site.fleet(
+                                    "duty-transfer",
+                                    "rollout",
+                                    site.instances.names().stream()
+                                            .filter(name -> !name.equals(owner))
+                                            .findFirst()
+                                            .orElseThrow());
                     if (said.status() != 0) {
                         throw new IOException(said.text());
                     }
                 }
             }
             String but = owner;
-            FleetSite.await("another owner", PATIENCE, () -> {
-                String now = site.owner("rollout");
-                return now != null && !now.equals(but) && !site.fence("rollout").equals(fence);
-            });
+            FleetSite.await(
+                    "another owner",
+                    PATIENCE,
+                    () -> {
+                        String now = site.owner("rollout");
+                        return now != null
+                                && !now.equals(but)
+                                && !site.fence("rollout").equals(fence);
+                    });
             gaps.add((System.nanoTime() - from) / 1e9);
             switch (fault) {
                 case "kill" -> site.instances.start(owner);
@@ -177,7 +215,7 @@
                     site.instances.program(owner).await();
                     site.instances.start(owner);
                 }
-                default -> { }
+                default -> {}
             }
             Instances.sleep(1);
         }
--- a/rig/src/main/java/embershift/rig/process/FleetPlay.java
+++ b/rig/src/main/java/embershift/rig/process/FleetPlay.java
@@ -4,7 +4,6 @@
 import embershift.fleet.Revision;
 import embershift.fleet.Segment;
 import embershift.fleet.Trace;
-
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -20,29 +19,38 @@
 import java.util.TreeSet;
 
 /**
- * A fleet of processes under faults drawn from a seed: revisions about once a second while instances and nodes are killed and stopped and ways
- * are cut in one direction, slow or both. Judged by what hosts saw and by the trails that the record holds; never by what an owner
- * says. Safety always; that all are current only once the faults are over.
+ * A fleet of processes under faults drawn from a seed: revisions about once a second while
+ * instances and nodes are killed and stopped and ways are cut in one direction, slow or both.
+ * Judged by what hosts saw and by the trails that the record holds; never by what an owner says.
+ * Safety always; that all are current only once the faults are over.
  */
 public final class FleetPlay {
 
-    /** {@code broken}: what was, or null; {@code healed}: seconds from the end of the faults until all were current. */
-    public record Report(long seed, String broken, Map<String, Integer> reached, double healed) {
-    }
+    /**
+     * {@code broken}: what was, or null; {@code healed}: seconds from the end of the faults until
+     * all were current.
+     */
+    public record Report(long seed, String broken, Map<String, Integer> reached, double healed) {}
 
     private static final double HEAL = 60;
-    /** Seconds by which a setup may reach a host after its node has told that the host is out: it was under way. */
+
+    /**
+     * Seconds by which a setup may reach a host after its node has told that the host is out: it
+     * was under way.
+     */
     private static final double UNDER_WAY = 0.5;
-    private static final String FLEET = "session-s = 1.5\nsettle-s = 0.3\npatience-s = 3\nsilent-s = 1.5\n";
+
+    private static final String FLEET =
+            "session-s = 1.5\nsettle-s = 0.3\npatience-s = 3\nsilent-s = 1.5\n";
     private static final int HOSTS = 5;
 
-    private record Undo(double at, Runnable what) {
-    }
+    private record Undo(double at, Runnable what) {}
 
     private final FleetSite site;
     private final Random chance;
     private final Map<String, Integer> reached = new TreeMap<>();
-    private final PriorityQueue<Undo> undos = new PriorityQueue<>(Comparator.comparingDouble(Undo::at));
+    private final PriorityQueue<Undo> undos =
+            new PriorityQueue<>(Comparator.comparingDouble(Undo::at));
     private final Set<String> down = new TreeSet<>();
     private final long wallOverNano = System.currentTimeMillis() * 1_000_000L - System.nanoTime();
     private volatile boolean over;
@@ -52,8 +60,16 @@
         chance = new Random(seed);
     }
 
-    public static Report play(long seed, double lasts, int instances, int nodes, Path folder) throws IOException {
-        try (FleetSite site = new FleetSite(folder, instances, nodes, HOSTS, FLEET, "alone-s = 1.5\nspread-s = 0.5\n")) {
+    public static Report play(long seed, double lasts, int instances, int nodes, Path folder)
+            throws IOException {
+        try (FleetSite site =
+                new FleetSite(
+                        folder,
+                        instances,
+                        nodes,
+                        HOSTS,
+                        FLEET,
+                        "alone-s = 1.5\nspread-s = 0.5\n")) {
             return new FleetPlay(site, seed).play(seed, lasts);
         }
     }
@@ -69,7 +85,12 @@
     }
 
     private Report play(long seed, double lasts) throws IOException {
-        FleetSite.await("all current", HEAL, () -> site.nodeNames().stream().allMatch(node -> site.state(node).equals("CURRENT")));
+        FleetSite.await(
+                "all current",
+                HEAL,
+                () ->
+                        site.nodeNames().stream()
+                                .allMatch(node -> site.state(node).equals("CURRENT")));
         double until = now() + lasts;
         Thread revising = new Thread(this::revise, "revising");
         revising.setDaemon(true);
@@ -108,7 +129,10 @@
             String host = "out/h" + (1 + own.nextInt(HOSTS - 1));
             try {
                 List<String> words = new ArrayList<>(List.of("revise"));
-                words.addAll(own.nextBoolean() ? List.of(host + "=" + own.nextInt(1000)) : List.of("--remove", host));
+                words.addAll(
+                        own.nextBoolean()
+                                ? List.of(host + "=" + own.nextInt(1000))
+                                : List.of("--remove", host));
                 if (own.nextInt(3) != 0) {
                     words.add("--now");
                 }
@@ -145,30 +169,40 @@
                 if (down.add(instance)) {
                     count("instances killed");
                     site.instances.kill(instance);
-                    later(lasts, () -> must(() -> {
-                        site.instances.start(instance);
-                        down.remove(instance);
-                    }));
+                    later(
+                            lasts,
+                            () ->
+                                    must(
+                                            () -> {
+                                                site.instances.start(instance);
+                                                down.remove(instance);
+                                            }));
                 }
             }
             case 1 -> {
                 if (down.add(instance)) {
                     count("instances stopped");
                     site.instances.stop(instance);
-                    later(lasts, () -> {
-                        site.instances.goOn(instance);
-                        down.remove(instance);
-                    });
+                    later(
+                            lasts,
+                            () -> {
+                                site.instances.goOn(instance);
+                                down.remove(instance);
+                            });
                 }
             }
             case 2 -> {
                 if (down.add(node)) {
                     count("nodes killed");
                     site.node(node).kill();
-                    later(lasts / 2, () -> must(() -> {
-                        site.startNode(node);
-                        down.remove(node);
-                    }));
+                    later(
+                            lasts / 2,
+                            () ->
+                                    must(
+                                            () -> {
+                                                site.startNode(node);
+                                                down.remove(node);
+                                            }));
                 }
             }
             case 3 -> {
@@ -176,19 +210,42 @@
                     count("nodes stopped");
                     Program program = site.node(node);
                     program.stop();
-                    later(lasts, () -> {
-                        program.goOn();
-                        down.remove(node);
-                    });
+                    later(
+                            lasts,
+                            () -> {
+                                program.goOn();
+                                down.remove(node);
+                            });
                 }
             }
-            case 4 -> way(new Ways.Way(node, instance), new Ways.State(true, 0, 0, 0), lasts, "nodes not heard");
-            case 5 -> instances.forEach(each -> way(new Ways.Way(each, node), new Ways.State(true, 0, 0, 0), lasts, "nodes that hear nobody"));
-            case 6 -> way(new Ways.Way(instance, node), new Ways.State(false, lasts, 0.5, 0), lasts, "late words");
+            case 4 ->
+                    way(
+                            new Ways.Way(node, instance),
+                            new Ways.State(true, 0, 0, 0),
+                            lasts,
+                            "nodes not heard");
+            case 5 ->
+                    instances.forEach(
+                            each ->
+                                    way(
+                                            new Ways.Way(each, node),
+                                            new Ways.State(true, 0, 0, 0),
+                                            lasts,
+                                            "nodes that hear nobody"));
+            case 6 ->
+                    way(
+                            new Ways.Way(instance, node),
+                            new Ways.State(false, lasts, 0.5, 0),
+                            lasts,
+                            "late words");
             default -> {
                 String other = instances.get(chance.nextInt(instances.size()));
                 if (!other.equals(instance)) {
-                    way(new Ways.Way(instance, other), new Ways.State(true, 0, 0, 0), lasts, "instances not heard");
+                    way(
+                            new Ways.Way(instance, other),
+                            new Ways.State(true, 0, 0, 0),
+                            lasts,
+                            "instances not heard");
                 }
             }
         }
@@ -204,36 +261,54 @@
     private String heal() throws IOException {
         FleetSite.Said[] last = new FleetSite.Said[1];
         try {
-            FleetSite.await("a last revision", HEAL, () -> {
-                try {
-                    last[0] = site.fleet("revise", "out/h1=last" + chance.nextInt(1_000_000), "--remove", "out/h2,out/h3,out/h4", "--now");
-                    return last[0].status() == 0;
-                } catch (IOException e) {
-                    return false;
-                }
-            });
-            FleetSite.await("all nodes at the last revision: " + site.list("state/"), HEAL, () -> {
-                String latest = site.get("rollout/latest");
-                return latest != null && latest.equals(site.get("rollout/floor"));
-            });
-            FleetSite.await("all nodes current: " + site.list("state/"), HEAL,
-                    () -> site.nodeNames().stream().allMatch(node -> site.state(node).equals("CURRENT")));
+            FleetSite.await(
+                    "a last revision",
+                    HEAL,
+                    () -> {
+                        try {
+                            last[0] =
+                                    site.fleet(
+                                            "revise",
+                                            "out/h1=last" + chance.nextInt(1_000_000),
+                                            "--remove",
+                                            "out/h2,out/h3,out/h4",
+                                            "--now");
+                            return last[0].status() == 0;
+                        } catch (IOException e) {
+                            return false;
+                        }
+                    });
+            FleetSite.await(
+                    "all nodes at the last revision: " + site.list("state/"),
+                    HEAL,
+                    () -> {
+                        String latest = site.get("rollout/latest");
+                        return latest != null && latest.equals(site.get("rollout/floor"));
+                    });
+            FleetSite.await(
+                    "all nodes current: " + site.list("state/"),
+                    HEAL,
+                    () ->
+                            site.nodeNames().stream()
+                                    .allMatch(node -> site.state(node).equals("CURRENT")));
             return null;
         } catch (IOException e) {
             return e.getMessage();
         }
     }
 
-    private record Took(String node, long incarnation, long revision, long at, long until) {
-    }
+    private record Took(String node, long incarnation, long revision, long at, long until) {}
 
     private String judge() {
         Map<String, String> trails = site.list("trail/");
         Map<Long, Revision> revisions = new HashMap<>();
-        site.list("revision/").values().forEach(text -> {
-            Revision revision = Revision.read(text);
-            revisions.put(revision.number(), revision);
-        });
+        site.list("revision/")
+                .values()
+                .forEach(
+                        text -> {
+                            Revision revision = Revision.read(text);
+                            revisions.put(revision.number(), revision);
+                        });
         for (String problem : new Audit(trails.values(), Map.of(), site.list("folded/")).verify()) {
             if (!problem.contains("missing")) {
                 return problem;
@@ -252,7 +327,14 @@
                 Took before = latest.get(key);
                 if (before != null) {
                     // What is told after it tells that it held until then.
-                    latest.put(key, new Took(before.node, before.incarnation, before.revision, before.at, entry.at().millis()));
+                    latest.put(
+                            key,
+                            new Took(
+                                    before.node,
+                                    before.incarnation,
+                                    before.revision,
+                                    before.at,
+                                    entry.at().millis()));
                 }
                 if (entry.kind() != Trace.Kind.TOOK) {
                     continue;
@@ -269,23 +351,44 @@
                 if (before != null) {
                     took.add(latest.get(key));
                 }
-                latest.put(key, new Took(segment.node(), segment.incarnation(), number, entry.at().millis(), entry.at().millis()));
+                latest.put(
+                        key,
+                        new Took(
+                                segment.node(),
+                                segment.incarnation(),
+                                number,
+                                entry.at().millis(),
+                                entry.at().millis()));
             }
         }
         took.addAll(latest.values());
         return throughBans(took, revisions);
     }
 
-    /** Whether a host had a setup of a node that went, by its own trail, by a revision in which that host is out. */
+    /**
+     * Whether a host had a setup of a node that went, by its own trail, by a revision in which that
+     * host is out.
+     */
     private String throughBans(List<Took> took, Map<Long, Revision> revisions) {
         for (HostsStand.Setup setup : site.hosts.setups()) {
             long wall = (setup.at() + wallOverNano) / 1_000_000;
             String node = setup.tunnel().replaceAll("-.*", "");
             for (Took each : took) {
-                if (each.node.equals(node) && wall > each.at + UNDER_WAY * 1000 && wall < each.until
-                        && revisions.get(each.revision).fields().containsKey(Revision.OUT + setup.host())) {
-                    return String.format(Locale.ROOT, "%s sent %s to %s %d ms after it went by revision %d, in which that is out", node,
-                            setup.tunnel(), setup.host(), wall - each.at, each.revision);
+                if (each.node.equals(node)
+                        && wall > each.at + UNDER_WAY * 1000
+                        && wall < each.until
+                        && revisions
+                                .get(each.revision)
+                                .fields()
+                                .containsKey(Revision.OUT + setup.host())) {
+                    return String.format(
+                            Locale.ROOT,
+                            "%s sent %s to %s %d ms after it went by revision %d, in which that is out",
+                            node,
+                            setup.tunnel(),
+                            setup.host(),
+                            wall - each.at,
+                            each.revision);
                 }
                 if (each.node.equals(node) && wall > each.at && wall < each.until) {
                     count("setups judged");
--- a/rig/src/main/java/embershift/rig/process/HostsStand.java
+++ b/rig/src/main/java/embershift/rig/process/HostsStand.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Hosts and the discovery that lists them, in this process. Each host writes down which setup reached it when; discovery counts
- * who asks. What nodes and instances say of themselves is no part of it.
+ * Hosts and the discovery that lists them, in this process. Each host writes down which setup
+ * reached it when; discovery counts who asks. What nodes and instances say of themselves is no part
+ * of it.
  */
 public final class HostsStand implements AutoCloseable {
 
     /** A setup that reached a host. {@code at}: this machine's monotonic time, ns. */
-    public record Setup(long at, String host, String tunnel) {
-    }
+    public record Setup(long at, String host, String tunnel) {}
 
     private static final class Host {
         private final ServerSocket server;
@@ -59,22 +59,24 @@
     }
 
     static void accept(ServerSocket server, Serving serving) {
-        daemon(() -> {
-            while (!server.isClosed()) {
-                try {
-                    Socket socket = server.accept();
-                    daemon(() -> {
-                        try (socket) {
-                            serving.serve(socket);
+        daemon(
+                () -> {
+                    while (!server.isClosed()) {
+                        try {
+                            Socket socket = server.accept();
+                            daemon(
+                                    () -> {
+                                        try (socket) {
+                                            serving.serve(socket);
+                                        } catch (IOException e) {
+                                            // Its other end is gone.
+                                        }
+                                    });
                         } catch (IOException e) {
-                            // Its other end is gone.
+                            // It is being closed.
                         }
-                    });
-                } catch (IOException e) {
-                    // It is being closed.
-                }
-            }
-        });
+                    }
+                });
     }
 
     private static void daemon(Runnable what) {
@@ -84,7 +86,8 @@
     }
 
     private static BufferedReader reader(Socket socket) throws IOException {
-        return new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
+        return new BufferedReader(
+                new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
     }
 
     private static void say(Socket socket, String words) throws IOException {
@@ -106,7 +109,11 @@
                         return;
                     }
                 } else {
-                    say(socket, line.equals("STATS") ? "PONG x0=0.1\r\n" : line.equals("PING") ? "PONG\r\n" : line + "\r\n");
+                    say(
+                            socket,
+                            line.equals("STATS")
+                                    ? "PONG x0=0.1\r\n"
+                                    : line.equals("PING") ? "PONG\r\n" : line + "\r\n");
                 }
             }
         } finally {
@@ -146,23 +153,34 @@
 
     /** Its connections break, as when its program ends. */
     public void breakOff(String name) {
-        hosts.get(name).open.forEach(socket -> {
-            try {
-                socket.close();
-            } catch (IOException e) {
-                // It is gone all the same.
-            }
-        });
+        hosts.get(name)
+                .open
+                .forEach(
+                        socket -> {
+                            try {
+                                socket.close();
+                            } catch (IOException e) {
+                                // It is gone all the same.
+                            }
+                        });
     }
 
     /** The list that discovery tells now. */
     synchronized String page() {
-        StringBuilder page = new StringBuilder("{\"generation\":" + generation + ",\"reset\":true,\"instances\":[");
+        StringBuilder page =
+                new StringBuilder(
+                        "{\"generation\":" + generation + ",\"reset\":true,\"instances\":[");
         String comma = "";
         for (Map.Entry<String, Host> each : hosts.entrySet()) {
-            page.append(comma).append("{\"instanceId\":\"").append(each.getKey()).append("\",\"hostPort\":\"127.0.0.1:")
-                    .append(each.getValue().server.getLocalPort()).append("\",\"zone\":\"a\",\"lifecycle\":\"")
-                    .append(each.getValue().lifecycle).append("\",\"weight\":1,\"startedAtMs\":").append(each.getValue().startedAt)
+            page.append(comma)
+                    .append("{\"instanceId\":\"")
+                    .append(each.getKey())
+                    .append("\",\"hostPort\":\"127.0.0.1:")
+                    .append(each.getValue().server.getLocalPort())
+                    .append("\",\"zone\":\"a\",\"lifecycle\":\"")
+                    .append(each.getValue().lifecycle)
+                    .append("\",\"weight\":1,\"startedAtMs\":")
+                    .append(each.getValue().startedAt)
                     .append('}');
             comma = ",";
         }
@@ -181,12 +199,18 @@
                 synchronized (this) {
                     calls++;
                     long until = System.nanoTime() + 3_000_000_000L;
-                    while (after.matches("\\d+") && Long.parseLong(after) == generation && System.nanoTime() < until) {
+                    while (after.matches("\\d+")
+                            && Long.parseLong(after) == generation
+                            && System.nanoTime() < until) {
                         wait(Math.max(1, (until - System.nanoTime()) / 1_000_000));
                     }
                 }
                 byte[] page = page().getBytes(StandardCharsets.UTF_8);
-                say(socket, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + page.length + "\r\n\r\n");
+                say(
+                        socket,
+                        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
+                                + page.length
+                                + "\r\n\r\n");
                 socket.getOutputStream().write(page);
             }
         } catch (InterruptedException e) {
--- a/rig/src/main/java/embershift/rig/process/Instances.java
+++ b/rig/src/main/java/embershift/rig/process/Instances.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.hosted.RecordClient;
 import embershift.rig.history.History;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -21,14 +20,26 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** Some instances of the hosted program, each a process of its own, with a relay on the way from each to each. */
+/**
+ * Some instances of the hosted program, each a process of its own, with a relay on the way from
+ * each to each.
+ */
 public final class Instances implements AutoCloseable {
 
-    private static final Pattern LISTENING = Pattern.compile("\"message\":\"listening\".*\"address\":\"[^\"]*:(\\d+)\"");
+    private static final Pattern LISTENING =
+            Pattern.compile("\"message\":\"listening\".*\"address\":\"[^\"]*:(\\d+)\"");
     private static final double START = 20;
     private static final double FORM = 20;
-    private static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-Xmx192m", "-XX:TieredStopAtLevel=1",
-            "-XX:-UsePerfData", "-Xss256k", "--add-exports", "java.base/sun.nio.ch=ALL-UNNAMED");
+    private static final List<String> OPTIONS =
+            List.of(
+                    "-XX:+UseSerialGC",
+                    "-Xmx192m",
+                    "-XX:TieredStopAtLevel=1",
+                    "-XX:-UsePerfData",
+                    "-Xss256k",
+                    "--add-exports",
+                    "java.base/sun.nio.ch=ALL-UNNAMED");
+
     /** Whom clients are to the ways. */
     public static final String CLIENTS = "clients";
 
@@ -43,7 +54,8 @@
     private final String more;
 
     /** {@code more}: lines of TOML for each installation, may be empty. */
-    public Instances(Path folder, int many, Ways ways, History history, String more) throws IOException {
+    public Instances(Path folder, int many, Ways ways, History history, String more)
+            throws IOException {
         this.folder = folder;
         this.ways = ways;
         this.history = history;
@@ -98,8 +110,15 @@
 
     /** Starts one and waits until it listens. */
     public void start(String name) throws IOException {
-        StringBuilder file = new StringBuilder("name = \"" + name + "\"\nfolder = \"" + folder(name)
-                + "\"\nlisten = \"127.0.0.1:0\"\ndrills = true\n" + more + "\n[ways]\n");
+        StringBuilder file =
+                new StringBuilder(
+                        "name = \""
+                                + name
+                                + "\"\nfolder = \""
+                                + folder(name)
+                                + "\"\nlisten = \"127.0.0.1:0\"\ndrills = true\n"
+                                + more
+                                + "\n[ways]\n");
         for (String other : names) {
             if (!other.equals(name)) {
                 file.append(other).append(" = \"").append(text(way(name, other))).append("\"\n");
@@ -107,14 +126,22 @@
         }
         Path installation = folder.resolve(name + ".toml");
         Files.writeString(installation, file, StandardCharsets.UTF_8);
-        Program program = Program.java(classPaths.getOrDefault(name, System.getProperty("java.class.path")), OPTIONS,
-                "embershift.hosted.Main", List.of("instance", "--installation", installation.toString()), Map.of(),
-                folder.resolve(name + ".log"));
+        Program program =
+                Program.java(
+                        classPaths.getOrDefault(name, System.getProperty("java.class.path")),
+                        OPTIONS,
+                        "embershift.hosted.Main",
+                        List.of("instance", "--installation", installation.toString()),
+                        Map.of(),
+                        folder.resolve(name + ".log"));
         programs.put(name, program);
-        int port = program.await(text -> {
-            Matcher matcher = LISTENING.matcher(text);
-            return matcher.find() ? Integer.valueOf(matcher.group(1)) : null;
-        }, START);
+        int port =
+                program.await(
+                        text -> {
+                            Matcher matcher = LISTENING.matcher(text);
+                            return matcher.find() ? Integer.valueOf(matcher.group(1)) : null;
+                        },
+                        START);
         synchronized (this) {
             listens.put(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         }
@@ -155,8 +182,9 @@
     }
 
     /**
-     * Has one begin a group. A call whose answer is late is made again, and that one is refused, as there is a group then: its folder
-     * was empty, so that group can only be the one that was asked for.
+     * Has one begin a group. A call whose answer is late is made again, and that one is refused, as
+     * there is a group then: its folder was empty, so that group can only be the one that was asked
+     * for.
      */
     public void found(String name) throws IOException {
         RecordClient.Outcome outcome;
@@ -173,7 +201,9 @@
         for (Patience patience = new Patience(FORM); ; ) {
             ObjectNode leader = leader();
             if (leader != null) {
-                ObjectNode call = RecordClient.call("add").put("address", text(way(leader.path("name").asText(), name)));
+                ObjectNode call =
+                        RecordClient.call("add")
+                                .put("address", text(way(leader.path("name").asText(), name)));
                 RecordClient.Outcome outcome;
                 try (RecordClient client = client(leader.path("name").asText())) {
                     outcome = client.ask(call, 3);
@@ -198,7 +228,8 @@
                 for (JsonNode member : leader.path("members")) {
                     voters += member.path("role").asText().equals("voter") ? 1 : 0;
                 }
-                if (voters == many && leader.path("agreed").asLong() == leader.path("last").asLong()) {
+                if (voters == many
+                        && leader.path("agreed").asLong() == leader.path("last").asLong()) {
                     return;
                 }
             }
@@ -217,7 +248,10 @@
         }
     }
 
-    /** What an instance that runs says of itself, waited for: on a busy machine one answer may be late. */
+    /**
+     * What an instance that runs says of itself, waited for: on a busy machine one answer may be
+     * late.
+     */
     public ObjectNode awaitStatus(String name, double seconds) throws IOException {
         for (Patience patience = new Patience(seconds); ; sleep(0.02)) {
             ObjectNode status = status(name);
@@ -233,14 +267,22 @@
     /** What an instance says of itself, asked past all relays, or null. */
     public ObjectNode status(String name) {
         InetSocketAddress address = listen(name);
-        return address == null ? null : RecordClient.askOne(address, RecordClient.call("status"), 0.5);
+        return address == null
+                ? null
+                : RecordClient.askOne(address, RecordClient.call("status"), 0.5);
     }
 
-    /** What the instance that leads in the latest term says of itself, or null where none says that it leads. */
+    /**
+     * What the instance that leads in the latest term says of itself, or null where none says that
+     * it leads.
+     */
     public ObjectNode leader() {
-        return names.stream().map(this::status).filter(Objects::nonNull)
+        return names.stream()
+                .map(this::status)
+                .filter(Objects::nonNull)
                 .filter(status -> status.path("role").asText().equals("leader"))
-                .max(Comparator.comparingLong(status -> status.path("term").asLong())).orElse(null);
+                .max(Comparator.comparingLong(status -> status.path("term").asLong()))
+                .orElse(null);
     }
 
     /** The name of the leader, waited for. {@code seconds}: as {@link Patience} counts them. */
--- a/rig/src/main/java/embershift/rig/process/ManagerStand.java
+++ b/rig/src/main/java/embershift/rig/process/ManagerStand.java
@@ -13,8 +13,9 @@
 import java.util.TreeMap;
 
 /**
- * A stand-in of whoever starts hosts and nodes anew. It knows no fence: each id is carried out once at the most, whoever calls and however
- * often, and one that was made void never is. Writes down what was away when.
+ * A stand-in of whoever starts hosts and nodes anew. It knows no fence: each id is carried out once
+ * at the most, whoever calls and however often, and one that was made void never is. Writes down
+ * what was away when.
  */
 public final class ManagerStand implements AutoCloseable {
 
@@ -24,8 +25,7 @@
     }
 
     /** {@code away}: whether it began to be away, or is there again. */
-    public record Event(long at, String part, String id, boolean away) {
-    }
+    public record Event(long at, String part, String id, boolean away) {}
 
     private final ServerSocket server;
     private final Starting starting;
@@ -36,13 +36,21 @@
     public ManagerStand(Starting starting) throws IOException {
         this.starting = starting;
         server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        HostsStand.accept(server, socket -> {
-            BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII));
-            String line = in.readLine();
-            if (line != null) {
-                socket.getOutputStream().write((answer(line.split(" ")) + "\r\n").getBytes(StandardCharsets.US_ASCII));
-            }
-        });
+        HostsStand.accept(
+                server,
+                socket -> {
+                    BufferedReader in =
+                            new BufferedReader(
+                                    new InputStreamReader(
+                                            socket.getInputStream(), StandardCharsets.US_ASCII));
+                    String line = in.readLine();
+                    if (line != null) {
+                        socket.getOutputStream()
+                                .write(
+                                        (answer(line.split(" ")) + "\r\n")
+                                                .getBytes(StandardCharsets.US_ASCII));
+                    }
+                });
     }
 
     public int port() {
@@ -63,17 +71,20 @@
         }
         String part = words[1] + " " + words[2];
         events.add(new Event(System.nanoTime(), part, words[3], true));
-        Thread thread = new Thread(() -> {
-            try {
-                starting.startAnew(words[1], words[2]);
-            } catch (IOException e) {
-                return;
-            }
-            synchronized (this) {
-                events.add(new Event(System.nanoTime(), part, words[3], false));
-                states.put(words[3], "DONE");
-            }
-        }, "starting");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                starting.startAnew(words[1], words[2]);
+                            } catch (IOException e) {
+                                return;
+                            }
+                            synchronized (this) {
+                                events.add(new Event(System.nanoTime(), part, words[3], false));
+                                states.put(words[3], "DONE");
+                            }
+                        },
+                        "starting");
         thread.setDaemon(true);
         thread.start();
         return "GOING";
--- a/rig/src/main/java/embershift/rig/process/OwnerStand.java
+++ b/rig/src/main/java/embershift/rig/process/OwnerStand.java
@@ -8,7 +8,6 @@
 import embershift.fleet.SessionId;
 import embershift.hosted.RecordCaller;
 import embershift.hosted.RecordClient;
-
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -22,8 +21,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One who would own a duty, as a process: an {@link Owner} whose steps are orders to receivers, in turn. Arguments: name, duty,
- * steps, instances and receivers, each as HOST:PORT,HOST:PORT.
+ * One who would own a duty, as a process: an {@link Owner} whose steps are orders to receivers, in
+ * turn. Arguments: name, duty, steps, instances and receivers, each as HOST:PORT,HOST:PORT.
  */
 public final class OwnerStand implements Owner.Hands {
 
@@ -40,8 +39,12 @@
     private final String name;
     private final Owner owner;
 
-    private OwnerStand(String name, DutyId duty, int steps, List<InetSocketAddress> instances,
-                       List<InetSocketAddress> receivers) {
+    private OwnerStand(
+            String name,
+            DutyId duty,
+            int steps,
+            List<InetSocketAddress> instances,
+            List<InetSocketAddress> receivers) {
         this.name = name;
         this.receivers = receivers;
         commands = new RecordCaller(() -> instances, name, this::heard);
@@ -50,9 +53,17 @@
     }
 
     public static void main(String[] args) {
-        OwnerStand stand = new OwnerStand(args[0], new DutyId(args[1]), Integer.parseInt(args[2]),
-                ReceiverStand.addresses(args[3]), ReceiverStand.addresses(args[4]));
-        stand.deciding.scheduleWithFixedDelay(() -> stand.decide(() -> stand.owner.tick(now())), 0, TICK_MS,
+        OwnerStand stand =
+                new OwnerStand(
+                        args[0],
+                        new DutyId(args[1]),
+                        Integer.parseInt(args[2]),
+                        ReceiverStand.addresses(args[3]),
+                        ReceiverStand.addresses(args[4]));
+        stand.deciding.scheduleWithFixedDelay(
+                () -> stand.decide(() -> stand.owner.tick(now())),
+                0,
+                TICK_MS,
                 TimeUnit.MILLISECONDS);
         System.out.println("owner " + args[0]);
     }
@@ -81,44 +92,63 @@
 
     @Override
     public void renew(SessionId session, double asked) {
-        words.ask(RecordClient.call("renew").put("session", session.number()), CALL, outcome -> {
-            if (outcome.done()) {
-                owner.renewed(now(), asked);
-            } else if (outcome.reason().equals("no-session")) {
-                owner.sessionOver(now());
-            }
-        });
+        words.ask(
+                RecordClient.call("renew").put("session", session.number()),
+                CALL,
+                outcome -> {
+                    if (outcome.done()) {
+                        owner.renewed(now(), asked);
+                    } else if (outcome.reason().equals("no-session")) {
+                        owner.sessionOver(now());
+                    }
+                });
     }
 
     @Override
     public void look(DutyId duty) {
-        words.ask(RecordClient.call("get").put("key", duty.progressKey()), CALL, outcome -> {
-            if (outcome.done()) {
-                var item = outcome.answer().path("items").path(0);
-                owner.found(now(), item.isMissingNode() ? null : item.path("value").asText());
-            }
-        });
+        words.ask(
+                RecordClient.call("get").put("key", duty.progressKey()),
+                CALL,
+                outcome -> {
+                    if (outcome.done()) {
+                        var item = outcome.answer().path("items").path(0);
+                        owner.found(
+                                now(), item.isMissingNode() ? null : item.path("value").asText());
+                    }
+                });
     }
 
     @Override
     public void act(DutyId duty, Plan plan, int step, Fence fence) {
-        orders.execute(() -> {
-            Owner.Effect effect = Owner.Effect.UNKNOWN;
-            try (Socket socket = new Socket()) {
-                socket.connect(receivers.get(step % receivers.size()), (int) (LONGEST * 1000));
-                socket.setSoTimeout((int) (LONGEST * 1000));
-                socket.getOutputStream().write(("ORDER " + name + " " + step + " " + fence.number() + "\n")
-                        .getBytes(StandardCharsets.US_ASCII));
-                String answer = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                        StandardCharsets.US_ASCII)).readLine();
-                effect = "TAKEN".equals(answer) ? Owner.Effect.DONE : "OLD".equals(answer) ? Owner.Effect.OLD
-                        : Owner.Effect.UNKNOWN;
-            } catch (IOException e) {
-                // Nobody can tell.
-            }
-            Owner.Effect end = effect;
-            heard(() -> owner.acted(now(), step, fence, end));
-        });
+        orders.execute(
+                () -> {
+                    Owner.Effect effect = Owner.Effect.UNKNOWN;
+                    try (Socket socket = new Socket()) {
+                        socket.connect(
+                                receivers.get(step % receivers.size()), (int) (LONGEST * 1000));
+                        socket.setSoTimeout((int) (LONGEST * 1000));
+                        socket.getOutputStream()
+                                .write(
+                                        ("ORDER " + name + " " + step + " " + fence.number() + "\n")
+                                                .getBytes(StandardCharsets.US_ASCII));
+                        String answer =
+                                new BufferedReader(
+                                                new InputStreamReader(
+                                                        socket.getInputStream(),
+                                                        StandardCharsets.US_ASCII))
+                                        .readLine();
+                        effect =
+                                "TAKEN".equals(answer)
+                                        ? Owner.Effect.DONE
+                                        : "OLD".equals(answer)
+                                                ? Owner.Effect.OLD
+                                                : Owner.Effect.UNKNOWN;
+                    } catch (IOException e) {
+                        // Nobody can tell.
+                    }
+                    Owner.Effect end = effect;
+                    heard(() -> owner.acted(now(), step, fence, end));
+                });
     }
 
     @Override
--- a/rig/src/main/java/embershift/rig/process/Patience.java
+++ b/rig/src/main/java/embershift/rig/process/Patience.java
@@ -5,14 +5,16 @@
 import java.nio.file.Path;
 
 /**
- * A limit on progress of processes, in seconds of a machine that has a processor for each task that wants one. On a busier one the
- * clock of the limit goes slower by what the tasks have to share, and never slower than a tenth: limits are ten times what is usual,
- * and what is usual on a quiet machine takes as much longer on a busy one. One thread at a time.
+ * A limit on progress of processes, in seconds of a machine that has a processor for each task that
+ * wants one. On a busier one the clock of the limit goes slower by what the tasks have to share,
+ * and never slower than a tenth: limits are ten times what is usual, and what is usual on a quiet
+ * machine takes as much longer on a busy one. One thread at a time.
  */
 public final class Patience {
 
     private static final Path LOAD = Path.of("/proc/loadavg");
     private static final double SLOWEST = 0.1;
+
     /** Seconds for which a look at the machine holds, at least. */
     private static final double LOOK = 0.02;
 
--- a/rig/src/main/java/embershift/rig/process/Play.java
+++ b/rig/src/main/java/embershift/rig/process/Play.java
@@ -6,7 +6,6 @@
 import embershift.rig.history.Linearizable;
 import embershift.rig.history.Operation;
 import embershift.storage.DrillDisk;
-
 import java.io.IOException;
 import java.io.RandomAccessFile;
 import java.nio.file.Files;
@@ -24,17 +23,24 @@
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
 
-/** Plays a schedule with real processes, and judges by what clients saw and by who said that it led. */
+/**
+ * Plays a schedule with real processes, and judges by what clients saw and by who said that it led.
+ */
 public final class Play {
 
-    /** {@code broken}: what was broken, or null; {@code healed}: seconds until all were in step after the last fault. */
-    public record Report(String schedule, long seed, String broken, Map<String, Long> reached, double healed) {
-    }
+    /**
+     * {@code broken}: what was broken, or null; {@code healed}: seconds until all were in step
+     * after the last fault.
+     */
+    public record Report(
+            String schedule, long seed, String broken, Map<String, Long> reached, double healed) {}
 
     private static final String[] KEYS = {"a", "b"};
     private static final double CALL = 2;
+
     /** Ten times what is usual. */
     private static final double HEAL = 30;
+
     private static final long STEPS = 400_000;
     private static final Pattern LEADS = Pattern.compile("\"message\":\"leads\".*?\"term\":(\\d+)");
     private static final int LOG_TAIL = 9;
@@ -48,23 +54,34 @@
     private final AtomicBoolean going = new AtomicBoolean(true);
     private final List<AtomicLong> done = new ArrayList<>();
 
-    private Play(Schedule schedule, long seed, Path folder, Map<String, String> classPaths) throws IOException {
+    private Play(Schedule schedule, long seed, Path folder, Map<String, String> classPaths)
+            throws IOException {
         this.schedule = schedule;
         this.folder = folder;
         chance = new Random(seed);
         ways = new Ways(seed);
-        instances = new Instances(folder, schedule.instances(), ways, history,
-                "[bounds]\nsnapshot-entries = 150\ntrail-entries = 20\nlog-file-bytes = 16384\n");
+        instances =
+                new Instances(
+                        folder,
+                        schedule.instances(),
+                        ways,
+                        history,
+                        "[bounds]\nsnapshot-entries = 150\ntrail-entries = 20\nlog-file-bytes = 16384\n");
         classPaths.forEach(instances::classPath);
     }
 
-    /** Plays it; where something was broken, schedule, history, logs and a picture stay in {@code folder}. */
+    /**
+     * Plays it; where something was broken, schedule, history, logs and a picture stay in {@code
+     * folder}.
+     */
     public static Report play(Schedule schedule, long seed, Path folder) throws IOException {
         return play(schedule, seed, folder, Map.of());
     }
 
     /** As above, some instances by other class paths. */
-    public static Report play(Schedule schedule, long seed, Path folder, Map<String, String> classPaths) throws IOException {
+    public static Report play(
+            Schedule schedule, long seed, Path folder, Map<String, String> classPaths)
+            throws IOException {
         Play play = new Play(schedule, seed, folder, classPaths);
         Report report;
         try {
@@ -80,9 +97,11 @@
         return report;
     }
 
-    /** {@code ends}: whether it ends a fault; {@code alone}: whether it waits for the faults before it to end. */
-    private record Step(double at, boolean ends, boolean alone, Runnable what) {
-    }
+    /**
+     * {@code ends}: whether it ends a fault; {@code alone}: whether it waits for the faults before
+     * it to end.
+     */
+    private record Step(double at, boolean ends, boolean alone, Runnable what) {}
 
     private Report run(long seed) throws IOException {
         instances.startAll();
@@ -120,8 +139,15 @@
             }
         }
         for (Map.Entry<String, Long> each : schedule.reaches().entrySet()) {
-            if (broken == null && history.reached().getOrDefault(each.getKey(), 0L) < each.getValue()) {
-                broken = "not proved: " + each.getKey() + " under " + each.getValue() + " in " + history.reached();
+            if (broken == null
+                    && history.reached().getOrDefault(each.getKey(), 0L) < each.getValue()) {
+                broken =
+                        "not proved: "
+                                + each.getKey()
+                                + " under "
+                                + each.getValue()
+                                + " in "
+                                + history.reached();
             }
         }
         return new Report(schedule.name(), seed, broken, history.reached(), healed);
@@ -139,16 +165,34 @@
 
     private void befall(double began) {
         PriorityQueue<Step> steps = new PriorityQueue<>(Comparator.comparingDouble(Step::at));
-        schedule.fault().forEach(fault -> steps.add(new Step(fault.at(), false, wantsAllInStep(fault.what()), () -> {
-            Runnable over = befalls(fault);
-            steps.add(new Step(history.now() - began + fault.lasts(), true, false, over));
-        })));
+        schedule.fault()
+                .forEach(
+                        fault ->
+                                steps.add(
+                                        new Step(
+                                                fault.at(),
+                                                false,
+                                                wantsAllInStep(fault.what()),
+                                                () -> {
+                                                    Runnable over = befalls(fault);
+                                                    steps.add(
+                                                            new Step(
+                                                                    history.now()
+                                                                            - began
+                                                                            + fault.lasts(),
+                                                                    true,
+                                                                    false,
+                                                                    over));
+                                                })));
         while (!steps.isEmpty()) {
             Step next = steps.remove();
-            double ended = steps.stream().filter(Step::ends).mapToDouble(Step::at).max().orElse(next.at);
+            double ended =
+                    steps.stream().filter(Step::ends).mapToDouble(Step::at).max().orElse(next.at);
             if (next.alone && ended > next.at) {
-                // On a slow machine a fault may take longer to begin than the next one comes after it. An instance that is to be
-                // started again behind that one would be waited for in vain, and two of three lost at once.
+                // On a slow machine a fault may take longer to begin than the next one comes after
+                // it. An instance that is to be
+                // started again behind that one would be waited for in vain, and two of three lost
+                // at once.
                 steps.add(new Step(Math.nextUp(ended), false, true, next.what));
                 continue;
             }
@@ -173,7 +217,10 @@
         if (word.equals("leader")) {
             return leads;
         }
-        List<String> others = instances.names().stream().filter(name -> !name.equals(leads) && !name.equals(but)).toList();
+        List<String> others =
+                instances.names().stream()
+                        .filter(name -> !name.equals(leads) && !name.equals(but))
+                        .toList();
         return others.isEmpty() ? leads : others.get(chance.nextInt(others.size()));
     }
 
@@ -196,10 +243,11 @@
         String whom = who(fault.whom(), null);
         List<String> peers = peers(fault.peer(), whom);
         history.event(fault.what().written(), whom, String.join(",", peers));
-        Runnable over = switch (fault.what()) {
-            case CUT, PART, DELAY, TRICKLE, RESET -> onWays(fault, whom, peers);
-            default -> whom.equals(Instances.CLIENTS) ? () -> { } : onProcess(fault, whom);
-        };
+        Runnable over =
+                switch (fault.what()) {
+                    case CUT, PART, DELAY, TRICKLE, RESET -> onWays(fault, whom, peers);
+                    default -> whom.equals(Instances.CLIENTS) ? () -> {} : onProcess(fault, whom);
+                };
         return () -> {
             over.run();
             history.event("over", whom, fault.what().written());
@@ -217,7 +265,8 @@
         for (Ways.Way way : some) {
             switch (fault.what()) {
                 case CUT, PART -> ways.cut(way, true);
-                case DELAY -> ways.set(way, new Ways.State(false, fault.delay(), fault.jitter(), 0));
+                case DELAY ->
+                        ways.set(way, new Ways.State(false, fault.delay(), fault.jitter(), 0));
                 case TRICKLE -> ways.set(way, new Ways.State(false, 0, 0, 16));
                 default -> ways.resetNext(way);
             }
@@ -225,7 +274,10 @@
         return () -> some.forEach(way -> ways.set(way, Ways.State.CLEAR));
     }
 
-    /** One at a time: where another has not got back yet what it forgot, two of three would have forgotten. */
+    /**
+     * One at a time: where another has not got back yet what it forgot, two of three would have
+     * forgotten.
+     */
     private void awaitInStep() {
         double until = history.now() + HEAL;
         while (lacking(new long[0]) != null && history.now() < until) {
@@ -239,7 +291,7 @@
         }
         Program program = instances.program(whom);
         if (!program.runs()) {
-            return () -> { };
+            return () -> {};
         }
         switch (fault.what()) {
             case STOP -> {
@@ -251,8 +303,13 @@
                 };
             }
             case DISK_FULL, DISK_SLOW -> {
-                Path mark = instances.folder(whom).resolve(fault.what() == Schedule.What.DISK_FULL ? DrillDisk.FULL
-                        : DrillDisk.SLOW);
+                Path mark =
+                        instances
+                                .folder(whom)
+                                .resolve(
+                                        fault.what() == Schedule.What.DISK_FULL
+                                                ? DrillDisk.FULL
+                                                : DrillDisk.SLOW);
                 quietly(() -> Files.write(mark, new byte[0]));
                 return () -> quietly(() -> Files.deleteIfExists(mark));
             }
@@ -265,16 +322,19 @@
             default -> instances.kill(whom);
         }
         switch (fault.what()) {
-            case LOG_CUT, LOG_FLIPPED -> quietly(() -> spoil(whom, fault.what() == Schedule.What.LOG_CUT));
+            case LOG_CUT, LOG_FLIPPED ->
+                    quietly(() -> spoil(whom, fault.what() == Schedule.What.LOG_CUT));
             case FOLDER_LOST -> quietly(() -> Instances.delete(instances.folder(whom)));
-            default -> { }
+            default -> {}
         }
-        return () -> quietly(() -> {
-            instances.start(whom);
-            if (fault.what() == Schedule.What.FOLDER_LOST) {
-                tendLost(whom);
-            }
-        });
+        return () ->
+                quietly(
+                        () -> {
+                            instances.start(whom);
+                            if (fault.what() == Schedule.What.FOLDER_LOST) {
+                                tendLost(whom);
+                            }
+                        });
     }
 
     private interface Doing {
@@ -292,14 +352,17 @@
     /** Cuts the last bytes off the log, as a write that was not whole, or changes the last one. */
     private void spoil(String whom, boolean cut) throws IOException {
         try (Stream<Path> files = Files.list(instances.folder(whom))) {
-            Path last = files.filter(file -> file.getFileName().toString().startsWith("log-"))
-                    .max(Comparator.comparing(Path::toString)).orElse(null);
+            Path last =
+                    files.filter(file -> file.getFileName().toString().startsWith("log-"))
+                            .max(Comparator.comparing(Path::toString))
+                            .orElse(null);
             if (last == null) {
                 return;
             }
             try (RandomAccessFile file = new RandomAccessFile(last.toFile(), "rw")) {
                 if (cut) {
-                    // What a kill in the middle of a write leaves: the beginning of a record that nobody was told of.
+                    // What a kill in the middle of a write leaves: the beginning of a record that
+                    // nobody was told of.
                     file.seek(file.length());
                     file.write(new byte[LOG_TAIL]);
                 } else if (file.length() > 100) {
@@ -314,9 +377,12 @@
 
     /** One that lost its folder is another: the old one is taken out, then it is taken in. */
     private void tendLost(String name) throws IOException {
-        for (long until = System.nanoTime() + 20_000_000_000L; System.nanoTime() < until; Instances.sleep(0.1)) {
+        for (long until = System.nanoTime() + 20_000_000_000L;
+                System.nanoTime() < until;
+                Instances.sleep(0.1)) {
             try (RecordClient client = instances.client()) {
-                RecordClient.Outcome outcome = client.ask(RecordClient.call("remove").put("name", name), CALL);
+                RecordClient.Outcome outcome =
+                        client.ask(RecordClient.call("remove").put("name", name), CALL);
                 if (outcome.done() || outcome.text().startsWith("there is no")) {
                     instances.add(name);
                     history.count("folders lost and made good");
@@ -374,7 +440,8 @@
             if (status == null) {
                 return name + " does not answer";
             }
-            if (status.path("applied").asLong() < leader.path("applied").asLong() - 200 || status.path("doubt").asBoolean()) {
+            if (status.path("applied").asLong() < leader.path("applied").asLong() - 200
+                    || status.path("doubt").asBoolean()) {
                 return name + " is behind";
             }
         }
@@ -385,7 +452,9 @@
         for (String name : instances.names()) {
             String log = Files.readString(folder.resolve(name + ".log"));
             if (log.contains("\"message\":\"stops\"")) {
-                return name + " stopped by itself: " + log.substring(log.indexOf("\"message\":\"stops\""));
+                return name
+                        + " stopped by itself: "
+                        + log.substring(log.indexOf("\"message\":\"stops\""));
             }
         }
         Map<Long, String> leaders = new HashMap<>();
@@ -414,22 +483,47 @@
                 String value = number + "/" + i;
                 double began = history.now();
                 if (sort == 0) {
-                    RecordClient.Outcome outcome = client.ask(RecordClient.call("get").put("key", key), CALL);
+                    RecordClient.Outcome outcome =
+                            client.ask(RecordClient.call("get").put("key", key), CALL);
                     if (outcome.done()) {
                         var item = outcome.answer().path("items").path(0);
                         String found = item.isMissingNode() ? null : item.path("value").asText();
                         known.put(key, new String[] {found, item.path("revision").asText("0")});
-                        add(number, Operation.Kind.READ, key, null, found, began, Operation.End.DONE);
+                        add(
+                                number,
+                                Operation.Kind.READ,
+                                key,
+                                null,
+                                found,
+                                began,
+                                Operation.End.DONE);
                     }
                 } else {
                     String[] expected = sort == 2 ? known.remove(key) : null;
-                    RecordClient.Outcome outcome = client.ask(RecordClient.put(key, value,
-                            expected == null ? -1 : Long.parseLong(expected[1])), CALL);
-                    Operation.End end = outcome.done() ? Operation.End.DONE : outcome.unknown() ? Operation.End.UNKNOWN
-                            : outcome.reason().equals("condition") ? Operation.End.REFUSED : null;
+                    RecordClient.Outcome outcome =
+                            client.ask(
+                                    RecordClient.put(
+                                            key,
+                                            value,
+                                            expected == null ? -1 : Long.parseLong(expected[1])),
+                                    CALL);
+                    Operation.End end =
+                            outcome.done()
+                                    ? Operation.End.DONE
+                                    : outcome.unknown()
+                                            ? Operation.End.UNKNOWN
+                                            : outcome.reason().equals("condition")
+                                                    ? Operation.End.REFUSED
+                                                    : null;
                     if (end != null) {
-                        add(number, expected == null ? Operation.Kind.PUT : Operation.Kind.SWAP, key,
-                                expected == null ? null : expected[0], value, began, end);
+                        add(
+                                number,
+                                expected == null ? Operation.Kind.PUT : Operation.Kind.SWAP,
+                                key,
+                                expected == null ? null : expected[0],
+                                value,
+                                began,
+                                end);
                     }
                 }
                 Instances.sleep(0.02 * own.nextDouble());
@@ -437,11 +531,25 @@
         }
     }
 
-    private void add(int caller, Operation.Kind kind, String key, String expected, String value, double began,
-                     Operation.End end) {
+    private void add(
+            int caller,
+            Operation.Kind kind,
+            String key,
+            String expected,
+            String value,
+            double began,
+            Operation.End end) {
         boolean unknown = end == Operation.End.UNKNOWN;
-        history.add(new Operation(caller, kind, key, expected, value, began,
-                unknown ? Double.POSITIVE_INFINITY : history.now(), end));
+        history.add(
+                new Operation(
+                        caller,
+                        kind,
+                        key,
+                        expected,
+                        value,
+                        began,
+                        unknown ? Double.POSITIVE_INFINITY : history.now(),
+                        end));
         history.count(kind + " " + end);
         if (!unknown) {
             done.get(caller).incrementAndGet();
--- a/rig/src/main/java/embershift/rig/process/Program.java
+++ b/rig/src/main/java/embershift/rig/process/Program.java
@@ -11,7 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** One process of a program, by its id: started, stopped, continued and ended. Its output goes to a file that grows. */
+/**
+ * One process of a program, by its id: started, stopped, continued and ended. Its output goes to a
+ * file that grows.
+ */
 public final class Program {
 
     private static final long LOOK_MS = 5;
@@ -29,22 +32,36 @@
     }
 
     /** Starts a Java program by the class path given; {@code options} are the machine's. */
-    public static Program java(String classPath, List<String> options, String main, List<String> args,
-                               Map<String, String> environment, Path log) throws IOException {
-        List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+    public static Program java(
+            String classPath,
+            List<String> options,
+            String main,
+            List<String> args,
+            Map<String, String> environment,
+            Path log)
+            throws IOException {
+        List<String> line =
+                new ArrayList<>(
+                        List.of(
+                                Path.of(System.getProperty("java.home"), "bin", "java")
+                                        .toString()));
         line.addAll(options);
         line.addAll(List.of("-cp", classPath, main));
         line.addAll(args);
         return start(line, environment, log);
     }
 
-    public static Program start(List<String> line, Map<String, String> environment, Path log) throws IOException {
+    public static Program start(List<String> line, Map<String, String> environment, Path log)
+            throws IOException {
         ProcessBuilder builder = new ProcessBuilder(line);
         builder.environment().remove("LB_CONFIG");
         builder.environment().putAll(environment);
         File file = log.toFile();
         long from = file.length();
-        Process process = builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(file)).start();
+        Process process =
+                builder.redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.appendTo(file))
+                        .start();
         return new Program(process, log, from);
     }
 
@@ -90,9 +107,12 @@
         signal("-STOP");
         Path stat = Path.of("/proc", String.valueOf(process.pid()), "stat");
         try {
-            // On a busy machine it takes hold after kill has ended: until then the process still goes on.
-            for (long until = System.nanoTime() + STOPS_NS; runs() && System.nanoTime() < until
-                    && !Files.readString(stat).matches("(?s).*\\) T .*"); ) {
+            // On a busy machine it takes hold after kill has ended: until then the process still
+            // goes on.
+            for (long until = System.nanoTime() + STOPS_NS;
+                    runs()
+                            && System.nanoTime() < until
+                            && !Files.readString(stat).matches("(?s).*\\) T .*"); ) {
                 Thread.onSpinWait();
             }
         } catch (IOException e) {
@@ -130,8 +150,8 @@
     }
 
     /**
-     * The first answer that is not null, as the output grows; fails where the process ends before, or the seconds are over, as
-     * {@link Patience} counts them.
+     * The first answer that is not null, as the output grows; fails where the process ends before,
+     * or the seconds are over, as {@link Patience} counts them.
      */
     public <T> T await(Function<String, T> found, double seconds) throws IOException {
         Patience patience = new Patience(seconds);
--- a/rig/src/main/java/embershift/rig/process/ReceiverStand.java
+++ b/rig/src/main/java/embershift/rig/process/ReceiverStand.java
@@ -4,7 +4,6 @@
 import embershift.fleet.Fence;
 import embershift.fleet.Gate;
 import embershift.hosted.RecordClient;
-
 import java.io.BufferedReader;
 import java.io.FileWriter;
 import java.io.IOException;
@@ -20,8 +19,9 @@
 import java.util.Locale;
 
 /**
- * A receiver of orders, as a process: goes by a gate, and writes each order that reached it, and what became of it, to a
- * file. Arguments: name, duty, file, instances as HOST:PORT,HOST:PORT. An order is a line: ORDER owner step fence.
+ * A receiver of orders, as a process: goes by a gate, and writes each order that reached it, and
+ * what became of it, to a file. Arguments: name, duty, file, instances as HOST:PORT,HOST:PORT. An
+ * order is a line: ORDER owner step fence.
  */
 public final class ReceiverStand {
 
@@ -39,7 +39,8 @@
 
     public static void main(String[] args) throws IOException {
         DutyId duty = new DutyId(args[1]);
-        ReceiverStand receiver = new ReceiverStand(duty, new FileWriter(args[2], StandardCharsets.UTF_8, true));
+        ReceiverStand receiver =
+                new ReceiverStand(duty, new FileWriter(args[2], StandardCharsets.UTF_8, true));
         receiver.note("started", "", 0, 0);
         try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
             Thread asking = new Thread(() -> receiver.askRecord(addresses(args[3])), "record");
@@ -56,18 +57,30 @@
     }
 
     static List<InetSocketAddress> addresses(String text) {
-        return Arrays.stream(text.split(",")).map(each -> new InetSocketAddress(each.split(":")[0],
-                Integer.parseInt(each.split(":")[1]))).toList();
+        return Arrays.stream(text.split(","))
+                .map(
+                        each ->
+                                new InetSocketAddress(
+                                        each.split(":")[0], Integer.parseInt(each.split(":")[1])))
+                .toList();
     }
 
     /** Until the record has answered a read that began after this start. */
     private void askRecord(List<InetSocketAddress> instances) {
         try (RecordClient client = new RecordClient(instances, "receiver")) {
             while (true) {
-                RecordClient.Outcome outcome = client.ask(RecordClient.call("get").put("key", duty.fenceKey()), 5);
+                RecordClient.Outcome outcome =
+                        client.ask(RecordClient.call("get").put("key", duty.fenceKey()), 5);
                 if (outcome.done()) {
                     synchronized (this) {
-                        gate.told(duty, new Fence(outcome.answer().path("items").path(0).path("revision").asLong()));
+                        gate.told(
+                                duty,
+                                new Fence(
+                                        outcome.answer()
+                                                .path("items")
+                                                .path(0)
+                                                .path("revision")
+                                                .asLong()));
                     }
                     return;
                 }
@@ -78,7 +91,15 @@
     private synchronized void note(String what, String owner, int step, long fence) {
         try {
             // The machine's monotonic time, the same for all processes.
-            history.write(String.format(Locale.ROOT, "%d %s %s %d %d%n", System.nanoTime(), what, owner, step, fence));
+            history.write(
+                    String.format(
+                            Locale.ROOT,
+                            "%d %s %s %d %d%n",
+                            System.nanoTime(),
+                            what,
+                            owner,
+                            step,
+                            fence));
             history.flush();
         } catch (IOException e) {
             throw new IllegalStateException(e);
@@ -92,12 +113,20 @@
     }
 
     private void serve(Socket socket) {
-        try (socket; BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream(),
-                StandardCharsets.US_ASCII))) {
+        try (socket;
+                BufferedReader in =
+                        new BufferedReader(
+                                new InputStreamReader(
+                                        socket.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = in.readLine(); line != null; line = in.readLine()) {
                 String[] words = line.split(" ");
-                String answer = words.length == 4 && words[0].equals("ORDER")
-                        ? take(words[1], Integer.parseInt(words[2]), Long.parseLong(words[3])) : "UNREADABLE";
+                String answer =
+                        words.length == 4 && words[0].equals("ORDER")
+                                ? take(
+                                        words[1],
+                                        Integer.parseInt(words[2]),
+                                        Long.parseLong(words[3]))
+                                : "UNREADABLE";
                 Instances.sleep(EFFECT);
                 socket.getOutputStream().write((answer + "\n").getBytes(StandardCharsets.US_ASCII));
             }
--- a/rig/src/main/java/embershift/rig/process/Relay.java
+++ b/rig/src/main/java/embershift/rig/process/Relay.java
@@ -14,11 +14,15 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Supplier;
 
-/** The way of connections that one process opens to another; both directions of it follow {@link Ways}. */
+/**
+ * The way of connections that one process opens to another; both directions of it follow {@link
+ * Ways}.
+ */
 public final class Relay implements AutoCloseable {
 
     /** Pieces held for a slow or cut direction; then what is sent waits in the system's buffers. */
     private static final int MOST_HELD = 64;
+
     private static final int PIECE = 8 << 10;
     private static final long TRICKLE_NS = 2_000_000;
     private static final int CONNECT_MS = 2000;
@@ -30,11 +34,11 @@
     private final Supplier<InetSocketAddress> target;
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
 
-    private record Piece(long due, byte[] bytes) {
-    }
+    private record Piece(long due, byte[] bytes) {}
 
     /** {@code target}: where the other listens now, or null while it does not. */
-    public Relay(Ways ways, String from, String to, Supplier<InetSocketAddress> target) throws IOException {
+    public Relay(Ways ways, String from, String to, Supplier<InetSocketAddress> target)
+            throws IOException {
         this.ways = ways;
         this.target = target;
         there = new Ways.Way(from, to);
@@ -87,32 +91,39 @@
 
     private void pump(Socket from, Socket to, Ways.Way way) {
         BlockingQueue<Piece> held = new LinkedBlockingQueue<>(MOST_HELD);
-        daemon("relay-in", () -> {
-            byte[] buffer = new byte[PIECE];
-            try {
-                InputStream in = from.getInputStream();
-                for (int many = in.read(buffer); many >= 0; many = in.read(buffer)) {
-                    held.put(new Piece(System.nanoTime() + ways.lateness(way), Arrays.copyOf(buffer, many)));
-                }
-                offerEnd(held, way);
-            } catch (IOException e) {
-                // A reset: it passes as an end, and in its turn.
-                offerEnd(held, way);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
-        daemon("relay-out", () -> {
-            try {
-                while (pass(held.take(), from, to, way)) {
-                    continue;
-                }
-            } catch (IOException e) {
-                reset(from, to);
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        });
+        daemon(
+                "relay-in",
+                () -> {
+                    byte[] buffer = new byte[PIECE];
+                    try {
+                        InputStream in = from.getInputStream();
+                        for (int many = in.read(buffer); many >= 0; many = in.read(buffer)) {
+                            held.put(
+                                    new Piece(
+                                            System.nanoTime() + ways.lateness(way),
+                                            Arrays.copyOf(buffer, many)));
+                        }
+                        offerEnd(held, way);
+                    } catch (IOException e) {
+                        // A reset: it passes as an end, and in its turn.
+                        offerEnd(held, way);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
+        daemon(
+                "relay-out",
+                () -> {
+                    try {
+                        while (pass(held.take(), from, to, way)) {
+                            continue;
+                        }
+                    } catch (IOException e) {
+                        reset(from, to);
+                    } catch (InterruptedException e) {
+                        Thread.currentThread().interrupt();
+                    }
+                });
     }
 
     private void offerEnd(BlockingQueue<Piece> held, Ways.Way way) {
@@ -124,7 +135,8 @@
     }
 
     /** Whether more may follow. */
-    private boolean pass(Piece piece, Socket from, Socket to, Ways.Way way) throws IOException, InterruptedException {
+    private boolean pass(Piece piece, Socket from, Socket to, Ways.Way way)
+            throws IOException, InterruptedException {
         while (System.nanoTime() < piece.due) {
             LockSupport.parkNanos(piece.due - System.nanoTime());
         }
--- a/rig/src/main/java/embershift/rig/process/Ways.java
+++ b/rig/src/main/java/embershift/rig/process/Ways.java
@@ -7,16 +7,18 @@
 import java.util.Set;
 
 /**
- * What each direction between two processes is like just now. A cut is silent: what is sent waits, and arrives once the cut
- * ends. Safe for many threads.
+ * What each direction between two processes is like just now. A cut is silent: what is sent waits,
+ * and arrives once the cut ends. Safe for many threads.
  */
 public final class Ways {
 
     /** From one to the other. */
-    public record Way(String from, String to) {
-    }
+    public record Way(String from, String to) {}
 
-    /** {@code delay}, {@code jitter}: seconds, the second at the most; {@code piece}: bytes that pass at a time, 0 for all. */
+    /**
+     * {@code delay}, {@code jitter}: seconds, the second at the most; {@code piece}: bytes that
+     * pass at a time, 0 for all.
+     */
     public record State(boolean cut, double delay, double jitter, int piece) {
 
         static final State CLEAR = new State(false, 0, 0, 0);
--- a/rig/src/main/java/embershift/rig/scale/CountingProxy.java
+++ b/rig/src/main/java/embershift/rig/scale/CountingProxy.java
@@ -2,7 +2,6 @@
 
 import embershift.transport.Link;
 import embershift.transport.Loop;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -17,8 +16,9 @@
 import java.util.function.Supplier;
 
 /**
- * The way of many nodes to one instance, wherever that listens now: counts the bytes and the pieces in which they come, and can be cut.
- * All of it on one loop, so that a thousand nodes need no thousand threads.
+ * The way of many nodes to one instance, wherever that listens now: counts the bytes and the pieces
+ * in which they come, and can be cut. All of it on one loop, so that a thousand nodes need no
+ * thousand threads.
  */
 final class CountingProxy implements AutoCloseable {
 
@@ -36,13 +36,18 @@
         this.loop = loop;
         this.target = target;
         CompletableFuture<Loop.Listening> listens = new CompletableFuture<>();
-        loop.execute(() -> {
-            try {
-                listens.complete(loop.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), () -> true, this::accepted));
-            } catch (IOException | RuntimeException e) {
-                listens.completeExceptionally(e);
-            }
-        });
+        loop.execute(
+                () -> {
+                    try {
+                        listens.complete(
+                                loop.listen(
+                                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                                        () -> true,
+                                        this::accepted));
+                    } catch (IOException | RuntimeException e) {
+                        listens.completeExceptionally(e);
+                    }
+                });
         try {
             listening = listens.join();
         } catch (CompletionException e) {
@@ -69,13 +74,14 @@
 
     /** From now on nothing passes and all that was open is closed; or it may be opened again. */
     void cut(boolean on) {
-        loop.execute(() -> {
-            cut = on;
-            if (on) {
-                Set.copyOf(open).forEach(Link::close);
-                open.clear();
-            }
-        });
+        loop.execute(
+                () -> {
+                    cut = on;
+                    if (on) {
+                        Set.copyOf(open).forEach(Link::close);
+                        open.clear();
+                    }
+                });
     }
 
     private void accepted(Link node) {
@@ -88,65 +94,69 @@
         Deque<byte[]> early = new ArrayDeque<>();
         boolean[] there = new boolean[1];
         Link[] instance = new Link[1];
-        instance[0] = loop.connect(at, new Link.Events() {
-            @Override
-            public void connected() {
-                there[0] = true;
-                early.forEach(bytes -> instance[0].write(ByteBuffer.wrap(bytes)));
-                early.clear();
-            }
-
-            @Override
-            public void notConnected() {
-                end();
-            }
-
-            @Override
-            public void received(ByteBuffer bytes) {
-                toNodes.addAndGet(bytes.remaining());
-                pieces.incrementAndGet();
-                node.write(bytes);
-            }
-
-            @Override
-            public void ended() {
-                end();
-            }
-
-            @Override
-            public void broken() {
-                end();
-            }
-
-            private void end() {
-                close(node, instance[0]);
-            }
-        });
+        instance[0] =
+                loop.connect(
+                        at,
+                        new Link.Events() {
+                            @Override
+                            public void connected() {
+                                there[0] = true;
+                                early.forEach(bytes -> instance[0].write(ByteBuffer.wrap(bytes)));
+                                early.clear();
+                            }
+
+                            @Override
+                            public void notConnected() {
+                                end();
+                            }
+
+                            @Override
+                            public void received(ByteBuffer bytes) {
+                                toNodes.addAndGet(bytes.remaining());
+                                pieces.incrementAndGet();
+                                node.write(bytes);
+                            }
+
+                            @Override
+                            public void ended() {
+                                end();
+                            }
+
+                            @Override
+                            public void broken() {
+                                end();
+                            }
+
+                            private void end() {
+                                close(node, instance[0]);
+                            }
+                        });
         open.add(instance[0]);
-        node.events(new Link.Events() {
-            @Override
-            public void received(ByteBuffer bytes) {
-                fromNodes.addAndGet(bytes.remaining());
-                pieces.incrementAndGet();
-                if (there[0]) {
-                    instance[0].write(bytes);
-                } else {
-                    byte[] kept = new byte[bytes.remaining()];
-                    bytes.get(kept);
-                    early.add(kept);
-                }
-            }
-
-            @Override
-            public void ended() {
-                close(node, instance[0]);
-            }
-
-            @Override
-            public void broken() {
-                close(node, instance[0]);
-            }
-        });
+        node.events(
+                new Link.Events() {
+                    @Override
+                    public void received(ByteBuffer bytes) {
+                        fromNodes.addAndGet(bytes.remaining());
+                        pieces.incrementAndGet();
+                        if (there[0]) {
+                            instance[0].write(bytes);
+                        } else {
+                            byte[] kept = new byte[bytes.remaining()];
+                            bytes.get(kept);
+                            early.add(kept);
+                        }
+                    }
+
+                    @Override
+                    public void ended() {
+                        close(node, instance[0]);
+                    }
+
+                    @Override
+                    public void broken() {
+                        close(node, instance[0]);
+                    }
+                });
     }
 
     private void close(Link one, Link other) {
--- a/rig/src/main/java/embershift/rig/scale/Cpu.java
+++ b/rig/src/main/java/embershift/rig/scale/Cpu.java
@@ -3,18 +3,21 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Processor time of this thread: on a machine that others use as well, the time that passes tells of them. */
+/**
+ * Processor time of this thread: on a machine that others use as well, the time that passes tells
+ * of them.
+ */
 final class Cpu {
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int CALLS = 20_000;
     private static final int ROUNDS = 5;
     private static final int COLLECTIONS = 3;
+
     /** What it takes to ask, which each of the measured pieces holds. */
     private static final double ASKING = asking();
 
-    private Cpu() {
-    }
+    private Cpu() {}
 
     private static double asking() {
         double least = Double.MAX_VALUE;
--- a/rig/src/main/java/embershift/rig/scale/Curve.java
+++ b/rig/src/main/java/embershift/rig/scale/Curve.java
@@ -6,10 +6,19 @@
 import java.util.Locale;
 
 /**
- * One cost by one size: {@code what} costs {@code unit} by the number of {@code of}. {@code expected}: at {@code size}, by the fit;
- * {@code far}: that is over ten times the largest point. {@code simulated}: counted in virtual time, or by classes without sockets.
+ * One cost by one size: {@code what} costs {@code unit} by the number of {@code of}. {@code
+ * expected}: at {@code size}, by the fit; {@code far}: that is over ten times the largest point.
+ * {@code simulated}: counted in virtual time, or by classes without sockets.
  */
-record Curve(String what, String unit, String of, List<Point> points, Fit fit, double size, double expected, boolean far) {
+record Curve(
+        String what,
+        String unit,
+        String of,
+        List<Point> points,
+        Fit fit,
+        double size,
+        double expected,
+        boolean far) {
 
     private static final double FAR = 10;
 
@@ -28,7 +37,15 @@
         double[] x = points.stream().mapToDouble(Point::at).toArray();
         double[] y = points.stream().mapToDouble(Point::median).toArray();
         Fit fit = Fit.of(x, y);
-        return new Curve(what, unit, of, List.copyOf(points), fit, size, fit.at(x, y, size), size > FAR * x[x.length - 1]);
+        return new Curve(
+                what,
+                unit,
+                of,
+                List.copyOf(points),
+                fit,
+                size,
+                fit.at(x, y, size),
+                size > FAR * x[x.length - 1]);
     }
 
     List<String> lines() {
@@ -36,16 +53,41 @@
         lines.add(what + ", " + unit + ", by " + of);
         StringBuilder each = new StringBuilder("   ");
         for (Point point : points) {
-            each.append(String.format(Locale.ROOT, " %.0f: %s (%s to %s);", point.at, figure(point.median), figure(point.least),
-                    figure(point.most)));
+            each.append(
+                    String.format(
+                            Locale.ROOT,
+                            " %.0f: %s (%s to %s);",
+                            point.at,
+                            figure(point.median),
+                            figure(point.least),
+                            figure(point.most)));
         }
         lines.add(each.toString());
-        String bend = Double.isNaN(fit.bend()) ? "no bend" : String.format(Locale.ROOT, "bends at %.0f: %.2f below, %.2f above",
-                fit.bend(), fit.below(), fit.above());
-        lines.add(String.format(Locale.ROOT, "    slope %.2f +- %.2f, fixed %s, each %s; %s; at %.0f: %s%s", fit.slope(), fit.error(),
-                figure(fit.fixed()), figure(fit.each()), bend, size, figure(expected),
-                far ? " (EXTRAPOLATED over ten times the largest point)"
-                        : size > points.get(points.size() - 1).at ? " (extrapolated)" : ""));
+        String bend =
+                Double.isNaN(fit.bend())
+                        ? "no bend"
+                        : String.format(
+                                Locale.ROOT,
+                                "bends at %.0f: %.2f below, %.2f above",
+                                fit.bend(),
+                                fit.below(),
+                                fit.above());
+        lines.add(
+                String.format(
+                        Locale.ROOT,
+                        "    slope %.2f +- %.2f, fixed %s, each %s; %s; at %.0f: %s%s",
+                        fit.slope(),
+                        fit.error(),
+                        figure(fit.fixed()),
+                        figure(fit.each()),
+                        bend,
+                        size,
+                        figure(expected),
+                        far
+                                ? " (EXTRAPOLATED over ten times the largest point)"
+                                : size > points.get(points.size() - 1).at
+                                        ? " (extrapolated)"
+                                        : ""));
         return lines;
     }
 
@@ -55,7 +97,8 @@
             return "-";
         }
         double size = Math.abs(value);
-        int places = size == 0 || size >= 100 ? 0 : (int) Math.min(9, 2 - Math.floor(Math.log10(size)));
+        int places =
+                size == 0 || size >= 100 ? 0 : (int) Math.min(9, 2 - Math.floor(Math.log10(size)));
         return String.format(Locale.ROOT, "%." + places + "f", value);
     }
 
--- a/rig/src/main/java/embershift/rig/scale/Fit.java
+++ b/rig/src/main/java/embershift/rig/scale/Fit.java
@@ -1,20 +1,28 @@
 package embershift.rig.scale;
 
 /**
- * How a cost grows, by least squares over the logarithms of both: it goes as x to the power of {@code slope}, with the standard error
- * {@code error} (NaN for less than three points). {@code fixed}, {@code each}: of the line y = fixed + each * x that
- * errs least in proportion. {@code bend}: the point at which the slopes on both sides differ most, if by more than {@code BENT}, else
- * NaN; {@code below}, {@code above}: these slopes.
+ * How a cost grows, by least squares over the logarithms of both: it goes as x to the power of
+ * {@code slope}, with the standard error {@code error} (NaN for less than three points). {@code
+ * fixed}, {@code each}: of the line y = fixed + each * x that errs least in proportion. {@code
+ * bend}: the point at which the slopes on both sides differ most, if by more than {@code BENT},
+ * else NaN; {@code below}, {@code above}: these slopes.
  */
-record Fit(double slope, double error, double fixed, double each, double bend, double below, double above) {
+record Fit(
+        double slope,
+        double error,
+        double fixed,
+        double each,
+        double bend,
+        double below,
+        double above) {
 
     private static final double BENT = 0.3;
     private static final int LEAST = 3;
+
     /** Takes the place of a cost of nothing, which has no logarithm. */
     private static final double LEAST_COST = 1e-9;
 
-    private record Line(double slope, double start, double error) {
-    }
+    private record Line(double slope, double start, double error) {}
 
     static Fit of(double[] x, double[] y) {
         int many = x.length;
@@ -33,7 +41,8 @@
                 above = right.slope;
             }
         }
-        // Weighted by 1 / y squared: else the largest points alone would say what the fixed part is.
+        // Weighted by 1 / y squared: else the largest points alone would say what the fixed part
+        // is.
         double w = 0;
         double wx = 0;
         double wy = 0;
@@ -49,7 +58,14 @@
         }
         double under = w * wxx - wx * wx;
         double each = many < 2 || under == 0 ? 0 : (w * wxy - wx * wy) / under;
-        return new Fit(whole.slope, whole.error, w == 0 ? 0 : (wy - each * wx) / w, each, bend, below, above);
+        return new Fit(
+                whole.slope,
+                whole.error,
+                w == 0 ? 0 : (wy - each * wx) / w,
+                each,
+                bend,
+                below,
+                above);
     }
 
     private static Line logLine(double[] x, double[] y, int from, int to) {
@@ -72,7 +88,8 @@
         for (int i = from; i < to; i++) {
             rest += Math.pow(log(y[i]) - start - slope * Math.log(x[i]), 2);
         }
-        return new Line(slope, start, many < LEAST ? Double.NaN : Math.sqrt(rest / (many - 2) / xx));
+        return new Line(
+                slope, start, many < LEAST ? Double.NaN : Math.sqrt(rest / (many - 2) / xx));
     }
 
     private static double log(double cost) {
@@ -80,8 +97,8 @@
     }
 
     /**
-     * What is to be expected at a size: between two points by the line through the logarithms of both, beyond the last one from there
-     * by the slope of the last part.
+     * What is to be expected at a size: between two points by the line through the logarithms of
+     * both, beyond the last one from there by the slope of the last part.
      */
     double at(double[] x, double[] y, double size) {
         int last = x.length - 1;
