--- a/rig/src/main/java/embershift/rig/scale/FleetCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/FleetCosts.java
@@ -5,8 +5,6 @@
 import embershift.rig.process.FleetSite;
 import embershift.rig.process.Instances;
 import embershift.transport.Loop;
-import org.HdrHistogram.Histogram;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -18,8 +16,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
+import org.HdrHistogram.Histogram;
 
-/** What a fleet costs by the number of nodes, hollow or real, against real instances, hosts and discovery. */
+/**
+ * What a fleet costs by the number of nodes, hollow or real, against real instances, hosts and
+ * discovery.
+ */
 final class FleetCosts {
 
     private static final double PATIENCE = 90;
@@ -37,8 +39,7 @@
     private static final int FIELD_USER = 11;
     private static final int NAMES = 7;
 
-    private FleetCosts() {
-    }
+    private FleetCosts() {}
 
     private static final class Site implements AutoCloseable {
         private final Path folder = Files.createTempDirectory("scale");
@@ -47,20 +48,35 @@
         private final List<CountingProxy> proxies = new ArrayList<>();
         private HollowNodes hollow;
         private final Map<Long, AtomicInteger> acted = new ConcurrentHashMap<>();
+
         /** When each revision was asked for, by the monotonic clock and by the system's. */
         private final Map<Long, Long> made = new ConcurrentHashMap<>();
+
         private final Map<Long, Long> madeAt = new HashMap<>();
         private final Histogram times = new Histogram(MOST_MS, 3);
         private double last;
 
         Site(ScaleFile.Hollow file, int nodes) throws IOException {
-            site = new FleetSite(folder, file.instances(), file.real() ? nodes : 0, file.hosts(), "", "report-s = 0.5\n");
+            site =
+                    new FleetSite(
+                            folder,
+                            file.instances(),
+                            file.real() ? nodes : 0,
+                            file.hosts(),
+                            "",
+                            "report-s = 0.5\n");
             if (!file.real()) {
                 for (String instance : site.instances.names()) {
                     proxies.add(new CountingProxy(ways, () -> site.instances.listen(instance)));
                 }
-                hollow = new HollowNodes(folder, nodes, file.startEvery(), proxies.stream().map(CountingProxy::address).toList(), site.hosts.discoveryPort(),
-                        this::acted);
+                hollow =
+                        new HollowNodes(
+                                folder,
+                                nodes,
+                                file.startEvery(),
+                                proxies.stream().map(CountingProxy::address).toList(),
+                                site.hosts.discoveryPort(),
+                                this::acted);
             }
         }
 
@@ -82,7 +98,9 @@
         }
 
         long current() {
-            return site.list("state/").values().stream().filter(state -> state.startsWith("CURRENT")).count();
+            return site.list("state/").values().stream()
+                    .filter(state -> state.startsWith("CURRENT"))
+                    .count();
         }
 
         @Override
@@ -98,16 +116,41 @@
     }
 
     /** Adds to {@code curves} what was measured, also where a larger number then could not be. */
-    static void measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress, List<Curve> curves) throws IOException {
+    static void measure(
+            ScaleFile file, ResourceLimits limits, Consumer<String> progress, List<Curve> curves)
+            throws IOException {
         String who = file.hollow().real() ? "real nodes" : "hollow nodes";
-        Curve.Many points = new Curve.Many(who + ": from the start of all, instances too, until all nodes are current", "s", who + ": a change to acted on, p50",
-                "s", who + ": a change to acted on, p99", "s", who + ": a change to acted on, the last", "s",
-                who + ": bytes that a node sends to instances, without headers", "bytes a second",
-                who + ": bytes that instances send to a node, without headers", "bytes a second",
-                who + ": pieces between a node and instances", "a second", who + ": processor of a node", "% of a core",
-                who + ": processor of all instances", "% of a core", who + ": memory of the largest instance", "MB",
-                who + ": calls to discovery", "a second", who + ": changes that were not acted on by all within " + (int) LONGEST + " s",
-                "changes", who + ": shut out though alone of their names", "nodes");
+        Curve.Many points =
+                new Curve.Many(
+                        who + ": from the start of all, instances too, until all nodes are current",
+                        "s",
+                        who + ": a change to acted on, p50",
+                        "s",
+                        who + ": a change to acted on, p99",
+                        "s",
+                        who + ": a change to acted on, the last",
+                        "s",
+                        who + ": bytes that a node sends to instances, without headers",
+                        "bytes a second",
+                        who + ": bytes that instances send to a node, without headers",
+                        "bytes a second",
+                        who + ": pieces between a node and instances",
+                        "a second",
+                        who + ": processor of a node",
+                        "% of a core",
+                        who + ": processor of all instances",
+                        "% of a core",
+                        who + ": memory of the largest instance",
+                        "MB",
+                        who + ": calls to discovery",
+                        "a second",
+                        who
+                                + ": changes that were not acted on by all within "
+                                + (int) LONGEST
+                                + " s",
+                        "changes",
+                        who + ": shut out though alone of their names",
+                        "nodes");
         int measured = 0;
         try {
             for (int nodes : file.hollow().nodes().stream().sorted().toList()) {
@@ -116,8 +159,15 @@
                 double[] point = once(file.hollow(), nodes, limits, progress);
                 points.add(nodes, List.of(point));
                 measured++;
-                progress.accept(String.format(Locale.ROOT, "%s: %d done, change p50 %.3f p99 %.3f last %.3f s", who, nodes, point[1],
-                        point[2], point[3]));
+                progress.accept(
+                        String.format(
+                                Locale.ROOT,
+                                "%s: %d done, change p50 %.3f p99 %.3f last %.3f s",
+                                who,
+                                nodes,
+                                point[1],
+                                point[2],
+                                point[3]));
             }
         } finally {
             if (measured > 0) {
@@ -126,26 +176,42 @@
         }
     }
 
-    private static double[] once(ScaleFile.Hollow file, int nodes, ResourceLimits limits, Consumer<String> progress) throws IOException {
+    private static double[] once(
+            ScaleFile.Hollow file, int nodes, ResourceLimits limits, Consumer<String> progress)
+            throws IOException {
         long began = System.nanoTime();
         try (Site site = new Site(file, nodes)) {
             // All go by something: before the first revision a node has nothing to be behind with.
             long[] told = new long[1];
-            FleetSite.await("all " + nodes + " nodes current", PATIENCE, () -> {
-                long current = site.current();
-                if (current > told[0]) {
-                    told[0] = current;
-                    progress.accept(String.format(Locale.ROOT, "%.1f s: %d of %d current", (System.nanoTime() - began) / NANOS, current,
-                            nodes));
-                }
-                return current >= nodes - site.shutOut();
-            });
+            FleetSite.await(
+                    "all " + nodes + " nodes current",
+                    PATIENCE,
+                    () -> {
+                        long current = site.current();
+                        if (current > told[0]) {
+                            told[0] = current;
+                            progress.accept(
+                                    String.format(
+                                            Locale.ROOT,
+                                            "%.1f s: %d of %d current",
+                                            (System.nanoTime() - began) / NANOS,
+                                            current,
+                                            nodes));
+                        }
+                        return current >= nodes - site.shutOut();
+                    });
             if (site.shutOut() > 0) {
-                progress.accept(site.shutOut() + " were shut out: "
-                        + site.hollow.shutOut().values().stream().distinct().limit(2).toList());
+                progress.accept(
+                        site.shutOut()
+                                + " were shut out: "
+                                + site.hollow.shutOut().values().stream()
+                                        .distinct()
+                                        .limit(2)
+                                        .toList());
             }
             double started = (System.nanoTime() - began) / NANOS;
-            progress.accept(String.format(Locale.ROOT, "%d nodes current after %.1f s", nodes, started));
+            progress.accept(
+                    String.format(Locale.ROOT, "%d nodes current after %.1f s", nodes, started));
             Instances.sleep(SETTLE);
             limits.check();
             double[] quiet = quiet(site, nodes);
@@ -154,9 +220,21 @@
                 fromTrails(site);
             }
             synchronized (site.times) {
-                return new double[] {started, site.times.getValueAtPercentile(50) / MILLIS, site.times.getValueAtPercentile(99) / MILLIS,
-                    site.last, quiet[0], quiet[1], quiet[2], quiet[3], quiet[4], quiet[5], quiet[6], late,
-                    site.shutOut()};
+                return new double[] {
+                    started,
+                    site.times.getValueAtPercentile(50) / MILLIS,
+                    site.times.getValueAtPercentile(99) / MILLIS,
+                    site.last,
+                    quiet[0],
+                    quiet[1],
+                    quiet[2],
+                    quiet[3],
+                    quiet[4],
+                    quiet[5],
+                    quiet[6],
+                    late,
+                    site.shutOut()
+                };
             }
         }
     }
@@ -168,11 +246,22 @@
         double[] after = counts(site);
         double largest = 0;
         for (String name : site.site.instances.names()) {
-            largest = Math.max(largest, ResourceLimits.resident(site.site.instances.program(name).pid()) / KILO / KILO);
+            largest =
+                    Math.max(
+                            largest,
+                            ResourceLimits.resident(site.site.instances.program(name).pid())
+                                    / KILO
+                                    / KILO);
         }
-        return new double[] {(after[0] - before[0]) / SPAN / nodes, (after[1] - before[1]) / SPAN / nodes,
-            (after[2] - before[2]) / SPAN / nodes, PERCENT * (after[3] - before[3]) / SPAN / nodes,
-            PERCENT * (after[4] - before[4]) / SPAN, largest, (after[5] - before[5]) / SPAN};
+        return new double[] {
+            (after[0] - before[0]) / SPAN / nodes,
+            (after[1] - before[1]) / SPAN / nodes,
+            (after[2] - before[2]) / SPAN / nodes,
+            PERCENT * (after[3] - before[3]) / SPAN / nodes,
+            PERCENT * (after[4] - before[4]) / SPAN,
+            largest,
+            (after[5] - before[5]) / SPAN
+        };
     }
 
     private static double[] counts(Site site) throws IOException {
@@ -190,19 +279,32 @@
         }
         // Between real nodes and instances nothing counts.
         double unknown = site.hollow == null ? Double.NaN : 0;
-        return new double[] {unknown + site.proxies.stream().mapToLong(CountingProxy::fromNodes).sum(),
+        return new double[] {
+            unknown + site.proxies.stream().mapToLong(CountingProxy::fromNodes).sum(),
             unknown + site.proxies.stream().mapToLong(CountingProxy::toNodes).sum(),
-            unknown + site.proxies.stream().mapToLong(CountingProxy::pieces).sum(), nodes,
-            instances, site.site.hosts.calls()};
+            unknown + site.proxies.stream().mapToLong(CountingProxy::pieces).sum(),
+            nodes,
+            instances,
+            site.site.hosts.calls()
+        };
     }
 
     /** Seconds of processor that a process took so far. */
     private static double processor(long pid) throws IOException {
-        String[] fields = Files.readString(Path.of("/proc/" + pid + "/stat")).replaceFirst("^.*\\) ", "").split(" ");
-        return (Long.parseLong(fields[FIELD_USER]) + Long.parseLong(fields[FIELD_USER + 1])) / TICKS;
+        String[] fields =
+                Files.readString(Path.of("/proc/" + pid + "/stat"))
+                        .replaceFirst("^.*\\) ", "")
+                        .split(" ");
+        return (Long.parseLong(fields[FIELD_USER]) + Long.parseLong(fields[FIELD_USER + 1]))
+                / TICKS;
     }
 
-    private static int changes(Site site, ScaleFile.Hollow file, int nodes, ResourceLimits limits, Consumer<String> progress)
+    private static int changes(
+            Site site,
+            ScaleFile.Hollow file,
+            int nodes,
+            ResourceLimits limits,
+            Consumer<String> progress)
             throws IOException {
         String latest = site.site.get("rollout/latest");
         long revision = latest == null ? 0 : Long.parseLong(latest);
@@ -226,8 +328,12 @@
                 Instances.sleep(LOOK);
             }
             late += allGoBy(site, number, nodes) ? 0 : 1;
-            progress.accept(String.format(Locale.ROOT, "revision %d: acted on by all, or given up, after %.2f s", number,
-                    (System.nanoTime() - site.made.get(number)) / NANOS));
+            progress.accept(
+                    String.format(
+                            Locale.ROOT,
+                            "revision %d: acted on by all, or given up, after %.2f s",
+                            number,
+                            (System.nanoTime() - site.made.get(number)) / NANOS));
             Instances.sleep(PAUSE);
         }
         return late;
@@ -248,7 +354,10 @@
         for (String node : site.site.nodeNames()) {
             for (String text : site.site.list("trail/" + node + "/").values()) {
                 for (Trace entry : Segment.read(text).entries()) {
-                    Long from = entry.kind() == Trace.Kind.TOOK ? made.get(entry.value("revision")) : null;
+                    Long from =
+                            entry.kind() == Trace.Kind.TOOK
+                                    ? made.get(entry.value("revision"))
+                                    : null;
                     if (from != null) {
                         long took = Math.max(0, entry.at().millis() - from);
                         site.times.recordValue(Math.min(MOST_MS, took));
--- a/rig/src/main/java/embershift/rig/scale/HollowNodes.java
+++ b/rig/src/main/java/embershift/rig/scale/HollowNodes.java
@@ -9,7 +9,6 @@
 import embershift.protocol.Unreadable;
 import embershift.routing.Router;
 import embershift.transport.Loop;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -28,8 +27,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Nodes without clients: each with the real module, the real routing state and the real door, and all that these say and are told over
- * real connections; without a socket for clients. {@value #TOGETHER} share a loop.
+ * Nodes without clients: each with the real module, the real routing state and the real door, and
+ * all that these say and are told over real connections; without a socket for clients. {@value
+ * #TOGETHER} share a loop.
  */
 final class HollowNodes implements AutoCloseable {
 
@@ -41,15 +41,31 @@
 
     private final List<Loop> loops = new ArrayList<>();
     private final LongConsumer acted;
+
     /** Who was shut out, and why. */
     private final Map<String, String> shutOut = new ConcurrentHashMap<>();
 
-    /** One begins each {@code startEvery} seconds. {@code acted} hears the revision whenever one of them goes by one from now on, on the loops. */
-    HollowNodes(Path folder, int many, double startEvery, List<InetSocketAddress> instances, int discoveryPort, LongConsumer acted)
+    /**
+     * One begins each {@code startEvery} seconds. {@code acted} hears the revision whenever one of
+     * them goes by one from now on, on the loops.
+     */
+    HollowNodes(
+            Path folder,
+            int many,
+            double startEvery,
+            List<InetSocketAddress> instances,
+            int discoveryPort,
+            LongConsumer acted)
             throws IOException {
         this.acted = acted;
-        String at = String.join(", ", instances.stream().map(address -> "\"127.0.0.1:" + address.getPort() + "\"").toList());
-        Path doorFile = Files.writeString(folder.resolve("hollow.door.toml"), "instances = [" + at + "]\n");
+        String at =
+                String.join(
+                        ", ",
+                        instances.stream()
+                                .map(address -> "\"127.0.0.1:" + address.getPort() + "\"")
+                                .toList());
+        Path doorFile =
+                Files.writeString(folder.resolve("hollow.door.toml"), "instances = [" + at + "]\n");
         List<CompletableFuture<Void>> begun = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             if (i % TOGETHER == 0) {
@@ -59,14 +75,16 @@
             String name = String.format("hollow%05d", i);
             CompletableFuture<Void> each = new CompletableFuture<>();
             begun.add(each);
-            loop.after(startEvery * i, () -> {
-                try {
-                    begin(loop, name, discoveryPort, new Door(DoorFile.read(doorFile)));
-                    each.complete(null);
-                } catch (IOException | Unreadable | Toml.Unusable | RuntimeException e) {
-                    each.completeExceptionally(e);
-                }
-            });
+            loop.after(
+                    startEvery * i,
+                    () -> {
+                        try {
+                            begin(loop, name, discoveryPort, new Door(DoorFile.read(doorFile)));
+                            each.complete(null);
+                        } catch (IOException | Unreadable | Toml.Unusable | RuntimeException e) {
+                            each.completeExceptionally(e);
+                        }
+                    });
         }
         try {
             CompletableFuture.allOf(begun.toArray(new CompletableFuture<?>[0])).join();
@@ -75,58 +93,64 @@
         }
     }
 
-    private void begin(Loop loop, String name, int discoveryPort, Door door) throws IOException, Unreadable {
+    private void begin(Loop loop, String name, int discoveryPort, Door door)
+            throws IOException, Unreadable {
         // As FleetSite has it for nodes that are processes, so that both can be compared.
-        NodeConfiguration configuration = NodeConfiguration.read("""
+        NodeConfiguration configuration =
+                NodeConfiguration.read(
+                        """
             {"name":"%s","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"1",
              "settings":{"balancers":1,"az":"a","discovery":"subscribe",
               "profiles":[{"name":"p","repeat":"idempotent","setup-goal-s":0.5,"client-timeout-s":3}],
               "limits":{"may-probe":false,"may-cancel":true,"may-duplicate":false,"most-setups":3,"retry-after":true},
               "rules":{"must-ask-in-s":9,"drain-grace-s":1,"cold-from":0.3,"warm-after-s":2,"fall-multiple":4,"fall-s":1.5}}}"""
-                .formatted(name, discoveryPort), null);
-        Router router = new Router(loop, configuration, line -> { });
+                                .formatted(name, discoveryPort),
+                        null);
+        Router router = new Router(loop, configuration, line -> {});
         Bans bans = new Bans(loop, router, null);
-        door.begin(new Companion.Node() {
-            @Override
-            public Loop loop() {
-                return loop;
-            }
-
-            @Override
-            public Router router() {
-                return router;
-            }
-
-            @Override
-            public Bans bans() {
-                return bans;
-            }
-
-            @Override
-            public NodeConfiguration configuration() {
-                return configuration;
-            }
-
-            @Override
-            public boolean serving() {
-                return true;
-            }
-
-            @Override
-            public void log(String line) {
-                Matcher matcher = GOES_BY.matcher(line);
-                if (matcher.matches()) {
-                    acted.accept(Long.parseLong(matcher.group(1)));
-                } else if (line.startsWith(SHUT_OUT)) {
-                    shutOut.put(name, line.substring(SHUT_OUT.length()));
-                }
-            }
-
-            @Override
-            public void end(int status) {
-                // A process would end here. This one goes on without being heard, as others share it.
-            }
-        });
+        door.begin(
+                new Companion.Node() {
+                    @Override
+                    public Loop loop() {
+                        return loop;
+                    }
+
+                    @Override
+                    public Router router() {
+                        return router;
+                    }
+
+                    @Override
+                    public Bans bans() {
+                        return bans;
+                    }
+
+                    @Override
+                    public NodeConfiguration configuration() {
+                        return configuration;
+                    }
+
+                    @Override
+                    public boolean serving() {
+                        return true;
+                    }
+
+                    @Override
+                    public void log(String line) {
+                        Matcher matcher = GOES_BY.matcher(line);
+                        if (matcher.matches()) {
+                            acted.accept(Long.parseLong(matcher.group(1)));
+                        } else if (line.startsWith(SHUT_OUT)) {
+                            shutOut.put(name, line.substring(SHUT_OUT.length()));
+                        }
+                    }
+
+                    @Override
+                    public void end(int status) {
+                        // A process would end here. This one goes on without being heard, as others
+                        // share it.
+                    }
+                });
     }
 
     /** Seconds of processor that the loops took so far. */
@@ -140,7 +164,8 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } catch (ExecutionException | TimeoutException e) {
-                throw new IOException("a loop of hollow nodes does not answer within " + PATIENCE_S + " s", e);
+                throw new IOException(
+                        "a loop of hollow nodes does not answer within " + PATIENCE_S + " s", e);
             }
         }
         return sum;
--- a/rig/src/main/java/embershift/rig/scale/ListCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/ListCosts.java
@@ -6,7 +6,6 @@
 import embershift.fleet.HostsTold;
 import embershift.protocol.RosterPage;
 import embershift.protocol.Unreadable;
-
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,21 +20,32 @@
     private static final double MILLI = 1e6;
     private static final double KILO = 1024;
 
-    private ListCosts() {
-    }
+    private ListCosts() {}
 
     static Map<String, String> entries(int hosts) {
         Map<String, String> entries = new LinkedHashMap<>();
         for (int i = 0; i < hosts; i++) {
-            entries.put("h" + i, String.format(Locale.ROOT, "{\"instanceId\":\"h%d\",\"hostPort\":\"10.%d.%d.%d:7000\",\"zone\":\"z%d\","
-                    + "\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":1790000000000}", i, i >> 16, i >> 8 & 255, i & 255, i % 15));
+            entries.put(
+                    "h" + i,
+                    String.format(
+                            Locale.ROOT,
+                            "{\"instanceId\":\"h%d\",\"hostPort\":\"10.%d.%d.%d:7000\",\"zone\":\"z%d\","
+                                    + "\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":1790000000000}",
+                            i,
+                            i >> 16,
+                            i >> 8 & 255,
+                            i & 255,
+                            i % 15));
         }
         return entries;
     }
 
     static double[] once(int hosts) {
         Map<String, String> entries = entries(hosts);
-        String page = "{\"generation\":7,\"reset\":true,\"instances\":[" + String.join(",", entries.values()) + "]}";
+        String page =
+                "{\"generation\":7,\"reset\":true,\"instances\":["
+                        + String.join(",", entries.values())
+                        + "]}";
         long from = Cpu.now();
         try {
             for (int i = 0; i < TIMES; i++) {
@@ -55,24 +65,43 @@
         from = Cpu.now();
         told.heard(2, next);
         double heard = Cpu.since(from);
-        return new double[] {page.length() / KILO, read / MILLI, order(told.since(0)).length / KILO, heard / MILLI,
-            order(told.since(base)).length};
+        return new double[] {
+            page.length() / KILO,
+            read / MILLI,
+            order(told.since(0)).length / KILO,
+            heard / MILLI,
+            order(told.since(base)).length
+        };
     }
 
     private static byte[] order(HostsChange change) {
-        ObjectNode order = Words.node().put("number", change.number()).put("base", change.base()).put("generation", change.generation());
+        ObjectNode order =
+                Words.node()
+                        .put("number", change.number())
+                        .put("base", change.base())
+                        .put("generation", change.generation());
         Words.texts(order.putObject("changed"), change.changed());
         Words.list(order.putArray("gone"), change.gone());
         return Words.bytes(order);
     }
 
-    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress) throws ResourceLimits.Exceeded {
+    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress)
+            throws ResourceLimits.Exceeded {
         for (int i = 0; i < 2 * TIMES; i++) {
             once(1000);
         }
-        Curve.Many points = new Curve.Many("lists: discovery's whole answer", "KB", "lists: a node reads it", "ms",
-                "lists: the owner's order, whole", "KB", "lists: the owner compares two lists", "ms",
-                "lists: the owner's order for one change", "bytes");
+        Curve.Many points =
+                new Curve.Many(
+                        "lists: discovery's whole answer",
+                        "KB",
+                        "lists: a node reads it",
+                        "ms",
+                        "lists: the owner's order, whole",
+                        "KB",
+                        "lists: the owner compares two lists",
+                        "ms",
+                        "lists: the owner's order for one change",
+                        "bytes");
         for (int hosts : file.lists().hosts().stream().sorted().toList()) {
             List<double[]> repeats = new ArrayList<>();
             for (int i = 0; i < file.repeats(); i++) {
--- a/rig/src/main/java/embershift/rig/scale/ModuleSimulation.java
+++ b/rig/src/main/java/embershift/rig/scale/ModuleSimulation.java
@@ -1,7 +1,7 @@
 package embershift.rig.scale;
 
-import embershift.model.DeclineReason;
 import embershift.model.Decisions;
+import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.GroupId;
 import embershift.model.HostId;
@@ -15,7 +15,6 @@
 import embershift.model.ZoneId;
 import embershift.policy.Filling;
 import embershift.policy.Policy;
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -28,13 +27,23 @@
 import java.util.function.Consumer;
 
 /**
- * One node's module in virtual time, among hosts that answer and report even loads, under a steady flow of tunnels: as many end as are
- * placed. Each piece of news is a round of its own, whose processor time is counted by its kind.
+ * One node's module in virtual time, among hosts that answer and report even loads, under a steady
+ * flow of tunnels: as many end as are placed. Each piece of news is a round of its own, whose
+ * processor time is counted by its kind.
  */
 final class ModuleSimulation implements Decisions {
 
-    /** What a round was for. {@code REPORT} and {@code WAKE} are control's; the others are what clients cost. */
-    enum Kind { ARRIVAL, OPENED, ENDED, REPORT, WAKE }
+    /**
+     * What a round was for. {@code REPORT} and {@code WAKE} are control's; the others are what
+     * clients cost.
+     */
+    enum Kind {
+        ARRIVAL,
+        OPENED,
+        ENDED,
+        REPORT,
+        WAKE
+    }
 
     static final ProfileId PROFILE = new ProfileId("p");
     private static final int ZONES = 15;
@@ -47,15 +56,15 @@
     private static final double SPREAD = 0.1;
     private static final double NANOS = 1e9;
 
-    private record Event(double at, long order, Kind kind, Runnable what) implements Comparable<Event> {
+    private record Event(double at, long order, Kind kind, Runnable what)
+            implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return at != other.at ? Double.compare(at, other.at) : Long.compare(order, other.order);
         }
     }
 
-    private record Standing(TunnelId id, HostId host) {
-    }
+    private record Standing(TunnelId id, HostId host) {}
 
     private final Policy module;
     private final int nodes;
@@ -77,7 +86,10 @@
     private long declined;
     private double firstList;
 
-    /** {@code connections}: that stand here already; {@code placements}: tunnels a second; {@code groups}: that tunnels here are of. */
+    /**
+     * {@code connections}: that stand here already; {@code placements}: tunnels a second; {@code
+     * groups}: that tunnels here are of.
+     */
     ModuleSimulation(int hosts, int nodes, int connections, double placements, int groups) {
         this.nodes = nodes;
         this.placements = placements;
@@ -90,7 +102,8 @@
             HostId host = new HostId("h" + i);
             this.hosts.add(host);
             loads.put(host, LOAD + SPREAD * (chance.nextDouble() - 0.5));
-            listings.add(new Listing(host, Listing.State.READY, new ZoneId("z" + i % ZONES), 1, i, 0));
+            listings.add(
+                    new Listing(host, Listing.State.READY, new ZoneId("z" + i % ZONES), 1, i, 0));
         }
         for (Kind kind : Kind.values()) {
             spent.put(kind, new double[2]);
@@ -98,25 +111,59 @@
         long from = Cpu.now();
         module.round(now, news -> news.rosterListed(listings, false), this);
         firstList = Cpu.since(from) / NANOS;
-        module.round(now, news -> {
-            for (int i = 0; i < connections; i++) {
-                TunnelId id = new TunnelId("s" + i);
-                HostId host = this.hosts.get(i % hosts);
-                news.tunnelStanding(id, PROFILE, null, null, group(), host);
-                standing.add(new Standing(id, host));
-                setups.put(id, 1);
-            }
-        }, this);
+        module.round(
+                now,
+                news -> {
+                    for (int i = 0; i < connections; i++) {
+                        TunnelId id = new TunnelId("s" + i);
+                        HostId host = this.hosts.get(i % hosts);
+                        news.tunnelStanding(id, PROFILE, null, null, group(), host);
+                        standing.add(new Standing(id, host));
+                        setups.put(id, 1);
+                    }
+                },
+                this);
         module.round(now, news -> this.hosts.forEach(host -> report(news, host)), this);
         agenda.add(new Event(1 / placements, ++order, Kind.ARRIVAL, this::arrive));
     }
 
     /** As the platform would tell it; of the figures only those that cost something matter here. */
     static Deployment deployment(int nodes) {
-        return new Deployment(1, nodes, 0, new ZoneId("z0"),
-                List.of(new Deployment.Profile(PROFILE, Deployment.Repeat.REPEATABLE, Deployment.DedupScope.ALL, 0, GOAL, TIMEOUT,
-                        MESSAGE_GOAL, 1)),
-                false, 9, true, true, true, true, false, 3, true, 1, 0.25, 0, 1, 0.3, 20, 4, 1.5, Deployment.Budget.NONE, false, 0);
+        return new Deployment(
+                1,
+                nodes,
+                0,
+                new ZoneId("z0"),
+                List.of(
+                        new Deployment.Profile(
+                                PROFILE,
+                                Deployment.Repeat.REPEATABLE,
+                                Deployment.DedupScope.ALL,
+                                0,
+                                GOAL,
+                                TIMEOUT,
+                                MESSAGE_GOAL,
+                                1)),
+                false,
+                9,
+                true,
+                true,
+                true,
+                true,
+                false,
+                3,
+                true,
+                1,
+                0.25,
+                0,
+                1,
+                0.3,
+                20,
+                4,
+                1.5,
+                Deployment.Budget.NONE,
+                false,
+                0);
     }
 
     private GroupId group() {
@@ -135,7 +182,7 @@
             if (wakeAt <= until && (next == null || wakeAt <= next.at)) {
                 now = Math.max(now, wakeAt);
                 wakeAt = Double.POSITIVE_INFINITY;
-                round(Kind.WAKE, news -> { });
+                round(Kind.WAKE, news -> {});
             } else if (next != null && next.at <= until) {
                 agenda.remove();
                 now = next.at;
@@ -158,20 +205,36 @@
     private void arrive() {
         TunnelId id = new TunnelId("t" + ++named);
         GroupId group = group();
-        round(Kind.ARRIVAL, news -> news.tunnelArrived(id, PROFILE, (ParticipantId) null, (SubjectId) null, group, TIMEOUT, false));
+        round(
+                Kind.ARRIVAL,
+                news ->
+                        news.tunnelArrived(
+                                id,
+                                PROFILE,
+                                (ParticipantId) null,
+                                (SubjectId) null,
+                                group,
+                                TIMEOUT,
+                                false));
         if (!standing.isEmpty()) {
             Standing oldest = standing.remove();
             int setup = setups.remove(oldest.id) - 1;
-            round(Kind.ENDED, news -> news.setupEnded(oldest.id, setup, oldest.host, SetupEnd.COMPLETED, 1, true));
+            round(
+                    Kind.ENDED,
+                    news ->
+                            news.setupEnded(
+                                    oldest.id, setup, oldest.host, SetupEnd.COMPLETED, 1, true));
         }
         agenda.add(new Event(now + 1 / placements, ++order, Kind.ARRIVAL, this::arrive));
     }
 
     void countAnew() {
-        spent.values().forEach(sum -> {
-            sum[0] = 0;
-            sum[1] = 0;
-        });
+        spent.values()
+                .forEach(
+                        sum -> {
+                            sum[0] = 0;
+                            sum[1] = 0;
+                        });
         asked = 0;
         declined = 0;
     }
@@ -203,19 +266,32 @@
     @Override
     public void setUp(TunnelId id, HostId host, double timeOut) {
         int setup = setups.merge(id, 1, Integer::sum) - 1;
-        agenda.add(new Event(now + SETUP, ++order, Kind.OPENED, () -> {
-            round(Kind.OPENED, news -> news.tunnelOpened(id, setup, host, SETUP));
-            standing.add(new Standing(id, host));
-        }));
+        agenda.add(
+                new Event(
+                        now + SETUP,
+                        ++order,
+                        Kind.OPENED,
+                        () -> {
+                            round(Kind.OPENED, news -> news.tunnelOpened(id, setup, host, SETUP));
+                            standing.add(new Standing(id, host));
+                        }));
     }
 
     @Override
     public void probe(HostId host) {
         asked++;
-        agenda.add(new Event(now + ANSWER, ++order, Kind.REPORT, () -> round(Kind.REPORT, news -> {
-            news.probeEnded(host, true, ANSWER);
-            report(news, host);
-        })));
+        agenda.add(
+                new Event(
+                        now + ANSWER,
+                        ++order,
+                        Kind.REPORT,
+                        () ->
+                                round(
+                                        Kind.REPORT,
+                                        news -> {
+                                            news.probeEnded(host, true, ANSWER);
+                                            report(news, host);
+                                        })));
     }
 
     @Override
@@ -234,36 +310,28 @@
     }
 
     @Override
-    public void cancel(TunnelId id, int setup) {
-    }
+    public void cancel(TunnelId id, int setup) {}
 
     @Override
-    public void move(TunnelId id) {
-    }
+    public void move(TunnelId id) {}
 
     @Override
-    public void closeIdle(HostId host) {
-    }
+    public void closeIdle(HostId host) {}
 
     @Override
-    public void watchRoster(boolean on) {
-    }
+    public void watchRoster(boolean on) {}
 
     @Override
-    public void askRoster() {
-    }
+    public void askRoster() {}
 
     @Override
-    public void tellNode(int node, byte[] content) {
-    }
+    public void tellNode(int node, byte[] content) {}
 
     @Override
-    public void tellAllNodes(byte[] content) {
-    }
+    public void tellAllNodes(byte[] content) {}
 
     @Override
-    public void note(String line) {
-    }
+    public void note(String line) {}
 
     int nodes() {
         return nodes;
--- a/rig/src/main/java/embershift/rig/scale/RecordCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RecordCosts.java
@@ -4,12 +4,14 @@
 import embershift.fleet.Record;
 import embershift.fleet.SessionId;
 import embershift.fleet.Write;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
-/** What the agreed record costs one instance by its keys, without disk and sockets: what each instance does with each change. */
+/**
+ * What the agreed record costs one instance by its keys, without disk and sockets: what each
+ * instance does with each change.
+ */
 final class RecordCosts {
 
     private static final int CHANGES = 4000;
@@ -18,12 +20,19 @@
     private static final double MILLI = 1e6;
     private static final double MEGA = 1 << 20;
 
-    private RecordCosts() {
-    }
+    private RecordCosts() {}
 
     private static Command.Change change(int key, int round) {
-        return new Command.Change(SessionId.NONE, 0, 0, List.of(),
-                List.of(new Write("state/n" + key, ("CURRENT " + round + "x".repeat(VALUE)).substring(0, VALUE), false)));
+        return new Command.Change(
+                SessionId.NONE,
+                0,
+                0,
+                List.of(),
+                List.of(
+                        new Write(
+                                "state/n" + key,
+                                ("CURRENT " + round + "x".repeat(VALUE)).substring(0, VALUE),
+                                false)));
     }
 
     /** A change, the whole as bytes (time and size), a read of all keys. */
@@ -45,15 +54,25 @@
         int read = record.beginning("state/").size();
         double all = Cpu.since(from);
         if (read != keys) {
-            throw new IllegalStateException("of " + keys + " keys " + read + " are there: the record is full");
+            throw new IllegalStateException(
+                    "of " + keys + " keys " + read + " are there: the record is full");
         }
         return new double[] {each / MICRO, whole / MILLI, bytes.length / MEGA, all / MILLI};
     }
 
-    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress) throws ResourceLimits.Exceeded {
+    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress)
+            throws ResourceLimits.Exceeded {
         once(1000);
-        Curve.Many points = new Curve.Many("record: a change", "us", "record: the whole as bytes, time", "ms",
-                "record: the whole as bytes, size", "MB", "record: a read of all keys", "ms");
+        Curve.Many points =
+                new Curve.Many(
+                        "record: a change",
+                        "us",
+                        "record: the whole as bytes, time",
+                        "ms",
+                        "record: the whole as bytes, size",
+                        "MB",
+                        "record: a read of all keys",
+                        "ms");
         for (int keys : file.record().keys().stream().sorted().toList()) {
             List<double[]> repeats = new ArrayList<>();
             for (int i = 0; i < file.repeats(); i++) {
--- a/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
@@ -2,7 +2,6 @@
 
 import embershift.fleet.Revision;
 import embershift.fleet.Rollout;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -11,13 +10,15 @@
 import java.util.function.Consumer;
 
 /**
- * What the owner of the rollout costs by the number of nodes, and how long a change takes until all go by it, in virtual time: nodes that
- * answer at once, a record that notes at once, and the owner's own pace and limits.
+ * What the owner of the rollout costs by the number of nodes, and how long a change takes until all
+ * go by it, in virtual time: nodes that answer at once, a record that notes at once, and the
+ * owner's own pace and limits.
  */
 final class RolloutCosts {
 
     /** Between two looks of the owner, as {@code Duties} has it. */
     private static final double TICK = 0.05;
+
     private static final double ANSWER = 0.01;
     private static final double REPORT = 0.5;
     private static final double SETTLED = 3;
@@ -25,8 +26,7 @@
     private static final double NANOS = 1e9;
     private static final double PERCENT = 100;
 
-    private RolloutCosts() {
-    }
+    private RolloutCosts() {}
 
     private record Event(double at, long order, Runnable what) implements Comparable<Event> {
         @Override
@@ -74,7 +74,9 @@
 
         private void heard(String name) {
             Revision by = goneBy.get(name);
-            Rollout.Report report = new Rollout.Report(name, 1, by.number(), by.chain(), by.content(), true, 0, "", 0, 0);
+            Rollout.Report report =
+                    new Rollout.Report(
+                            name, 1, by.number(), by.chain(), by.content(), true, 0, "", 0, 0);
             timed(() -> rollout.heard(now, report));
         }
 
@@ -96,11 +98,13 @@
         @Override
         public void order(String node, Revision revision, long base) {
             orders++;
-            at(ANSWER, () -> {
-                goneBy.put(node, revision);
-                timed(() -> rollout.answered(now, node, true, false));
-                heard(node);
-            });
+            at(
+                    ANSWER,
+                    () -> {
+                        goneBy.put(node, revision);
+                        timed(() -> rollout.answered(now, node, true, false));
+                        heard(node);
+                    });
         }
 
         @Override
@@ -129,7 +133,10 @@
         }
     }
 
-    /** Share of a core when nothing happens; seconds until all go by a change that goes to all at once; processor of it; orders a node. */
+    /**
+     * Share of a core when nothing happens; seconds until all go by a change that goes to all at
+     * once; processor of it; orders a node.
+     */
     static double[] once(int nodes) {
         Fleet fleet = new Fleet(nodes);
         fleet.run(SETTLED);
@@ -140,20 +147,31 @@
         before = fleet.spent;
         double began = fleet.now;
         fleet.rollout.known(change, true);
-        while (fleet.goneBy.values().stream().anyMatch(by -> by.number() < 1) && fleet.now < began + LONGEST) {
+        while (fleet.goneBy.values().stream().anyMatch(by -> by.number() < 1)
+                && fleet.now < began + LONGEST) {
             fleet.run(fleet.now + TICK / 2);
         }
         double took = fleet.now - began;
         double cost = fleet.spent - before - idle / PERCENT * took;
-        return new double[] {idle, took, Math.max(0, cost) * NANOS / 1e6, (double) fleet.orders / nodes};
+        return new double[] {
+            idle, took, Math.max(0, cost) * NANOS / 1e6, (double) fleet.orders / nodes
+        };
     }
 
-    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress) throws ResourceLimits.Exceeded {
+    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress)
+            throws ResourceLimits.Exceeded {
         once(200);
         once(200);
-        Curve.Many points = new Curve.Many("rollout: the owner's decisions while nothing happens", "% of a core",
-                "rollout: a change until all go by it, nodes that answer in 10 ms", "s", "rollout: processor of a change at its owner", "ms",
-                "rollout: orders of a change, a node", "orders");
+        Curve.Many points =
+                new Curve.Many(
+                        "rollout: the owner's decisions while nothing happens",
+                        "% of a core",
+                        "rollout: a change until all go by it, nodes that answer in 10 ms",
+                        "s",
+                        "rollout: processor of a change at its owner",
+                        "ms",
+                        "rollout: orders of a change, a node",
+                        "orders");
         for (int nodes : file.rollout().nodes().stream().sorted().toList()) {
             List<double[]> repeats = new ArrayList<>();
             for (int i = 0; i < file.repeats(); i++) {
--- a/rig/src/main/java/embershift/rig/scale/TrailCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/TrailCosts.java
@@ -9,27 +9,31 @@
 import embershift.fleet.SessionId;
 import embershift.fleet.Trace;
 import embershift.fleet.Write;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/** What trails cost by the number of nodes: each a busy one, that enters its counts each 15 s and each change. */
+/**
+ * What trails cost by the number of nodes: each a busy one, that enters its counts each 15 s and
+ * each change.
+ */
 final class TrailCosts {
 
     private static final int SEGMENTS = 4;
+
     /** Seconds between two counts of a busy node, as {@code Door} enters them. */
     private static final double COUNTS = 15;
+
     /** Changes of configuration a day, of the size planned for. */
     private static final double CHANGES = 7700;
+
     private static final double DAY = 86_400;
     private static final double MILLI = 1e6;
     private static final int MILLIS = 1000;
 
-    private TrailCosts() {
-    }
+    private TrailCosts() {}
 
     /** As a node has the record keep them: what waited since the last piece goes as one. */
     private static List<Item> trails(int nodes) {
@@ -39,18 +43,48 @@
             String name = String.format("n%05d", n);
             for (int s = 0; s < SEGMENTS; s++) {
                 long at = 1_790_000_000_000L + s * 15L * MILLIS + n;
-                diary.enter(at, Trace.Kind.TOOK, Map.of("revision", String.valueOf(s + 1), "from", String.valueOf(s), "fence", "77",
-                        "content", "0123456789abcdef0123456789abcdef"), "");
-                diary.enter(at + 1, Trace.Kind.TUNNELS, Map.of("opened", "1035", "declined", "3", "revision", String.valueOf(s + 1)), "");
+                diary.enter(
+                        at,
+                        Trace.Kind.TOOK,
+                        Map.of(
+                                "revision",
+                                String.valueOf(s + 1),
+                                "from",
+                                String.valueOf(s),
+                                "fence",
+                                "77",
+                                "content",
+                                "0123456789abcdef0123456789abcdef"),
+                        "");
+                diary.enter(
+                        at + 1,
+                        Trace.Kind.TUNNELS,
+                        Map.of(
+                                "opened",
+                                "1035",
+                                "declined",
+                                "3",
+                                "revision",
+                                String.valueOf(s + 1)),
+                        "");
                 Segment segment = diary.next(name, 5);
-                items.add(new Item(segment.key(), segment.text(), (long) s * nodes + n, (long) s * nodes + n, SessionId.NONE));
+                items.add(
+                        new Item(
+                                segment.key(),
+                                segment.text(),
+                                (long) s * nodes + n,
+                                (long) s * nodes + n,
+                                SessionId.NONE));
                 diary.kept(segment.number());
             }
         }
         return items;
     }
 
-    /** Folding when it is due, the audit of it all, and for how long trails are kept in the record's half. */
+    /**
+     * Folding when it is due, the audit of it all, and for how long trails are kept in the record's
+     * half.
+     */
     static double[] once(int nodes) {
         List<Item> items = trails(nodes);
         long size = items.stream().mapToLong(item -> item.value().length()).sum();
@@ -59,8 +93,16 @@
         List<Write> writes = Folding.fold(items, Map.of(), size - 1, size);
         double fold = Cpu.since(from);
         from = Cpu.now();
-        Audit audit = new Audit(items.stream().map(Item::value).toList(),
-                items.stream().collect(Collectors.toMap(item -> item.key().split("/")[1], item -> 5L, (one, other) -> one)), Map.of());
+        Audit audit =
+                new Audit(
+                        items.stream().map(Item::value).toList(),
+                        items.stream()
+                                .collect(
+                                        Collectors.toMap(
+                                                item -> item.key().split("/")[1],
+                                                item -> 5L,
+                                                (one, other) -> one)),
+                        Map.of());
         double question = Cpu.since(from);
         if (writes.isEmpty() || audit.toString().isEmpty()) {
             throw new IllegalStateException("nothing was folded");
@@ -68,16 +110,31 @@
         double perEntry = (double) size / entries;
         double rate = 1 / COUNTS + CHANGES / DAY;
         double pieces = 1 / COUNTS + CHANGES / DAY;
-        return new double[] {fold / MILLI, question / MILLI, Record.ALL / 2.0 / (nodes * rate * perEntry) / 60, perEntry,
-            nodes * pieces};
+        return new double[] {
+            fold / MILLI,
+            question / MILLI,
+            Record.ALL / 2.0 / (nodes * rate * perEntry) / 60,
+            perEntry,
+            nodes * pieces
+        };
     }
 
-    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress) throws ResourceLimits.Exceeded {
+    static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress)
+            throws ResourceLimits.Exceeded {
         once(100);
         once(100);
-        Curve.Many points = new Curve.Many("trails: a folding of four pieces a node", "ms", "trails: an audit of four pieces a node", "ms",
-                "trails: kept in the record's half", "minutes", "trails: an entry", "bytes", "trails: pieces that the record must agree on",
-                "a second");
+        Curve.Many points =
+                new Curve.Many(
+                        "trails: a folding of four pieces a node",
+                        "ms",
+                        "trails: an audit of four pieces a node",
+                        "ms",
+                        "trails: kept in the record's half",
+                        "minutes",
+                        "trails: an entry",
+                        "bytes",
+                        "trails: pieces that the record must agree on",
+                        "a second");
         for (int nodes : file.trails().nodes().stream().sorted().toList()) {
             List<double[]> repeats = new ArrayList<>();
             for (int i = 0; i < file.repeats(); i++) {
--- a/rig/src/main/java/embershift/rig/world/DutyWorld.java
+++ b/rig/src/main/java/embershift/rig/world/DutyWorld.java
@@ -11,7 +11,6 @@
 import embershift.fleet.Record;
 import embershift.fleet.Result;
 import embershift.fleet.SessionId;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -19,8 +18,9 @@
 import java.util.function.Consumer;
 
 /**
- * Owners of one duty, an agreed record that is seldom away, and receivers, in virtual time: owners are stopped and go on, end
- * and start anew; calls and orders are late, lost, and read long after; clocks run apart. Judged by what receivers took.
+ * Owners of one duty, an agreed record that is seldom away, and receivers, in virtual time: owners
+ * are stopped and go on, end and start anew; calls and orders are late, lost, and read long after;
+ * clocks run apart. Judged by what receivers took.
  */
 public final class DutyWorld extends SeededWorld {
 
@@ -61,7 +61,9 @@
 
     /** Mostly soon; now and then long after. */
     private double late() {
-        return chance.nextInt(20) == 0 && faults() ? 6 * chance.nextDouble() : 0.002 + 0.02 * chance.nextDouble();
+        return chance.nextInt(20) == 0 && faults()
+                ? 6 * chance.nextDouble()
+                : 0.002 + 0.02 * chance.nextDouble();
     }
 
     private boolean lost() {
@@ -74,18 +76,33 @@
         if (lost()) {
             return;
         }
-        time.in(late(), () -> whenHere(() -> {
-            Result result = record.apply(++places, command);
-            if (command instanceof Command.Open && result.done()) {
-                renew(new SessionId(result.number()));
-            } else if (command instanceof Command.Change change) {
-                renew(change.session());
-            }
-            if (!lost()) {
-                time.in(late(), () -> answer.accept(result.done() ? new Answer.Done(result.number())
-                        : new Answer.Refused(Answer.Reason.valueOf(result.why().name()), result.text())));
-            }
-        }));
+        time.in(
+                late(),
+                () ->
+                        whenHere(
+                                () -> {
+                                    Result result = record.apply(++places, command);
+                                    if (command instanceof Command.Open && result.done()) {
+                                        renew(new SessionId(result.number()));
+                                    } else if (command instanceof Command.Change change) {
+                                        renew(change.session());
+                                    }
+                                    if (!lost()) {
+                                        time.in(
+                                                late(),
+                                                () ->
+                                                        answer.accept(
+                                                                result.done()
+                                                                        ? new Answer.Done(
+                                                                                result.number())
+                                                                        : new Answer.Refused(
+                                                                                Answer.Reason
+                                                                                        .valueOf(
+                                                                                                result.why()
+                                                                                                        .name()),
+                                                                                result.text())));
+                                    }
+                                }));
     }
 
     private void whenHere(Runnable what) {
@@ -104,14 +121,16 @@
     }
 
     private void endSessions() {
-        ends.entrySet().removeIf(end -> {
-            if (time.now() > end.getValue() && time.now() >= recordAway) {
-                record.apply(++places, new Command.End(end.getKey()));
-                count("sessions ended by the record");
-                return true;
-            }
-            return false;
-        });
+        ends.entrySet()
+                .removeIf(
+                        end -> {
+                            if (time.now() > end.getValue() && time.now() >= recordAway) {
+                                record.apply(++places, new Command.End(end.getKey()));
+                                count("sessions ended by the record");
+                                return true;
+                            }
+                            return false;
+                        });
         time.in(LOOK, this::endSessions);
     }
 
@@ -133,7 +152,10 @@
         void start() {
             run++;
             // Within what leases assume, or far beyond it.
-            rate = clocksStray ? 0.3 + 1.4 * chance.nextDouble() : 0.985 + 0.03 * chance.nextDouble();
+            rate =
+                    clocksStray
+                            ? 0.3 + 1.4 * chance.nextDouble()
+                            : 0.985 + 0.03 * chance.nextDouble();
             owner = new Owner("o" + number, DUTY, plan, terms, this);
             int mine = run;
             tick(mine);
@@ -175,7 +197,10 @@
         }
 
         private void twoAtOnce() {
-            long holding = stations.stream().filter(each -> !each.still && each.owner.holds(each.clock())).count();
+            long holding =
+                    stations.stream()
+                            .filter(each -> !each.still && each.owner.holds(each.clock()))
+                            .count();
             if (holding > 1 && !clocksStray) {
                 broken("two owners hold at once");
             }
@@ -185,16 +210,27 @@
         public void ask(Command command) {
             int mine = run;
             boolean[] heard = new boolean[1];
-            command(command, answer -> hear(mine, () -> {
-                heard[0] = true;
-                owner.answered(clock(), command, answer);
-            }));
-            time.in(CALL, () -> hear(mine, () -> {
-                if (!heard[0]) {
-                    count("calls unknown");
-                    owner.answered(clock(), command, new Answer.Unknown(""));
-                }
-            }));
+            command(
+                    command,
+                    answer ->
+                            hear(
+                                    mine,
+                                    () -> {
+                                        heard[0] = true;
+                                        owner.answered(clock(), command, answer);
+                                    }));
+            time.in(
+                    CALL,
+                    () ->
+                            hear(
+                                    mine,
+                                    () -> {
+                                        if (!heard[0]) {
+                                            count("calls unknown");
+                                            owner.answered(
+                                                    clock(), command, new Answer.Unknown(""));
+                                        }
+                                    }));
         }
 
         @Override
@@ -203,29 +239,55 @@
             if (lost()) {
                 return;
             }
-            time.in(late(), () -> whenHere(() -> {
-                boolean there = record.seconds(session) > 0;
-                DutyWorld.this.renew(session);
-                if (!lost()) {
-                    time.in(late(), () -> hear(mine, () -> {
-                        if (there) {
-                            owner.renewed(clock(), asked);
-                        } else {
-                            owner.sessionOver(clock());
-                        }
-                    }));
-                }
-            }));
+            time.in(
+                    late(),
+                    () ->
+                            whenHere(
+                                    () -> {
+                                        boolean there = record.seconds(session) > 0;
+                                        DutyWorld.this.renew(session);
+                                        if (!lost()) {
+                                            time.in(
+                                                    late(),
+                                                    () ->
+                                                            hear(
+                                                                    mine,
+                                                                    () -> {
+                                                                        if (there) {
+                                                                            owner.renewed(
+                                                                                    clock(), asked);
+                                                                        } else {
+                                                                            owner.sessionOver(
+                                                                                    clock());
+                                                                        }
+                                                                    }));
+                                        }
+                                    }));
         }
 
         @Override
         public void look(DutyId duty) {
             int mine = run;
             if (!lost()) {
-                time.in(late(), () -> whenHere(() -> {
-                    Item item = record.get(duty.progressKey());
-                    time.in(late(), () -> hear(mine, () -> owner.found(clock(), item == null ? null : item.value())));
-                }));
+                time.in(
+                        late(),
+                        () ->
+                                whenHere(
+                                        () -> {
+                                            Item item = record.get(duty.progressKey());
+                                            time.in(
+                                                    late(),
+                                                    () ->
+                                                            hear(
+                                                                    mine,
+                                                                    () ->
+                                                                            owner.found(
+                                                                                    clock(),
+                                                                                    item == null
+                                                                                            ? null
+                                                                                            : item
+                                                                                                    .value())));
+                                        }));
             }
         }
 
@@ -238,13 +300,33 @@
             }
             Receiver receiver = receivers.get(step % RECEIVERS);
             if (!lost()) {
-                time.in(late(), () -> receiver.order(step, fence, verdict -> {
-                    if (!lost()) {
-                        time.in(late(), () -> hear(mine, () -> owner.acted(clock(), step, fence, verdict)));
-                    }
-                }));
+                time.in(
+                        late(),
+                        () ->
+                                receiver.order(
+                                        step,
+                                        fence,
+                                        verdict -> {
+                                            if (!lost()) {
+                                                time.in(
+                                                        late(),
+                                                        () ->
+                                                                hear(
+                                                                        mine,
+                                                                        () ->
+                                                                                owner.acted(
+                                                                                        clock(),
+                                                                                        step, fence,
+                                                                                        verdict)));
+                                            }
+                                        }));
             }
-            time.in(3 * ACT, () -> hear(mine, () -> owner.acted(clock(), step, fence, Owner.Effect.UNKNOWN)));
+            time.in(
+                    3 * ACT,
+                    () ->
+                            hear(
+                                    mine,
+                                    () -> owner.acted(clock(), step, fence, Owner.Effect.UNKNOWN)));
         }
 
         @Override
@@ -268,15 +350,21 @@
 
         private void askRecord() {
             int mine = run;
-            time.in(late(), () -> whenHere(() -> {
-                Item item = record.get(DUTY.fenceKey());
-                long fence = item == null ? 0 : item.revision();
-                time.in(late(), () -> {
-                    if (run == mine) {
-                        gate.told(DUTY, new Fence(fence));
-                    }
-                });
-            }));
+            time.in(
+                    late(),
+                    () ->
+                            whenHere(
+                                    () -> {
+                                        Item item = record.get(DUTY.fenceKey());
+                                        long fence = item == null ? 0 : item.revision();
+                                        time.in(
+                                                late(),
+                                                () -> {
+                                                    if (run == mine) {
+                                                        gate.told(DUTY, new Fence(fence));
+                                                    }
+                                                });
+                                    }));
         }
 
         void restart() {
@@ -291,17 +379,30 @@
             count("orders " + verdict);
             if (verdict == Gate.Verdict.TAKEN) {
                 if (fence.compareTo(highest) < 0) {
-                    broken("r" + number + " takes an order by " + fence.number() + " after " + highest.number());
+                    broken(
+                            "r"
+                                    + number
+                                    + " takes an order by "
+                                    + fence.number()
+                                    + " after "
+                                    + highest.number());
                 }
                 highest = fence;
                 took(step);
             }
-            answer.accept(verdict == Gate.Verdict.TAKEN ? Owner.Effect.DONE : verdict == Gate.Verdict.OLD ? Owner.Effect.OLD
-                    : Owner.Effect.UNKNOWN);
+            answer.accept(
+                    verdict == Gate.Verdict.TAKEN
+                            ? Owner.Effect.DONE
+                            : verdict == Gate.Verdict.OLD
+                                    ? Owner.Effect.OLD
+                                    : Owner.Effect.UNKNOWN);
         }
     }
 
-    /** A step may be done again, but none before the one before it, nor without having been intended in the record. */
+    /**
+     * A step may be done again, but none before the one before it, nor without having been intended
+     * in the record.
+     */
     private void took(int step) {
         if (step > firstNotBegun) {
             broken("step " + step + " is done before step " + firstNotBegun);
@@ -312,7 +413,8 @@
             count("steps done again");
         }
         Item progress = record.get(DUTY.progressKey());
-        String[] words = progress == null ? new String[] {"", "", "-1"} : progress.value().split(" ");
+        String[] words =
+                progress == null ? new String[] {"", "", "-1"} : progress.value().split(" ");
         if (Integer.parseInt(words[2]) < step) {
             broken("step " + step + " is done and was not noted as intended");
         }
@@ -341,7 +443,11 @@
                 count("record away");
                 recordAway = time.now() + lasts / 2;
                 // Whoever leads then counts all sessions from the start again.
-                time.in(lasts / 2, () -> ends.replaceAll((session, end) -> time.now() + record.seconds(session)));
+                time.in(
+                        lasts / 2,
+                        () ->
+                                ends.replaceAll(
+                                        (session, end) -> time.now() + record.seconds(session)));
             }
         }
         time.in(3 * chance.nextDouble(), this::fault);
@@ -357,7 +463,8 @@
         endSessions();
         fault();
         time.runWhile(() -> !isBroken(), END);
-        if (firstNotBegun < plan.steps() || stations.stream().noneMatch(station -> station.owner.over())) {
+        if (firstNotBegun < plan.steps()
+                || stations.stream().noneMatch(station -> station.owner.over())) {
             broken("the plan is not done: step " + firstNotBegun + " of " + plan.steps());
         }
         return report();
--- a/rig/src/main/java/embershift/rig/world/Fault.java
+++ b/rig/src/main/java/embershift/rig/world/Fault.java
@@ -6,8 +6,8 @@
 import java.util.Random;
 
 /**
- * One thing that goes wrong in a simulated world. {@code a}, {@code b}: numbers of instances; {@code LEADER} is whoever
- * leads then.
+ * One thing that goes wrong in a simulated world. {@code a}, {@code b}: numbers of instances;
+ * {@code LEADER} is whoever leads then.
  */
 public record Fault(double at, double lasts, Kind kind, int a, int b) {
 
@@ -21,17 +21,20 @@
         /** Nothing from a to b. */
         CUT,
         /** Nothing from a to anyone, or from anyone to a. */
-        UNHEARD, DEAF,
+        UNHEARD,
+        DEAF,
         /** Instances up to a on one side, the others on the other. */
         SPLIT,
         /** The disk of a takes its time, or takes nothing. */
-        SLOW_DISK, FULL_DISK,
+        SLOW_DISK,
+        FULL_DISK,
         /** The folder of a is lost; it comes back as another member. */
         LOST_FOLDER,
         /** The last byte of the log of a is changed while it is down. */
         FLIPPED,
         /** a is taken out of the group and in again, or only b follows as a learner for a while. */
-        REMOVE, LEARNER,
+        REMOVE,
+        LEARNER,
         /** The leader hands over to a. */
         TRANSFER
     }
@@ -53,8 +56,13 @@
             }
             double lasts = 0.01 + (chance.nextInt(4) == 0 ? 1.2 : 0.3) * chance.nextDouble();
             int a = chance.nextInt(5) < 2 ? LEADER : chance.nextInt(instances);
-            faults.add(new Fault(at, Math.min(lasts, end - at), kind, a,
-                    (Math.max(a, 0) + 1 + chance.nextInt(instances - 1)) % instances));
+            faults.add(
+                    new Fault(
+                            at,
+                            Math.min(lasts, end - at),
+                            kind,
+                            a,
+                            (Math.max(a, 0) + 1 + chance.nextInt(instances - 1)) % instances));
         }
         return faults;
     }
--- a/rig/src/main/java/embershift/rig/world/FenceModel.java
+++ b/rig/src/main/java/embershift/rig/world/FenceModel.java
@@ -3,7 +3,6 @@
 import embershift.fleet.DutyId;
 import embershift.fleet.Fence;
 import embershift.fleet.Gate;
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -13,8 +12,9 @@
 import java.util.Map;
 
 /**
- * Grants, orders and gates as a small model, explored to the end in all interleavings, breadth first: two owners, two
- * receivers, one restart of each, and so many grants. The receivers go by the very {@link Gate} of the program.
+ * Grants, orders and gates as a small model, explored to the end in all interleavings, breadth
+ * first: two owners, two receivers, one restart of each, and so many grants. The receivers go by
+ * the very {@link Gate} of the program.
  */
 public final class FenceModel {
 
@@ -23,7 +23,10 @@
         NONE,
         /** An owner counts its lease from the answer, not from before it asked. */
         LEASE_FROM_ANSWER,
-        /** The record lets go of an owner before the owner has stopped: a new leader that counts on, or a fast clock. */
+        /**
+         * The record lets go of an owner before the owner has stopped: a new leader that counts on,
+         * or a fast clock.
+         */
         RECORD_LETS_GO_EARLY,
         /** A receiver that has just started takes the first fence that comes. */
         TAKES_FIRST_AFTER_START,
@@ -33,14 +36,19 @@
         FENCE_FORGOTTEN
     }
 
-    /** {@code broken}: the steps that lead to a broken promise, as a script, or null; {@code states}: how many there are. */
-    public record Result(String broken, int states) {
-    }
+    /**
+     * {@code broken}: the steps that lead to a broken promise, as a script, or null; {@code
+     * states}: how many there are.
+     */
+    public record Result(String broken, int states) {}
 
     private static final DutyId DUTY = new DutyId("d");
     private static final int FLIGHT = 2;
 
-    /** Grants are numbered as they were made, whatever their fences say; {@code fence}, {@code holder} are the record's, the rest by owner or receiver. */
+    /**
+     * Grants are numbered as they were made, whatever their fences say; {@code fence}, {@code
+     * holder} are the record's, the rest by owner or receiver.
+     */
     private static final class State {
         byte fence;
         byte holder = -1;
@@ -48,13 +56,20 @@
         final byte[] answer = new byte[2];
         final byte[] own = new byte[2];
         final byte[] ownerStarts = new byte[2];
-        /** Known fence of each receiver, -1 unsure; the record's word on its way, -1 none; the highest ever taken. */
+
+        /**
+         * Known fence of each receiver, -1 unsure; the record's word on its way, -1 none; the
+         * highest ever taken.
+         */
         final byte[] known = {-1, -1};
+
         final byte[] word = {-1, -1};
         final byte[] taken = new byte[2];
         final byte[] starts = new byte[2];
+
         /** Orders on their way, fence * 2 + receiver, sorted. */
         List<Byte> flight = List.of();
+
         /** Whether two have held at once. */
         boolean two;
 
@@ -80,8 +95,12 @@
         /** The whole state in a few characters. */
         String key() {
             StringBuilder key = new StringBuilder(32);
-            key.append((char) fence).append((char) (holder + 1)).append((char) grants).append(two ? '2' : '1');
-            for (byte[] each : new byte[][] {answer, own, ownerStarts, known, word, taken, starts}) {
+            key.append((char) fence)
+                    .append((char) (holder + 1))
+                    .append((char) grants)
+                    .append(two ? '2' : '1');
+            for (byte[] each :
+                    new byte[][] {answer, own, ownerStarts, known, word, taken, starts}) {
                 key.append((char) (each[0] + 1)).append((char) (each[1] + 1));
             }
             flight.forEach(order -> key.append((char) order.byteValue()));
@@ -89,8 +108,7 @@
         }
     }
 
-    private record Found(String before, String step) {
-    }
+    private record Found(String before, String step) {}
 
     private final Mistake mistake;
     private final boolean clocksKeep;
@@ -106,8 +124,9 @@
     }
 
     /**
-     * {@code clocksKeep}: clocks keep within the bound that leases assume; then no two hold at once. In any case the fences
-     * taken at a receiver never fall. {@code grants}: how many there are in all.
+     * {@code clocksKeep}: clocks keep within the bound that leases assume; then no two hold at
+     * once. In any case the fences taken at a receiver never fall. {@code grants}: how many there
+     * are in all.
      */
     public static Result explore(Mistake mistake, boolean clocksKeep, int grants) {
         return new FenceModel(mistake, clocksKeep, grants).explore();
@@ -134,7 +153,8 @@
     }
 
     private void reach(State before, State state, String step) {
-        if (broken == null && seen.putIfAbsent(state.key(), new Found(before.key(), step)) == null) {
+        if (broken == null
+                && seen.putIfAbsent(state.key(), new Found(before.key(), step)) == null) {
             if (clocksKeep && state.two) {
                 broken = script(state, "two owners hold at once");
             }
@@ -144,7 +164,9 @@
 
     private String script(State last, String what) {
         List<String> steps = new ArrayList<>();
-        for (Found found = seen.get(last.key()); found != null && found.before != null; found = seen.get(found.before)) {
+        for (Found found = seen.get(last.key());
+                found != null && found.before != null;
+                found = seen.get(found.before)) {
             steps.add(found.step);
         }
         Collections.reverse(steps);
@@ -171,7 +193,8 @@
             reach(state, then, "o" + i + " hears of its grant");
         }
         if (state.holder == i) {
-            // An owner has stopped by itself before the record lets go, if clocks keep; its answer may still be on the way.
+            // An owner has stopped by itself before the record lets go, if clocks keep; its answer
+            // may still be on the way.
             boolean stopped = state.own[i] == 0;
             if (stopped || !clocksKeep || mistake == Mistake.RECORD_LETS_GO_EARLY) {
                 State then = state.copy();
@@ -195,7 +218,10 @@
                     State sent = state.copy();
                     sent.flight.add((byte) (state.own[i] * 2 + to));
                     Collections.sort(sent.flight);
-                    reach(state, sent, "o" + i + " sends an order by " + state.own[i] + " to r" + to);
+                    reach(
+                            state,
+                            sent,
+                            "o" + i + " sends an order by " + state.own[i] + " to r" + to);
                 }
             }
         }
@@ -267,7 +293,15 @@
             String step = "r" + to + " finds the order by " + fence + " " + verdict;
             if (verdict == Gate.Verdict.TAKEN) {
                 if (fence < state.taken[to]) {
-                    broken = script(state, "r" + to + " takes an order by " + fence + " after one by " + state.taken[to]);
+                    broken =
+                            script(
+                                    state,
+                                    "r"
+                                            + to
+                                            + " takes an order by "
+                                            + fence
+                                            + " after one by "
+                                            + state.taken[to]);
                     return;
                 }
                 then.taken[to] = fence;
--- a/rig/src/main/java/embershift/rig/world/FleetWorld.java
+++ b/rig/src/main/java/embershift/rig/world/FleetWorld.java
@@ -18,7 +18,6 @@
 import embershift.fleet.Segment;
 import embershift.fleet.Trace;
 import embershift.fleet.Write;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -29,8 +28,9 @@
 import java.util.TreeMap;
 
 /**
- * Owners of the rollout and of the lists, one after the other and for a while two at once, and nodes that are stopped, cut off, started anew
- * and late, in virtual time. Judged by what nodes acted on, never by what an owner believes.
+ * Owners of the rollout and of the lists, one after the other and for a while two at once, and
+ * nodes that are stopped, cut off, started anew and late, in virtual time. Judged by what nodes
+ * acted on, never by what an owner believes.
  */
 public final class FleetWorld extends SeededWorld {
 
@@ -46,7 +46,6 @@
     private static final String CRASH = "crash";
     private static final Rollout.Terms TERMS = new Rollout.Terms(1, 4, 0.3, 3, 3, SILENT, 0.2, 0.8);
 
-
     // What the record has.
     private long revisionOfRecord = 1;
     private final Map<DutyId, Fence> fences = new HashMap<>();
@@ -81,7 +80,9 @@
 
     /** Mostly soon; now and then long after. */
     private double late() {
-        return faults() && chance.nextInt(25) == 0 ? 5 * chance.nextDouble() : 0.002 + 0.02 * chance.nextDouble();
+        return faults() && chance.nextInt(25) == 0
+                ? 5 * chance.nextDouble()
+                : 0.002 + 0.02 * chance.nextDouble();
     }
 
     private Fence grant(DutyId duty) {
@@ -93,14 +94,16 @@
     /** A write under a fence, some time later, unless another was granted the duty by then. */
     private double write(DutyId duty, Fence by, double after, Runnable what) {
         double at = Math.max(after, time.now() + late());
-        time.at(at, () -> {
-            if (fences.get(duty).equals(by)) {
-                revisionOfRecord++;
-                what.run();
-            } else {
-                count("writes of an old owner refused");
-            }
-        });
+        time.at(
+                at,
+                () -> {
+                    if (fences.get(duty).equals(by)) {
+                        revisionOfRecord++;
+                        what.run();
+                    } else {
+                        count("writes of an old owner refused");
+                    }
+                });
         return at;
     }
 
@@ -170,15 +173,19 @@
             enter(Trace.Kind.STARTED, 0);
             long mine = incarnation;
             for (DutyId duty : List.of(ROLLOUT, LISTS)) {
-                time.in(late(), () -> {
-                    // A read that began after the start, answered later.
-                    Fence told = fences.getOrDefault(duty, Fence.NONE);
-                    time.in(late(), () -> {
-                        if (incarnation == mine) {
-                            whenOn(() -> gate.told(duty, told));
-                        }
-                    });
-                });
+                time.in(
+                        late(),
+                        () -> {
+                            // A read that began after the start, answered later.
+                            Fence told = fences.getOrDefault(duty, Fence.NONE);
+                            time.in(
+                                    late(),
+                                    () -> {
+                                        if (incarnation == mine) {
+                                            whenOn(() -> gate.told(duty, told));
+                                        }
+                                    });
+                        });
             }
         }
 
@@ -188,8 +195,8 @@
 
         private void enter(Trace.Kind kind, long revision) {
             diary.enter(wall(), kind, Map.of("revision", String.valueOf(revision)), "");
-            truth.computeIfAbsent(incarnation, none -> new TreeMap<>()).put(diary.clock().millis() * 1000 + diary.clock().count(),
-                    revision);
+            truth.computeIfAbsent(incarnation, none -> new TreeMap<>())
+                    .put(diary.clock().millis() * 1000 + diary.clock().count(), revision);
         }
 
         void restart() {
@@ -207,11 +214,13 @@
             if (on()) {
                 what.run();
             } else {
-                time.at(stoppedUntil, () -> {
-                    if (incarnation == mine) {
-                        whenOn(what);
-                    }
-                });
+                time.at(
+                        stoppedUntil,
+                        () -> {
+                            if (incarnation == mine) {
+                                whenOn(what);
+                            }
+                        });
             }
         }
 
@@ -220,8 +229,17 @@
         }
 
         private Rollout.Report report() {
-            return new Rollout.Report(name, incarnation, held.number(), held.chain(), Revision.content(acting), true, held.refused(),
-                    held.why(), ++opened, 0);
+            return new Rollout.Report(
+                    name,
+                    incarnation,
+                    held.number(),
+                    held.chain(),
+                    Revision.content(acting),
+                    true,
+                    held.refused(),
+                    held.why(),
+                    ++opened,
+                    0);
         }
 
         private boolean lets(DutyId duty, Fence fence, double seen, double sentAt) {
@@ -240,16 +258,29 @@
             return true;
         }
 
-        private RevisionHeld.End revision(Fence fence, long number, long base, String chain, String content,
-                                          SortedMap<String, String> fields) {
+        private RevisionHeld.End revision(
+                Fence fence,
+                long number,
+                long base,
+                String chain,
+                String content,
+                SortedMap<String, String> fields) {
             long before = held.number();
-            RevisionHeld.End end = held.take(number, base, chain, content, fields, wanted -> {
-                if (wanted.containsKey(POISON)) {
-                    return "poison is not known";
-                }
-                acting = new TreeMap<>(wanted);
-                return null;
-            }).end();
+            RevisionHeld.End end =
+                    held.take(
+                                    number,
+                                    base,
+                                    chain,
+                                    content,
+                                    fields,
+                                    wanted -> {
+                                        if (wanted.containsKey(POISON)) {
+                                            return "poison is not known";
+                                        }
+                                        acting = new TreeMap<>(wanted);
+                                        return null;
+                                    })
+                            .end();
             count("revisions " + end + (base == 0 ? " whole" : ""));
             if (held.number() < before) {
                 broken(name + " goes back from revision " + before + " to " + held.number());
@@ -263,8 +294,16 @@
             }
             if (held.number() != before) {
                 enter(Trace.Kind.TOOK, held.number());
-                if (!hurried.contains(number) && stages.stream().noneMatch(stage -> stage.startsWith(number + " ALL")
-                        || stage.startsWith(number + " FIRST") && List.of(stage.split(" ")[3].split(",")).contains(name))) {
+                if (!hurried.contains(number)
+                        && stages.stream()
+                                .noneMatch(
+                                        stage ->
+                                                stage.startsWith(number + " ALL")
+                                                        || stage.startsWith(number + " FIRST")
+                                                                && List.of(
+                                                                                stage.split(" ")[3]
+                                                                                        .split(","))
+                                                                        .contains(name))) {
                     broken(name + " acts on " + number + ", which is not for it yet: " + stages);
                 }
             }
@@ -283,17 +322,27 @@
             long numberBefore = hosts.number();
             HostsHeld.End end = hosts.take(fence, change);
             count("lists " + end);
-            if (hosts.fence().compareTo(fenceBefore) < 0 || hosts.fence().equals(fenceBefore) && hosts.number() < numberBefore) {
+            if (hosts.fence().compareTo(fenceBefore) < 0
+                    || hosts.fence().equals(fenceBefore) && hosts.number() < numberBefore) {
                 broken(name + " goes back in its list");
             }
             if (end == HostsHeld.End.TAKEN || end == HostsHeld.End.SAME) {
                 if (change.generation() < generation) {
-                    broken(name + " goes back from discovery's word " + generation + " to " + change.generation());
+                    broken(
+                            name
+                                    + " goes back from discovery's word "
+                                    + generation
+                                    + " to "
+                                    + change.generation());
                 }
                 generation = change.generation();
                 if (!hosts.entries().equals(discovery.get(generation))) {
-                    broken(name + " has a list that discovery never said: " + hosts.entries() + " for "
-                            + discovery.get(generation));
+                    broken(
+                            name
+                                    + " has a list that discovery never said: "
+                                    + hosts.entries()
+                                    + " for "
+                                    + discovery.get(generation));
                 }
             }
             return end;
@@ -311,24 +360,33 @@
                 dropping.add(incarnation);
             }
             Segment segment = diary.next(name, incarnation);
-            if (segment == null || time.now() < trailsAwayUntil || faults() && chance.nextInt(4) == 0) {
+            if (segment == null
+                    || time.now() < trailsAwayUntil
+                    || faults() && chance.nextInt(4) == 0) {
                 return;
             }
-            time.in(late(), () -> {
-                String before = created.containsKey(segment.key()) && !trails.containsKey(segment.key()) ? segment.text()
-                        : trails.putIfAbsent(segment.key(), segment.text());
-                created.putIfAbsent(segment.key(), ++revisionOfRecord);
-                if (before != null && !before.equals(segment.text())) {
-                    broken(segment.key() + " is told otherwise");
-                }
-                if (!faults() || chance.nextInt(4) != 0) {
-                    time.in(late(), () -> {
-                        if (incarnation == mine) {
-                            whenOn(() -> diary.kept(segment.number()));
+            time.in(
+                    late(),
+                    () -> {
+                        String before =
+                                created.containsKey(segment.key())
+                                                && !trails.containsKey(segment.key())
+                                        ? segment.text()
+                                        : trails.putIfAbsent(segment.key(), segment.text());
+                        created.putIfAbsent(segment.key(), ++revisionOfRecord);
+                        if (before != null && !before.equals(segment.text())) {
+                            broken(segment.key() + " is told otherwise");
+                        }
+                        if (!faults() || chance.nextInt(4) != 0) {
+                            time.in(
+                                    late(),
+                                    () -> {
+                                        if (incarnation == mine) {
+                                            whenOn(() -> diary.kept(segment.number()));
+                                        }
+                                    });
                         }
                     });
-                }
-            });
         }
     }
 
@@ -344,17 +402,21 @@
         private final Map<Node, Double> seen = new HashMap<>();
         private final Map<Node, Long> has = new HashMap<>();
         private final Map<Node, Long> incarnations = new HashMap<>();
+
         /** It acts until then, although another may have the duties since. */
         private double actsUntil = Double.POSITIVE_INFINITY;
+
         private double stoppedUntil;
+
         /** Its writes come in their order. */
         private double written;
 
         Station() {
-            nodes.forEach(node -> {
-                to.put(node, new Line());
-                from.put(node, new Line());
-            });
+            nodes.forEach(
+                    node -> {
+                        to.put(node, new Line());
+                        from.put(node, new Line());
+                    });
             rollout.found(time.now(), stages.isEmpty() ? null : stages.get(stages.size() - 1));
             follow();
         }
@@ -364,7 +426,11 @@
         }
 
         private void follow() {
-            revisions.values().forEach(revision -> rollout.known(revision, hurried.contains(revision.number())));
+            revisions
+                    .values()
+                    .forEach(
+                            revision ->
+                                    rollout.known(revision, hurried.contains(revision.number())));
             rollout.floorIs(floor);
             registered.keySet().forEach(rollout::named);
             out.forEach((name, incarnation) -> rollout.outIs(name, incarnation, true));
@@ -390,33 +456,50 @@
                 double clock = seen.get(node);
                 double sentAt = time.now();
                 long incarnation = incarnations.get(node);
-                time.in(0.3 * chance.nextDouble(), () -> {
-                    if (node.incarnation == incarnation && node.on() && node.lets(LISTS, listsFence, clock, sentAt)) {
-                        node.list(listsFence, change);
-                    }
-                });
-            }
-            send(node, LISTS, listsFence, () -> {
-                HostsHeld.End end = node.list(listsFence, change);
-                back(node, () -> {
-                    if (end == HostsHeld.End.TAKEN || end == HostsHeld.End.SAME) {
-                        has.put(node, change.number());
-                    } else if (end == HostsHeld.End.WHOLE) {
-                        has.remove(node);
-                    }
-                });
-            });
+                time.in(
+                        0.3 * chance.nextDouble(),
+                        () -> {
+                            if (node.incarnation == incarnation
+                                    && node.on()
+                                    && node.lets(LISTS, listsFence, clock, sentAt)) {
+                                node.list(listsFence, change);
+                            }
+                        });
+            }
+            send(
+                    node,
+                    LISTS,
+                    listsFence,
+                    () -> {
+                        HostsHeld.End end = node.list(listsFence, change);
+                        back(
+                                node,
+                                () -> {
+                                    if (end == HostsHeld.End.TAKEN || end == HostsHeld.End.SAME) {
+                                        has.put(node, change.number());
+                                    } else if (end == HostsHeld.End.WHOLE) {
+                                        has.remove(node);
+                                    }
+                                });
+                    });
         }
 
         private void send(Node node, DutyId duty, Fence fence, Runnable what) {
             double clock = seen.get(node);
             double sentAt = time.now();
             long incarnation = incarnations.get(node);
-            to.get(node).send(node, incarnation, () -> node.whenOn(() -> {
-                if (time.now() >= node.deafUntil && node.lets(duty, fence, clock, sentAt)) {
-                    what.run();
-                }
-            }));
+            to.get(node)
+                    .send(
+                            node,
+                            incarnation,
+                            () ->
+                                    node.whenOn(
+                                            () -> {
+                                                if (time.now() >= node.deafUntil
+                                                        && node.lets(duty, fence, clock, sentAt)) {
+                                                    what.run();
+                                                }
+                                            }));
         }
 
         private void back(Node node, Runnable what) {
@@ -439,60 +522,115 @@
 
         @Override
         public void order(String name, Revision revision, long base) {
-            Node node = nodes.stream().filter(each -> each.name.equals(name)).findFirst().orElseThrow();
+            Node node =
+                    nodes.stream().filter(each -> each.name.equals(name)).findFirst().orElseThrow();
             // Now and then an owner takes another revision for the one that the node holds.
             long against = base > 1 && chance.nextInt(15) == 0 ? base - 1 : base;
-            SortedMap<String, String> fields = base == 0 ? revision.fields() : revision.differenceFrom(revisions.get(against));
-            send(node, ROLLOUT, rolloutFence, () -> {
-                RevisionHeld.End end = node.revision(rolloutFence, revision.number(), base, revision.chain(), revision.content(), fields);
-                back(node, () -> rollout.answered(time.now(), name, end == RevisionHeld.End.TAKEN, end == RevisionHeld.End.WHOLE));
-            });
+            SortedMap<String, String> fields =
+                    base == 0 ? revision.fields() : revision.differenceFrom(revisions.get(against));
+            send(
+                    node,
+                    ROLLOUT,
+                    rolloutFence,
+                    () -> {
+                        RevisionHeld.End end =
+                                node.revision(
+                                        rolloutFence,
+                                        revision.number(),
+                                        base,
+                                        revision.chain(),
+                                        revision.content(),
+                                        fields);
+                        back(
+                                node,
+                                () ->
+                                        rollout.answered(
+                                                time.now(),
+                                                name,
+                                                end == RevisionHeld.End.TAKEN,
+                                                end == RevisionHeld.End.WHOLE));
+                    });
         }
 
         @Override
         public void note(String text) {
             count("stage " + text.split(" ")[1]);
-            written = write(ROLLOUT, rolloutFence, written, () -> {
-                stages.add(text);
-                time.in(0.005, rollout::noted);
-            });
+            written =
+                    write(
+                            ROLLOUT,
+                            rolloutFence,
+                            written,
+                            () -> {
+                                stages.add(text);
+                                time.in(0.005, rollout::noted);
+                            });
         }
 
         @Override
         public void floor(long revision) {
-            written = write(ROLLOUT, rolloutFence, written, () -> {
-                floor = Math.max(floor, revision);
-                count("floors raised");
-                for (Node node : nodes) {
-                    // What was started anew since the owner heard of it may have to come back.
-                    boolean since = time.now() - node.bornAt < SILENT + 6;
-                    if (out.getOrDefault(node.name, 0L) < node.incarnation && !since && node.held.number() < revision) {
-                        broken("the floor goes to " + revision + " over " + node.name + ", which goes by " + node.held.number());
-                    }
-                }
-                if (revisions.get(revision).fields().containsKey(POISON)) {
-                    broken("the floor goes to a revision that nobody can act on");
-                }
-            });
+            written =
+                    write(
+                            ROLLOUT,
+                            rolloutFence,
+                            written,
+                            () -> {
+                                floor = Math.max(floor, revision);
+                                count("floors raised");
+                                for (Node node : nodes) {
+                                    // What was started anew since the owner heard of it may have to
+                                    // come back.
+                                    boolean since = time.now() - node.bornAt < SILENT + 6;
+                                    if (out.getOrDefault(node.name, 0L) < node.incarnation
+                                            && !since
+                                            && node.held.number() < revision) {
+                                        broken(
+                                                "the floor goes to "
+                                                        + revision
+                                                        + " over "
+                                                        + node.name
+                                                        + ", which goes by "
+                                                        + node.held.number());
+                                    }
+                                }
+                                if (revisions.get(revision).fields().containsKey(POISON)) {
+                                    broken("the floor goes to a revision that nobody can act on");
+                                }
+                            });
         }
 
         @Override
         public void shutOut(String name, long incarnation, String why) {
             count("shut out");
-            written = write(ROLLOUT, rolloutFence, written, () -> {
-                out.put(name, incarnation);
-                long now = out.entrySet().stream().filter(each -> registered.get(each.getKey()) <= each.getValue()).count();
-                if (now > Math.max(1, (int) (TERMS.share() * nodes.size()))) {
-                    broken(now + " of " + nodes.size() + " are shut out");
-                }
-            });
+            written =
+                    write(
+                            ROLLOUT,
+                            rolloutFence,
+                            written,
+                            () -> {
+                                out.put(name, incarnation);
+                                long now =
+                                        out.entrySet().stream()
+                                                .filter(
+                                                        each ->
+                                                                registered.get(each.getKey())
+                                                                        <= each.getValue())
+                                                .count();
+                                if (now > Math.max(1, (int) (TERMS.share() * nodes.size()))) {
+                                    broken(now + " of " + nodes.size() + " are shut out");
+                                }
+                            });
         }
 
         @Override
         public void replace(String name, String why) {
             count("to be replaced");
             if (chance.nextBoolean()) {
-                time.in(1 + chance.nextDouble(), () -> nodes.stream().filter(each -> each.name.equals(name)).forEach(Node::restart));
+                time.in(
+                        1 + chance.nextDouble(),
+                        () ->
+                                nodes.stream()
+                                        .filter(each -> each.name.equals(name))
+                                        .forEach(Node::restart));
             }
         }
 
@@ -514,20 +652,40 @@
         }
         stations.add(new Station());
         for (Node node : nodes) {
-            time.every(REPORT, () -> {
-                if (node.on()) {
-                    Rollout.Report report = node.report();
-                    double clock = node.clock();
-                    stations.forEach(station -> station.from.get(node).send(node, node.incarnation, () -> station.heard(node, report, clock)));
-                    node.tellTrail();
-                }
-            });
-            time.every(1.5, () -> {
-                if (node.on()) {
-                    node.diary.enter(node.wall(), Trace.Kind.TUNNELS, Map.of("revision", String.valueOf(node.held.number()), "opened", "1"),
-                            "");
-                }
-            });
+            time.every(
+                    REPORT,
+                    () -> {
+                        if (node.on()) {
+                            Rollout.Report report = node.report();
+                            double clock = node.clock();
+                            stations.forEach(
+                                    station ->
+                                            station.from
+                                                    .get(node)
+                                                    .send(
+                                                            node,
+                                                            node.incarnation,
+                                                            () ->
+                                                                    station.heard(
+                                                                            node, report, clock)));
+                            node.tellTrail();
+                        }
+                    });
+            time.every(
+                    1.5,
+                    () -> {
+                        if (node.on()) {
+                            node.diary.enter(
+                                    node.wall(),
+                                    Trace.Kind.TUNNELS,
+                                    Map.of(
+                                            "revision",
+                                            String.valueOf(node.held.number()),
+                                            "opened",
+                                            "1"),
+                                    "");
+                        }
+                    });
         }
         time.every(0.05, () -> List.copyOf(stations).forEach(Station::tick));
         time.every(1.1, this::discoveryChanges);
@@ -555,12 +713,17 @@
         long generation = discovery.lastKey() + 1;
         discovery.put(generation, hosts(generation));
         for (Station station : stations) {
-            time.in(late(), () -> {
-                if (station.acts()) {
-                    // One that is asked elsewhere may hear what was so before.
-                    station.discoverySaid(chance.nextInt(6) == 0 ? Math.max(1, generation - 1 - chance.nextInt(3)) : generation);
-                }
-            });
+            time.in(
+                    late(),
+                    () -> {
+                        if (station.acts()) {
+                            // One that is asked elsewhere may hear what was so before.
+                            station.discoverySaid(
+                                    chance.nextInt(6) == 0
+                                            ? Math.max(1, generation - 1 - chance.nextInt(3))
+                                            : generation);
+                        }
+                    });
         }
         if (faults() && chance.nextInt(3) == 0) {
             Node node = nodes.get(chance.nextInt(nodes.size()));
@@ -614,13 +777,18 @@
                 count("owners that hear nobody");
             }
             case 5, 6 -> {
-                // Another gets the duties; the one before goes on for a while, or stands still and goes on then.
+                // Another gets the duties; the one before goes on for a while, or stands still and
+                // goes on then.
                 double overlap = 6 * chance.nextDouble();
                 station.actsUntil = time.now() + overlap;
                 station.stoppedUntil = chance.nextBoolean() ? time.now() + overlap / 2 : 0;
                 Station next = new Station();
                 stations.add(next);
-                time.in(late(), () -> next.discoverySaid(Math.max(1, discovery.lastKey() - chance.nextInt(3))));
+                time.in(
+                        late(),
+                        () ->
+                                next.discoverySaid(
+                                        Math.max(1, discovery.lastKey() - chance.nextInt(3))));
                 count("changes of owner");
             }
             case 7 -> {
@@ -642,7 +810,7 @@
                 node.acting.put("sockets", "1");
                 count("nodes that go astray");
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -650,14 +818,27 @@
         Station owner = stations.get(stations.size() - 1);
         long latest = revisions.lastKey();
         if (owner.rollout.number() != latest || owner.rollout.stage() != Rollout.Stage.ALL) {
-            broken("revision " + latest + " is not for all at the end: " + stages.get(stages.size() - 1) + ", " + owner.rollout.summary());
+            broken(
+                    "revision "
+                            + latest
+                            + " is not for all at the end: "
+                            + stages.get(stages.size() - 1)
+                            + ", "
+                            + owner.rollout.summary());
         }
         for (Node node : nodes) {
-            if (out.getOrDefault(node.name, 0L) < node.incarnation && node.held.number() != latest) {
-                broken(node.name + " goes by " + node.held.number() + " at the end, not by " + latest);
-            }
-            if (out.getOrDefault(node.name, 0L) < node.incarnation && !node.acting.equals(revisions.getOrDefault(
-                    node.held.number(), Revision.NONE).fields())) {
+            if (out.getOrDefault(node.name, 0L) < node.incarnation
+                    && node.held.number() != latest) {
+                broken(
+                        node.name
+                                + " goes by "
+                                + node.held.number()
+                                + " at the end, not by "
+                                + latest);
+            }
+            if (out.getOrDefault(node.name, 0L) < node.incarnation
+                    && !node.acting.equals(
+                            revisions.getOrDefault(node.held.number(), Revision.NONE).fields())) {
                 broken(node.name + " acts on " + node.acting + " at the end");
             }
             if (!hosts(node)) {
@@ -669,7 +850,13 @@
         long dropped = nodes.stream().mapToLong(node -> node.dropping.size()).sum();
         for (String problem : audit.verify()) {
             String incarnation = problem.replaceAll("(?s).*incarnation (\\d+):.*", "$1");
-            boolean drops = incarnation.matches("\\d+") && nodes.stream().anyMatch(node -> node.dropping.contains(Long.parseLong(incarnation)));
+            boolean drops =
+                    incarnation.matches("\\d+")
+                            && nodes.stream()
+                                    .anyMatch(
+                                            node ->
+                                                    node.dropping.contains(
+                                                            Long.parseLong(incarnation)));
             if (!drops || !problem.contains("missing")) {
                 broken("a trail does not fit: " + problem);
             }
@@ -677,7 +864,11 @@
         }
         count(dropped > 0 ? "worlds with entries dropped" : "worlds with whole trails");
         for (Audit.Spell spell : audit.spells()) {
-            Node node = nodes.stream().filter(each -> each.name.equals(spell.node())).findFirst().orElseThrow();
+            Node node =
+                    nodes.stream()
+                            .filter(each -> each.name.equals(spell.node()))
+                            .findFirst()
+                            .orElseThrow();
             TreeMap<Long, Long> truth = node.truth.get(spell.incarnation());
             for (Hybrid at : List.of(spell.from(), spell.known())) {
                 // At the moment at which it ended the next revision holds.
@@ -690,13 +881,17 @@
         }
     }
 
-    /** As the owner of the rollout does from time to time: the audit tells the same of what is left. */
+    /**
+     * As the owner of the rollout does from time to time: the audit tells the same of what is left.
+     */
     private void fold() {
         if (seed % 3 != 0) {
             return;
         }
         List<Item> items = new ArrayList<>();
-        trails.forEach((key, text) -> items.add(new Item(key, text, created.get(key), created.get(key), null)));
+        trails.forEach(
+                (key, text) ->
+                        items.add(new Item(key, text, created.get(key), created.get(key), null)));
         for (Write write : Folding.fold(items, begins, MOST_TRAILS, MOST_TRAILS / 4)) {
             count(write.value() == null ? "segments folded" : "begins noted");
             if (write.value() == null) {
--- a/rig/src/main/java/embershift/rig/world/Scripts.java
+++ b/rig/src/main/java/embershift/rig/world/Scripts.java
@@ -15,7 +15,6 @@
 import embershift.raft.Snapshot;
 import embershift.raft.Vote;
 import embershift.storage.MemoryDisk;
-
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -31,8 +30,7 @@
 
     private static final Pace PACE = new Pace(2, 10, 20);
 
-    private Scripts() {
-    }
+    private Scripts() {}
 
     /** What all scripts find, as one text, or null. */
     public static String firstBroken() {
@@ -45,8 +43,7 @@
         return all.stream().filter(found -> found != null).findFirst().orElse(null);
     }
 
-    private record Word(MemberId from, MemberId to, Message message) {
-    }
+    private record Word(MemberId from, MemberId to, Message message) {}
 
     /** Three members in one hand; what they say is passed on where {@code passes} lets it. */
     private static final class Three {
@@ -62,59 +59,71 @@
             }
             byte[] agreed = Codec.bytes(Members.of(all));
             for (Member member : all) {
-                start(member.id(), new Restored(new Vote(1, null), null,
-                        List.of(new Entry(1, 1, Entry.Kind.MEMBERS, agreed)), false), 1);
+                start(
+                        member.id(),
+                        new Restored(
+                                new Vote(1, null),
+                                null,
+                                List.of(new Entry(1, 1, Entry.Kind.MEMBERS, agreed)),
+                                false),
+                        1);
             }
         }
 
         void start(MemberId id, Restored restored, long run) {
             Raft[] raft = new Raft[1];
             Deque<Long> durable = new ArrayDeque<>();
-            raft[0] = new Raft(id, PACE, Bounds.USUAL, restored, run, id.number(), new Outside() {
-                @Override
-                public void send(MemberId to, Message message) {
-                    words.add(new Word(id, to, message));
-                }
+            raft[0] =
+                    new Raft(
+                            id,
+                            PACE,
+                            Bounds.USUAL,
+                            restored,
+                            run,
+                            id.number(),
+                            new Outside() {
+                                @Override
+                                public void send(MemberId to, Message message) {
+                                    words.add(new Word(id, to, message));
+                                }
 
-                @Override
-                public void persist(long number, Vote vote, Snapshot snapshot, boolean alone, List<Entry> entries) {
-                    durable.add(number);
-                    words.add(new Word(null, id, null));
-                }
+                                @Override
+                                public void persist(
+                                        long number,
+                                        Vote vote,
+                                        Snapshot snapshot,
+                                        boolean alone,
+                                        List<Entry> entries) {
+                                    durable.add(number);
+                                    words.add(new Word(null, id, null));
+                                }
 
-                @Override
-                public void sure() {
-                }
+                                @Override
+                                public void sure() {}
 
-                @Override
-                public void commit(Entry entry) {
-                }
+                                @Override
+                                public void commit(Entry entry) {}
 
-                @Override
-                public void restore(Snapshot snapshot) {
-                }
+                                @Override
+                                public void restore(Snapshot snapshot) {}
 
-                @Override
-                public void readable(long ticket, long index) {
-                    readable.add(ticket);
-                }
+                                @Override
+                                public void readable(long ticket, long index) {
+                                    readable.add(ticket);
+                                }
 
-                @Override
-                public void unreadable(long ticket) {
-                }
+                                @Override
+                                public void unreadable(long ticket) {}
 
-                @Override
-                public void leads(long term) {
-                }
+                                @Override
+                                public void leads(long term) {}
 
-                @Override
-                public void follows(long term, MemberId leader) {
-                }
+                                @Override
+                                public void follows(long term, MemberId leader) {}
 
-                @Override
-                public void aside(MemberId from, byte[] said) {
-                }
-            });
+                                @Override
+                                public void aside(MemberId from, byte[] said) {}
+                            });
             members.put(id, raft[0]);
         }
 
@@ -175,22 +184,39 @@
         Three three = new Three();
         three.elect(1);
         three.passes = word -> false;
-        Raft.Taken one = three.at(1).add(new Member(new MemberId(4), "i4", "", Member.Role.LEARNER));
-        Raft.Taken other = three.at(1).add(new Member(new MemberId(5), "i5", "", Member.Role.LEARNER));
-        return one.refusal() != null || other.refusal() == null ? "two changes of members are out: " + one + " " + other : null;
+        Raft.Taken one =
+                three.at(1).add(new Member(new MemberId(4), "i4", "", Member.Role.LEARNER));
+        Raft.Taken other =
+                three.at(1).add(new Member(new MemberId(5), "i5", "", Member.Role.LEARNER));
+        return one.refusal() != null || other.refusal() == null
+                ? "two changes of members are out: " + one + " " + other
+                : null;
     }
 
     private static String followerWithMoreThanItWasSent() {
         Three three = new Three();
         MemberId one = new MemberId(1);
         // From a leader of term 2, never agreed.
-        three.at(3).receive(one, new Message.Append(2, 1, 1, List.of(new Entry(2, 2, Entry.Kind.COMMAND, new byte[] {1}),
-                new Entry(3, 2, Entry.Kind.COMMAND, new byte[] {2})), 1, 3, 0));
+        three.at(3)
+                .receive(
+                        one,
+                        new Message.Append(
+                                2,
+                                1,
+                                1,
+                                List.of(
+                                        new Entry(2, 2, Entry.Kind.COMMAND, new byte[] {1}),
+                                        new Entry(3, 2, Entry.Kind.COMMAND, new byte[] {2})),
+                                1,
+                                3,
+                                0));
         three.words.clear();
         three.at(3).durable(Long.MAX_VALUE);
         // The leader of term 3 has other entries, all agreed, and begins with the one before them.
         three.at(3).receive(new MemberId(2), new Message.Append(3, 1, 1, List.of(), 3, 3, 0));
-        return three.at(3).commit() > 1 ? "entries that nobody sent in this term are taken for agreed" : null;
+        return three.at(3).commit() > 1
+                ? "entries that nobody sent in this term are taken for agreed"
+                : null;
     }
 
     private static String memberThatLostItsEnd() {
@@ -208,17 +234,28 @@
         }
         three.start(last, new Restored(new Vote(three.at(1).term(), null), null, left, true), 2);
         // It says what it has, and before it is helped the leader must not count what it had.
-        three.passes = word -> !(word.message instanceof Message.Append append && !append.entries().isEmpty());
+        three.passes =
+                word ->
+                        !(word.message instanceof Message.Append append
+                                && !append.entries().isEmpty());
         three.tick(1, 2 * PACE.heartbeat());
-        return three.at(1).matchOf(last) >= had ? "counts what a member had before it lost it" : null;
+        return three.at(1).matchOf(last) >= had
+                ? "counts what a member had before it lost it"
+                : null;
     }
 
     private static String doubtOutlastsACrash() {
         try {
             MemoryDisk disk = new MemoryDisk();
             Keeper keeper = Keeper.open(disk, 1 << 20);
-            keeper.keep(List.of(new Keeper.Order(1, new Vote(1, null), null, false,
-                    List.of(new Entry(1, 1, Entry.Kind.NOTHING, new byte[0])))));
+            keeper.keep(
+                    List.of(
+                            new Keeper.Order(
+                                    1,
+                                    new Vote(1, null),
+                                    null,
+                                    false,
+                                    List.of(new Entry(1, 1, Entry.Kind.NOTHING, new byte[0])))));
             String name = disk.names().iterator().next();
             byte[] content = disk.read(name);
             content[content.length - 1] ^= 1;
@@ -228,7 +265,9 @@
             }
             Keeper again = Keeper.open(disk, 1 << 20);
             again.keep(List.of(new Keeper.Order(1, new Vote(2, null), null, false, List.of())));
-            return Keeper.open(disk, 1 << 20).restored().doubtful() ? null : "doubt is forgotten over a start";
+            return Keeper.open(disk, 1 << 20).restored().doubtful()
+                    ? null
+                    : "doubt is forgotten over a start";
         } catch (IOException e) {
             return e.toString();
         }
--- a/rig/src/main/java/embershift/rig/world/SeededWorld.java
+++ b/rig/src/main/java/embershift/rig/world/SeededWorld.java
@@ -7,12 +7,14 @@
 import java.util.function.LongFunction;
 import java.util.stream.LongStream;
 
-/** What worlds in virtual time share: a seed, faults up to some time, what was reached, and the first thing that was broken. */
+/**
+ * What worlds in virtual time share: a seed, faults up to some time, what was reached, and the
+ * first thing that was broken.
+ */
 public abstract class SeededWorld {
 
     /** {@code broken}: null where all held; {@code reached}: what the world ever did. */
-    public record Report(long seed, String broken, Map<String, Long> reached) {
-    }
+    public record Report(long seed, String broken, Map<String, Long> reached) {}
 
     final long seed;
     final Random chance;
@@ -52,8 +54,12 @@
 
     /** A broken world among the seeds, or null; looks no further than it must. */
     static String firstBroken(LongFunction<Report> play, long first, long many) {
-        return LongStream.range(first, first + many).parallel().mapToObj(play)
-                .filter(report -> report.broken() != null).findAny()
-                .map(report -> "seed " + report.seed() + " " + report.broken()).orElse(null);
+        return LongStream.range(first, first + many)
+                .parallel()
+                .mapToObj(play)
+                .filter(report -> report.broken() != null)
+                .findAny()
+                .map(report -> "seed " + report.seed() + " " + report.broken())
+                .orElse(null);
     }
 }
--- a/rig/src/main/java/embershift/rig/world/Timeline.java
+++ b/rig/src/main/java/embershift/rig/world/Timeline.java
@@ -3,10 +3,14 @@
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
 
-/** Virtual time: what is due happens in its order, and what is due at the same time in the order in which it was asked for. */
+/**
+ * Virtual time: what is due happens in its order, and what is due at the same time in the order in
+ * which it was asked for.
+ */
 final class Timeline {
 
-    private record Happening(double at, long number, Runnable what) implements Comparable<Happening> {
+    private record Happening(double at, long number, Runnable what)
+            implements Comparable<Happening> {
         @Override
         public int compareTo(Happening other) {
             int order = Double.compare(at, other.at);
@@ -31,10 +35,12 @@
     }
 
     void every(double period, Runnable what) {
-        in(period, () -> {
-            what.run();
-            every(period, what);
-        });
+        in(
+                period,
+                () -> {
+                    what.run();
+                    every(period, what);
+                });
     }
 
     void run(double until) {
--- a/rig/src/main/java/embershift/rig/world/World.java
+++ b/rig/src/main/java/embershift/rig/world/World.java
@@ -22,7 +22,6 @@
 import embershift.rig.history.Operation;
 import embershift.storage.MemoryDisk;
 import embershift.storage.NoRoom;
-
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -39,24 +38,31 @@
 import java.util.function.Function;
 
 /**
- * A few instances, their disks, the ways between them and their clients in virtual time, with faults; all chance from one
- * seed. What must never happen is looked for after each step, what clients saw at the end.
+ * A few instances, their disks, the ways between them and their clients in virtual time, with
+ * faults; all chance from one seed. What must never happen is looked for after each step, what
+ * clients saw at the end.
  */
 public final class World {
 
-    /** What a world came to; {@code broken} is null where all held. Counts say what the world ever reached. */
-    public record Report(long seed, String broken, Map<String, Long> reached) {
-    }
+    /**
+     * What a world came to; {@code broken} is null where all held. Counts say what the world ever
+     * reached.
+     */
+    public record Report(long seed, String broken, Map<String, Long> reached) {}
 
     private static final double TICK = 0.01;
     private static final Replica.Habits HABITS = new Replica.Habits(25, 1 << 20, 16);
     private static final long LOG_FILE = 1500;
+
     /** Seconds of faults, and seconds after them within which all must be in step again. */
     private static final double FAULTS = 4;
+
     private static final double REST = 4;
     private static final double LAST = 2;
+
     /** Seconds between two commands that nobody waits for, where a world has them. */
     private static final double NOISE = 0.006;
+
     private static final int KEYS = 3;
     private static final int CLIENTS = 4;
     private static final double PATIENCE = 0.6;
@@ -74,11 +80,18 @@
     private final double loss;
     private final double doubled;
     private final Pace pace;
+
     /** Small, so that every bound is met and snapshots are needed. */
     private final Bounds bounds;
+
     private final boolean noisy;
-    /** How likely one who has just voted ends, and one who has just won is cut off, stopped or ended. */
+
+    /**
+     * How likely one who has just voted ends, and one who has just won is cut off, stopped or
+     * ended.
+     */
     private final double voterSpite;
+
     private final double winnerSpite;
     private double now;
     private long happenings;
@@ -90,11 +103,14 @@
     private final Map<Long, MemberId> leaders = new HashMap<>();
     private final Map<List<Long>, Integer> written = new HashMap<>();
     private final TreeMap<Long, Entry> agreed = new TreeMap<>();
+
     /** The term in which somebody first knew that the entry was agreed. */
     private final Map<Long, Long> agreedIn = new HashMap<>();
+
     private final Map<MemberId, Integer> blocked = new HashMap<>();
 
-    private record Happening(double at, long number, Runnable what) implements Comparable<Happening> {
+    private record Happening(double at, long number, Runnable what)
+            implements Comparable<Happening> {
         @Override
         public int compareTo(Happening other) {
             int order = Double.compare(at, other.at);
@@ -198,7 +214,9 @@
                 still = false;
                 run++;
                 seen = restored.snapshot() == null ? 0 : restored.snapshot().index();
-                replica = new Replica(id, pace, bounds, HABITS, restored, run, chance.nextLong(), this);
+                replica =
+                        new Replica(
+                                id, pace, bounds, HABITS, restored, run, chance.nextLong(), this);
                 long mine = run;
                 in(TICK * chance.nextDouble(), () -> tick(mine));
             } catch (IOException | RuntimeException e) {
@@ -242,7 +260,9 @@
                 }
                 Entry before = agreed.putIfAbsent(entry.index(), entry);
                 agreedIn.putIfAbsent(entry.index(), raft.term());
-                if (before != null && (before.term() != entry.term() || !Arrays.equals(before.data(), entry.data()))) {
+                if (before != null
+                        && (before.term() != entry.term()
+                                || !Arrays.equals(before.data(), entry.data()))) {
                     broken("entry " + entry.index() + " was agreed twice, otherwise");
                 }
             }
@@ -282,8 +302,12 @@
         void flip() {
             crash();
             for (String name : disk.names()) {
-                if (name.startsWith("log-") && disk.names().stream().noneMatch(other -> other.startsWith("log-")
-                        && other.compareTo(name) > 0)) {
+                if (name.startsWith("log-")
+                        && disk.names().stream()
+                                .noneMatch(
+                                        other ->
+                                                other.startsWith("log-")
+                                                        && other.compareTo(name) > 0)) {
                     try {
                         byte[] content = disk.read(name);
                         if (content.length > 30) {
@@ -320,13 +344,22 @@
             long ownRun = run;
             long itsRun = target.run;
             MemberId from = id;
-            carry(this, target, () -> {
-                // A process gets nothing that was meant for one before it, nor old words after newer ones of the next.
-                if (target.run == itsRun && target.id.equals(to) && target.runsHeard.getOrDefault(from, 0L) <= ownRun) {
-                    target.runsHeard.put(from, ownRun);
-                    target.reach(() -> target.replica.receive(target.time(), from, Codec.message(bytes)));
-                }
-            });
+            carry(
+                    this,
+                    target,
+                    () -> {
+                        // A process gets nothing that was meant for one before it, nor old words
+                        // after newer ones of the next.
+                        if (target.run == itsRun
+                                && target.id.equals(to)
+                                && target.runsHeard.getOrDefault(from, 0L) <= ownRun) {
+                            target.runsHeard.put(from, ownRun);
+                            target.reach(
+                                    () ->
+                                            target.replica.receive(
+                                                    target.time(), from, Codec.message(bytes)));
+                        }
+                    });
         }
 
         @Override
@@ -339,7 +372,9 @@
                     broken("two entries " + entry.index() + " of term " + entry.term());
                 }
                 if (before >= 0) {
-                    Integer link = written.putIfAbsent(List.of(-entry.index(), entry.term()), (int) before);
+                    Integer link =
+                            written.putIfAbsent(
+                                    List.of(-entry.index(), entry.term()), (int) before);
                     if (link != null && link != before) {
                         broken("logs that agree on entry " + entry.index() + " differ before it");
                     }
@@ -366,8 +401,16 @@
         /** What befalls one who has just won. */
         private void spite() {
             double lasts = 0.3 * chance.nextDouble();
-            in(0.04 * chance.nextDouble(), () -> befalls(new Fault(0, lasts, SPITES[chance.nextInt(SPITES.length)], number,
-                    (number + 1) % size)));
+            in(
+                    0.04 * chance.nextDouble(),
+                    () ->
+                            befalls(
+                                    new Fault(
+                                            0,
+                                            lasts,
+                                            SPITES[chance.nextInt(SPITES.length)],
+                                            number,
+                                            (number + 1) % size)));
         }
 
         private long lastOrdered;
@@ -438,10 +481,17 @@
                 }
                 for (Entry entry : agreed.values()) {
                     long have = replica.raft().termOf(entry.index());
-                    // One that stood still may win a term that is long over: what came after it, it can't have.
-                    if (agreedIn.get(entry.index()) < term && entry.index() > replica.raft().base()
+                    // One that stood still may win a term that is long over: what came after it, it
+                    // can't have.
+                    if (agreedIn.get(entry.index()) < term
+                            && entry.index() > replica.raft().base()
                             && have != entry.term()) {
-                        broken("the leader of term " + term + " lacks entry " + entry.index() + ", which was agreed");
+                        broken(
+                                "the leader of term "
+                                        + term
+                                        + " lacks entry "
+                                        + entry.index()
+                                        + ", which was agreed");
                     }
                 }
             }
@@ -453,8 +503,14 @@
         }
     }
 
-    private static final Fault.Kind[] SPITES = {Fault.Kind.CRASH, Fault.Kind.UNHEARD, Fault.Kind.DEAF, Fault.Kind.STOP,
-        Fault.Kind.SLOW_DISK, Fault.Kind.CUT};
+    private static final Fault.Kind[] SPITES = {
+        Fault.Kind.CRASH,
+        Fault.Kind.UNHEARD,
+        Fault.Kind.DEAF,
+        Fault.Kind.STOP,
+        Fault.Kind.SLOW_DISK,
+        Fault.Kind.CUT
+    };
 
     private boolean spiteful(double likely) {
         return faultsFrom > 0 && now < faultsFrom + FAULTS && chance.nextDouble() < likely;
@@ -465,8 +521,13 @@
     }
 
     private Station leader() {
-        return stations.stream().filter(each -> each.up && each.replica.leads())
-                .max((one, other) -> Long.compare(one.replica.raft().term(), other.replica.raft().term())).orElse(null);
+        return stations.stream()
+                .filter(each -> each.up && each.replica.leads())
+                .max(
+                        (one, other) ->
+                                Long.compare(
+                                        one.replica.raft().term(), other.replica.raft().term()))
+                .orElse(null);
     }
 
     // Ways. Null ends are clients: their words are late or lost, too.
@@ -480,23 +541,34 @@
         if (chance.nextDouble() < loss && faultsFrom > 0 && now < faultsFrom + FAULTS) {
             return;
         }
-        int times = chance.nextDouble() < doubled && faultsFrom > 0 && now < faultsFrom + FAULTS && from != null ? 2 : 1;
+        int times =
+                chance.nextDouble() < doubled
+                                && faultsFrom > 0
+                                && now < faultsFrom + FAULTS
+                                && from != null
+                        ? 2
+                        : 1;
         for (int i = 0; i < times; i++) {
             double delay = 0.0005 + 0.003 * chance.nextDouble();
             if (now < faultsFrom + FAULTS && chance.nextInt(100) == 0) {
                 delay += 0.6 * chance.nextDouble();
             }
-            in(delay, () -> {
-                if (from == null || !cuts.contains(List.of(from.number, to.number))) {
-                    arrives.run();
-                }
-            });
+            in(
+                    delay,
+                    () -> {
+                        if (from == null || !cuts.contains(List.of(from.number, to.number))) {
+                            arrives.run();
+                        }
+                    });
         }
     }
 
     // Clients.
 
-    /** Does one thing after the other; what it was not answered it sends again under the same number. */
+    /**
+     * Does one thing after the other; what it was not answered it sends again under the same
+     * number.
+     */
     private final class Client {
         private final int number;
         private SessionId session;
@@ -542,32 +614,52 @@
         private void send() {
             if (at == null || tries > 0) {
                 Station leader = leader();
-                at = leader != null && chance.nextBoolean() ? leader : stations.get(chance.nextInt(stations.size()));
+                at =
+                        leader != null && chance.nextBoolean()
+                                ? leader
+                                : stations.get(chance.nextInt(stations.size()));
             }
             long mine = ++calls;
             call = mine;
             tries++;
             Station target = at;
             // As it is now: by the time that it arrives the client may be further.
-            Command command = session == null ? new Command.Open("c" + number, 1.5)
-                    : kind == Operation.Kind.READ ? null : new Command.Change(session, last, last,
-                    kind == Operation.Kind.SWAP ? List.of(new Condition(key, expected.revision())) : List.of(),
-                    List.of(new Write(key, value, false)));
+            Command command =
+                    session == null
+                            ? new Command.Open("c" + number, 1.5)
+                            : kind == Operation.Kind.READ
+                                    ? null
+                                    : new Command.Change(
+                                            session,
+                                            last,
+                                            last,
+                                            kind == Operation.Kind.SWAP
+                                                    ? List.of(
+                                                            new Condition(key, expected.revision()))
+                                                    : List.of(),
+                                            List.of(new Write(key, value, false)));
             String asked = key;
-            carry(null, null, () -> target.reach(() -> {
-                target.callers.put(mine, this);
-                if (command == null) {
-                    target.replica.read(target.time(), mine, asked, false);
-                } else {
-                    target.replica.change(target.time(), mine, command);
-                }
-            }));
-            in(PATIENCE, () -> {
-                if (call == mine) {
-                    mayHaveBeen = true;
-                    again();
-                }
-            });
+            carry(
+                    null,
+                    null,
+                    () ->
+                            target.reach(
+                                    () -> {
+                                        target.callers.put(mine, this);
+                                        if (command == null) {
+                                            target.replica.read(target.time(), mine, asked, false);
+                                        } else {
+                                            target.replica.change(target.time(), mine, command);
+                                        }
+                                    }));
+            in(
+                    PATIENCE,
+                    () -> {
+                        if (call == mine) {
+                            mayHaveBeen = true;
+                            again();
+                        }
+                    });
         }
 
         private void again() {
@@ -582,9 +674,16 @@
         private void end(Operation.End end, String found) {
             call = 0;
             if (session != null && (end != Operation.End.UNKNOWN || kind != Operation.Kind.READ)) {
-                history.add(new Operation(number, kind, key, kind == Operation.Kind.SWAP ? expected.value() : null,
-                        kind == Operation.Kind.READ ? found : value, began,
-                        end == Operation.End.UNKNOWN ? Double.POSITIVE_INFINITY : now, end));
+                history.add(
+                        new Operation(
+                                number,
+                                kind,
+                                key,
+                                kind == Operation.Kind.SWAP ? expected.value() : null,
+                                kind == Operation.Kind.READ ? found : value,
+                                began,
+                                end == Operation.End.UNKNOWN ? Double.POSITIVE_INFINITY : now,
+                                end));
                 count(kind + " " + end);
             }
             if (end != Operation.End.UNKNOWN) {
@@ -593,7 +692,10 @@
             if (kind == Operation.Kind.SWAP) {
                 expected = null;
             }
-            in(0.05 * chance.nextDouble() + (chance.nextInt(40) == 0 && now < faultsFrom + FAULTS ? 2.5 : 0), this::begin);
+            in(
+                    0.05 * chance.nextDouble()
+                            + (chance.nextInt(40) == 0 && now < faultsFrom + FAULTS ? 2.5 : 0),
+                    this::begin);
         }
 
         /** At the end: what is out may be done yet. */
@@ -660,42 +762,69 @@
     }
 
     private void takeOut(MemberId id, Runnable then) {
-        tend(0, leader -> {
-            if (leader.replica.raft().members().get(id) == null && leader.replica.raft().commit() == leader.replica.raft().last()) {
-                then.run();
-                return true;
-            }
-            leader.reach(() -> leader.replica.remove(leader.time(), ++calls, id));
-            return false;
-        });
+        tend(
+                0,
+                leader -> {
+                    if (leader.replica.raft().members().get(id) == null
+                            && leader.replica.raft().commit() == leader.replica.raft().last()) {
+                        then.run();
+                        return true;
+                    }
+                    leader.reach(() -> leader.replica.remove(leader.time(), ++calls, id));
+                    return false;
+                });
     }
 
     private void takeIn(Station station, Member.Role role, Runnable then) {
-        tend(0, leader -> {
-            Member member = leader.replica.raft().members().get(station.id);
-            if (member != null && leader.replica.raft().commit() == leader.replica.raft().last()
-                    && (member.role() == Member.Role.VOTER || role == Member.Role.LEARNER)) {
-                count("members taken in");
-                then.run();
-                return true;
-            }
-            if (member == null) {
-                leader.reach(() -> leader.replica.add(leader.time(), ++calls, station.member(role)));
-            }
-            return false;
-        });
+        tend(
+                0,
+                leader -> {
+                    Member member = leader.replica.raft().members().get(station.id);
+                    if (member != null
+                            && leader.replica.raft().commit() == leader.replica.raft().last()
+                            && (member.role() == Member.Role.VOTER
+                                    || role == Member.Role.LEARNER)) {
+                        count("members taken in");
+                        then.run();
+                        return true;
+                    }
+                    if (member == null) {
+                        leader.reach(
+                                () ->
+                                        leader.replica.add(
+                                                leader.time(), ++calls, station.member(role)));
+                    }
+                    return false;
+                });
     }
 
     private boolean tending;
+
     /** When the faults began; 0 before. */
     private double faultsFrom;
 
-    /** Commands to all that think they lead, so that one that is cut off has something to be overruled in. */
+    /**
+     * Commands to all that think they lead, so that one that is cut off has something to be
+     * overruled in.
+     */
     private void noise() {
         for (Station station : List.copyOf(stations)) {
             if (station.up && !station.still && station.replica.leads()) {
-                station.reach(() -> station.replica.change(station.time(), ++calls, new Command.Change(SessionId.NONE, 0, 0,
-                        List.of(), List.of(new Write("noise", String.valueOf(calls), false)))));
+                station.reach(
+                        () ->
+                                station.replica.change(
+                                        station.time(),
+                                        ++calls,
+                                        new Command.Change(
+                                                SessionId.NONE,
+                                                0,
+                                                0,
+                                                List.of(),
+                                                List.of(
+                                                        new Write(
+                                                                "noise",
+                                                                String.valueOf(calls),
+                                                                false)))));
             }
         }
         if (now < faultsFrom + FAULTS) {
@@ -705,9 +834,12 @@
 
     private void befalls(Fault fault) {
         Station leads = leader();
-        Station a = fault.a() != Fault.LEADER ? stations.get(fault.a()) : leads == null ? stations.get(0) : leads;
+        Station a =
+                fault.a() != Fault.LEADER
+                        ? stations.get(fault.a())
+                        : leads == null ? stations.get(0) : leads;
         Station b = stations.get(fault.b());
-        Runnable over = () -> { };
+        Runnable over = () -> {};
         switch (fault.kind()) {
             case CRASH -> {
                 a.crash();
@@ -717,15 +849,21 @@
                 if (!tending) {
                     tending = true;
                     a.flip();
-                    over = () -> {
-                        startAgain(a);
-                        if (fault.b() % 2 == 0) {
-                            // Again, before it may have been helped.
-                            in(0.02, a::crash);
-                            in(0.04, () -> startAgain(a));
-                        }
-                        tend(0, leader -> !a.up || !a.replica.raft().doubtful() && !(tending = false));
-                    };
+                    over =
+                            () -> {
+                                startAgain(a);
+                                if (fault.b() % 2 == 0) {
+                                    // Again, before it may have been helped.
+                                    in(0.02, a::crash);
+                                    in(0.04, () -> startAgain(a));
+                                }
+                                tend(
+                                        0,
+                                        leader ->
+                                                !a.up
+                                                        || !a.replica.raft().doubtful()
+                                                                && !(tending = false));
+                            };
                 }
             }
             case STOP -> {
@@ -735,8 +873,12 @@
             case CUT -> over = cut(List.of(List.of(a.number, b.number)));
             case UNHEARD, DEAF -> {
                 List<List<Integer>> ways = new ArrayList<>();
-                stations.forEach(other -> ways.add(fault.kind() == Fault.Kind.UNHEARD ? List.of(a.number, other.number)
-                        : List.of(other.number, a.number)));
+                stations.forEach(
+                        other ->
+                                ways.add(
+                                        fault.kind() == Fault.Kind.UNHEARD
+                                                ? List.of(a.number, other.number)
+                                                : List.of(other.number, a.number)));
                 over = cut(ways);
             }
             case SPLIT -> {
@@ -757,24 +899,30 @@
                     tending = true;
                     MemberId old = a.id;
                     a.lose();
-                    over = () -> {
-                        startAgain(a);
-                        takeOut(old, () -> {
-                            takeIn(a, Member.Role.JOINING, () -> tending = false);
-                        });
-                    };
+                    over =
+                            () -> {
+                                startAgain(a);
+                                takeOut(
+                                        old,
+                                        () -> {
+                                            takeIn(a, Member.Role.JOINING, () -> tending = false);
+                                        });
+                            };
                 }
             }
             case REMOVE -> {
                 if (!tending && members() >= size) {
                     tending = true;
                     count("members taken out");
-                    takeOut(a.id, () -> {
-                        // Back under another id and with an empty folder, as one that was removed must be.
-                        a.lose();
-                        startAgain(a);
-                        takeIn(a, Member.Role.JOINING, () -> tending = false);
-                    });
+                    takeOut(
+                            a.id,
+                            () -> {
+                                // Back under another id and with an empty folder, as one that was
+                                // removed must be.
+                                a.lose();
+                                startAgain(a);
+                                takeIn(a, Member.Role.JOINING, () -> tending = false);
+                            });
                 }
             }
             case LEARNER -> {
@@ -782,7 +930,7 @@
                     Station learner = new Station(stations.size());
                     stations.add(learner);
                     learner.start();
-                    takeIn(learner, Member.Role.LEARNER, () -> { });
+                    takeIn(learner, Member.Role.LEARNER, () -> {});
                 }
             }
             case TRANSFER -> {
@@ -823,7 +971,7 @@
         Station first = stations.get(0);
         first.reach(() -> first.replica.found(first.time(), first.member(Member.Role.VOTER)));
         for (int i = 1; i < size; i++) {
-            takeIn(stations.get(i), Member.Role.JOINING, () -> { });
+            takeIn(stations.get(i), Member.Role.JOINING, () -> {});
         }
         run(1.5);
         if (members() != size && broken == null) {
@@ -845,17 +993,22 @@
         cuts.clear();
         stations.forEach(Station::goOn);
         stations.forEach(this::startAgain);
-        stations.forEach(each -> {
-            each.slowUntil = 0;
-            each.fullUntil = 0;
-        });
+        stations.forEach(
+                each -> {
+                    each.slowUntil = 0;
+                    each.fullUntil = 0;
+                });
         double rested = now;
         run(rested + REST);
         long[] before = clients.stream().mapToLong(client -> client.done).toArray();
         run(rested + REST + LAST);
         for (Client client : clients) {
             if (client.done == before[client.number]) {
-                broken("client " + client.number + " gets nothing done though all is well again: " + standing());
+                broken(
+                        "client "
+                                + client.number
+                                + " gets nothing done though all is well again: "
+                                + standing());
             }
         }
         inStep();
@@ -875,15 +1028,31 @@
         StringBuilder all = new StringBuilder();
         for (Station station : stations) {
             Raft raft = station.replica.raft();
-            all.append("; i").append(station.number).append(station.up ? " " : " down ").append(station.id).append(' ')
-                    .append(raft.role()).append(" term ").append(raft.term()).append(" agreed ").append(raft.commit())
-                    .append(" of ").append(raft.last()).append(raft.doubtful() ? " in doubt " : " ")
-                    .append(raft.members().all().stream().map(member -> member.id() + "=" + member.role()).toList());
+            all.append("; i")
+                    .append(station.number)
+                    .append(station.up ? " " : " down ")
+                    .append(station.id)
+                    .append(' ')
+                    .append(raft.role())
+                    .append(" term ")
+                    .append(raft.term())
+                    .append(" agreed ")
+                    .append(raft.commit())
+                    .append(" of ")
+                    .append(raft.last())
+                    .append(raft.doubtful() ? " in doubt " : " ")
+                    .append(
+                            raft.members().all().stream()
+                                    .map(member -> member.id() + "=" + member.role())
+                                    .toList());
         }
         return all.toString();
     }
 
-    /** Where all is well and the log is agreed at the leader, all members must have the same record before long. */
+    /**
+     * Where all is well and the log is agreed at the leader, all members must have the same record
+     * before long.
+     */
     private void inStep() {
         Station leader = leader();
         if (broken != null) {
@@ -897,14 +1066,21 @@
         for (Member member : leader.replica.raft().members().all()) {
             Station station = station(member.id());
             if (station != null && station.up && station.replica.record().applied() < least) {
-                broken("i" + station.number + " is at " + station.replica.record().applied() + ", the leader at " + least);
+                broken(
+                        "i"
+                                + station.number
+                                + " is at "
+                                + station.replica.record().applied()
+                                + ", the leader at "
+                                + least);
             }
         }
         Map<Long, Integer> states = new HashMap<>();
         for (Station station : stations) {
             if (station.up) {
                 Record record = station.replica.record();
-                Integer other = states.putIfAbsent(record.applied(), Arrays.hashCode(record.bytes()));
+                Integer other =
+                        states.putIfAbsent(record.applied(), Arrays.hashCode(record.bytes()));
                 if (other != null && other != Arrays.hashCode(record.bytes())) {
                     broken("two records after entry " + record.applied());
                 }
--- a/rig/src/test/java/embershift/rig/DutyProcessesTest.java
+++ b/rig/src/test/java/embershift/rig/DutyProcessesTest.java
@@ -13,11 +13,6 @@
 import embershift.rig.process.ReceiverStand;
 import embershift.rig.process.Relay;
 import embershift.rig.process.Ways;
-import org.testng.ITestResult;
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.BeforeMethod;
-import org.testng.annotations.Test;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -28,16 +23,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
+import org.testng.ITestResult;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.BeforeMethod;
+import org.testng.annotations.Test;
 
-/** Owners, receivers and instances as processes: an old owner that goes on does no harm, as receivers wrote it down. */
+/**
+ * Owners, receivers and instances as processes: an old owner that goes on does no harm, as
+ * receivers wrote it down.
+ */
 public class DutyProcessesTest {
 
     private static final double PATIENCE = 40;
-    private static final List<String> OPTIONS = List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:TieredStopAtLevel=1",
-            "-XX:-UsePerfData");
+    private static final List<String> OPTIONS =
+            List.of("-XX:+UseSerialGC", "-Xmx64m", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData");
     private static final List<String> RECEIVERS = List.of("r1", "r2");
-    /** So many that the work goes on for some seconds; far more where owners are stopped for long. */
+
+    /**
+     * So many that the work goes on for some seconds; far more where owners are stopped for long.
+     */
     private static final int FEW = 60;
+
     private static final int MANY = 260;
 
     private Path folder;
@@ -54,13 +60,14 @@
         instances = new Instances(folder, 3, ways, new History(), "");
         instances.startAll();
         instances.form(3);
-        RECEIVERS.forEach(name -> {
-            try {
-                receiver(name);
-            } catch (IOException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        RECEIVERS.forEach(
+                name -> {
+                    try {
+                        receiver(name);
+                    } catch (IOException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
     }
 
     @AfterMethod
@@ -80,17 +87,33 @@
     }
 
     private String record(String from) {
-        return instances.names().stream().map(to -> "127.0.0.1:" + instances.way(Instances.CLIENTS, to).getPort())
+        return instances.names().stream()
+                .map(to -> "127.0.0.1:" + instances.way(Instances.CLIENTS, to).getPort())
                 .collect(Collectors.joining(","));
     }
 
     private void receiver(String name) throws IOException {
-        Program program = Program.java(System.getProperty("java.class.path"), OPTIONS, ReceiverStand.class.getName(),
-                List.of(name, "work", folder.resolve(name + ".orders").toString(), record(name)), Map.of(),
-                folder.resolve(name + ".log"));
+        Program program =
+                Program.java(
+                        System.getProperty("java.class.path"),
+                        OPTIONS,
+                        ReceiverStand.class.getName(),
+                        List.of(
+                                name,
+                                "work",
+                                folder.resolve(name + ".orders").toString(),
+                                record(name)),
+                        Map.of(),
+                        folder.resolve(name + ".log"));
         programs.put(name, program);
-        int port = program.await(text -> text.contains("receiver at ") && text.endsWith("\n")
-                ? Integer.valueOf(text.replaceAll("(?s).*receiver at (\\d+).*", "$1")) : null, PATIENCE);
+        int port =
+                program.await(
+                        text ->
+                                text.contains("receiver at ") && text.endsWith("\n")
+                                        ? Integer.valueOf(
+                                                text.replaceAll("(?s).*receiver at (\\d+).*", "$1"))
+                                        : null,
+                        PATIENCE);
         listens.put(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     }
 
@@ -101,9 +124,20 @@
             relays.add(relay);
             to.add("127.0.0.1:" + relay.address().getPort());
         }
-        programs.put(name, Program.java(System.getProperty("java.class.path"), OPTIONS, OwnerStand.class.getName(),
-                List.of(name, "work", String.valueOf(steps), record(name), String.join(",", to)), Map.of(),
-                folder.resolve(name + ".log")));
+        programs.put(
+                name,
+                Program.java(
+                        System.getProperty("java.class.path"),
+                        OPTIONS,
+                        OwnerStand.class.getName(),
+                        List.of(
+                                name,
+                                "work",
+                                String.valueOf(steps),
+                                record(name),
+                                String.join(",", to)),
+                        Map.of(),
+                        folder.resolve(name + ".log")));
     }
 
     private List<DutyHistory.Line> lines() throws IOException {
@@ -114,11 +148,16 @@
         return DutyHistory.reached(lines()).getOrDefault("last step", -1);
     }
 
-    /** The owner of the last order that was taken, once one of a step beyond this one was, by another than these. */
+    /**
+     * The owner of the last order that was taken, once one of a step beyond this one was, by
+     * another than these.
+     */
     private String awaitTaken(int beyond, String... but) throws IOException {
         for (Patience patience = new Patience(PATIENCE); ; Instances.sleep(0.01)) {
             for (DutyHistory.Line line : lines()) {
-                if (line.what().equals("TAKEN") && line.step() > beyond && !List.of(but).contains(line.owner())) {
+                if (line.what().equals("TAKEN")
+                        && line.step() > beyond
+                        && !List.of(but).contains(line.owner())) {
                     return line.owner();
                 }
             }
@@ -137,7 +176,8 @@
         owner("o2", MANY);
         for (int round = 0; round < 2; round++) {
             String old = awaitTaken(taken() + 2);
-            // What it sends from now on is late by more than its lease; then it stands still with that on its way.
+            // What it sends from now on is late by more than its lease; then it stands still with
+            // that on its way.
             for (String receiver : RECEIVERS) {
                 ways.set(new Ways.Way(old, receiver), new Ways.State(false, 5, 0, 0));
             }
@@ -153,7 +193,9 @@
         }
         awaitDone(MANY);
         Map<String, Integer> reached = DutyHistory.reached(lines());
-        assertTrue(reached.get("changes of owner") >= 3 && reached.getOrDefault("OLD", 0) >= 1, reached.toString());
+        assertTrue(
+                reached.get("changes of owner") >= 3 && reached.getOrDefault("OLD", 0) >= 1,
+                reached.toString());
         assertEquals(reached.get("last step").intValue(), MANY - 1);
     }
 
@@ -164,15 +206,29 @@
         awaitTaken(4);
         // The record is away: both followers of its leader stand still.
         String leader = instances.awaitLeader(PATIENCE);
-        List<String> followers = instances.names().stream().filter(name -> !name.equals(leader)).toList();
+        List<String> followers =
+                instances.names().stream().filter(name -> !name.equals(leader)).toList();
         followers.forEach(instances::stop);
         programs.get("r1").kill();
         receiver("r1");
         Instances.sleep(1.5);
-        long begun = lines().stream().filter(line -> line.receiver().equals("r1") && line.what().equals("started"))
-                .reduce((one, other) -> other).orElseThrow().at();
-        assertTrue(lines().stream().noneMatch(line -> line.receiver().equals("r1") && line.at() > begun
-                && line.what().equals("TAKEN")), "took an order without the record");
+        long begun =
+                lines().stream()
+                        .filter(
+                                line ->
+                                        line.receiver().equals("r1")
+                                                && line.what().equals("started"))
+                        .reduce((one, other) -> other)
+                        .orElseThrow()
+                        .at();
+        assertTrue(
+                lines().stream()
+                        .noneMatch(
+                                line ->
+                                        line.receiver().equals("r1")
+                                                && line.at() > begun
+                                                && line.what().equals("TAKEN")),
+                "took an order without the record");
         followers.forEach(instances::goOn);
         awaitDone(FEW);
     }
--- a/rig/src/test/java/embershift/rig/DutyWorldTest.java
+++ b/rig/src/test/java/embershift/rig/DutyWorldTest.java
@@ -13,14 +13,13 @@
 import embershift.fleet.Plan;
 import embershift.fleet.SessionId;
 import embershift.rig.world.DutyWorld;
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
 
 /** Owners of a duty that are stopped, end, and are late: what receivers took is what counts. */
 public class DutyWorldTest {
@@ -36,8 +35,17 @@
             assertNull(report.broken(), report.toString());
             report.reached().forEach((what, times) -> reached.merge(what, times, Long::sum));
         }
-        for (String what : List.of("orders OLD", "orders UNSURE", "owners stopped", "owners started anew", "steps done again",
-                "sessions ended by the record", "receivers started anew", "calls unknown", "plans done")) {
+        for (String what :
+                List.of(
+                        "orders OLD",
+                        "orders UNSURE",
+                        "owners stopped",
+                        "owners started anew",
+                        "steps done again",
+                        "sessions ended by the record",
+                        "receivers started anew",
+                        "calls unknown",
+                        "plans done")) {
             assertTrue(reached.getOrDefault(what, 0L) >= 10, what + " in " + reached);
         }
     }
@@ -45,17 +53,35 @@
     @DataProvider
     public Object[][] mistakes() {
         return new Object[][] {
-            {"Owner", "note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, following, 1));",
-                "progress = new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, following, 1); step(now);"},
+            {
+                "Owner",
+                "note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, following, 1));",
+                "progress = new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, following, 1); step(now);"
+            },
             {"Owner", "if (tenure.mayBegin(now, plan.longest())) {", "if (true) {"},
-            {"Owner", "tenure.granted(new Fence(result), asked);", "tenure.granted(new Fence(result), now);"},
+            {
+                "Owner",
+                "tenure.granted(new Fence(result), asked);",
+                "tenure.granted(new Fence(result), now);"
+            },
             {"Owner", "tenure.renewed(sent);", "tenure.renewed(now);"},
-            {"Owner", "note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, progress.step(), owners));",
-                "note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, progress.step() + 1, owners));"},
-            {"Grants", "number, number, List.of(new Condition(duty.ownerKey(), 0)),", "number, number, List.of(),"},
+            {
+                "Owner",
+                "note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, progress.step(), owners));",
+                "note(now, new Plan.Progress(plan.name(), Plan.Progress.State.INTENDED, progress.step() + 1, owners));"
+            },
+            {
+                "Grants",
+                "number, number, List.of(new Condition(duty.ownerKey(), 0)),",
+                "number, number, List.of(),"
+            },
             {"Gate", "if (fence.compareTo(known) < 0) {", "if (false) {"},
             {"Gate", "highest.put(duty, fence);", ""},
-            {"Gate", "if (known == null) {\n            return Verdict.UNSURE;", "if (known == null) {\n            return Verdict.TAKEN;"},
+            {
+                "Gate",
+                "if (known == null) {\n            return Verdict.UNSURE;",
+                "if (known == null) {\n            return Verdict.TAKEN;"
+            },
             {"Tenure", "lasts = session * (1 - 2 * DRIFT);", "lasts = session * 1.5;"},
         };
     }
@@ -64,7 +90,9 @@
     public void knownMistakeShows(String where, String from, String to) throws Exception {
         Path source = Path.of("..", "fleet/src/main/java/embershift/fleet", where + ".java");
         try (Mutation mutation = new Mutation(source, from, to)) {
-            assertNotNull(mutation.firstBroken("DutyWorld", 1, LOOK), to + ": not seen in " + LOOK + " worlds");
+            assertNotNull(
+                    mutation.firstBroken("DutyWorld", 1, LOOK),
+                    to + ": not seen in " + LOOK + " worlds");
         }
     }
 
@@ -76,13 +104,14 @@
         @Override
         public void ask(Command command) {
             out = command;
-            all.add(command instanceof Command.Change change && !change.writes().isEmpty()
-                    ? String.valueOf(change.writes().get(0).value()) : command.getClass().getSimpleName());
+            all.add(
+                    command instanceof Command.Change change && !change.writes().isEmpty()
+                            ? String.valueOf(change.writes().get(0).value())
+                            : command.getClass().getSimpleName());
         }
 
         @Override
-        public void renew(SessionId session, double asked) {
-        }
+        public void renew(SessionId session, double asked) {}
 
         @Override
         public void look(DutyId duty) {
@@ -123,11 +152,15 @@
         fourth.found(0, "p INTENDED 1 3");
         assertEquals(next.all.get(1), "p POISONED 1 3");
         fourth.answered(0, next.out, new Answer.Done(10));
-        assertTrue(fourth.over() && next.all.stream().noneMatch(each -> each.startsWith("act")), next.all.toString());
+        assertTrue(
+                fourth.over() && next.all.stream().noneMatch(each -> each.startsWith("act")),
+                next.all.toString());
         Noting last = new Noting();
         Owner fifth = working(last, terms);
         fifth.found(0, "p POISONED 1 3");
-        assertTrue(fifth.over() && last.all.get(0).contains("stays stopped at step 1"), last.all.toString());
+        assertTrue(
+                fifth.over() && last.all.get(0).contains("stays stopped at step 1"),
+                last.all.toString());
     }
 
     @Test
--- a/rig/src/test/java/embershift/rig/FenceModelTest.java
+++ b/rig/src/test/java/embershift/rig/FenceModelTest.java
@@ -15,13 +15,15 @@
 import embershift.fleet.Tenure;
 import embershift.rig.world.FenceModel;
 import embershift.rig.world.FenceModel.Mistake;
-import org.testng.annotations.DataProvider;
-import org.testng.annotations.Test;
-
 import java.net.URLClassLoader;
 import java.nio.file.Path;
+import org.testng.annotations.DataProvider;
+import org.testng.annotations.Test;
 
-/** Who may act for the fleet: the protocol in all interleavings, and the commands by which duties change hands. */
+/**
+ * Who may act for the fleet: the protocol in all interleavings, and the commands by which duties
+ * change hands.
+ */
 public class FenceModelTest {
 
     @Test
@@ -33,7 +35,12 @@
         // It has been to the end of something, and clocks that stray reach more.
         assertTrue(keeping.states() > 10_000, keeping.states() + " states");
         assertTrue(straying.states() > keeping.states(), straying.states() + " states");
-        System.out.println("fences: " + keeping.states() + " states, " + straying.states() + " with clocks that stray");
+        System.out.println(
+                "fences: "
+                        + keeping.states()
+                        + " states, "
+                        + straying.states()
+                        + " with clocks that stray");
     }
 
     @Test
@@ -52,15 +59,23 @@
         return new Object[][] {
             {"if (fence.compareTo(known) < 0) {", "if (fence.compareTo(known) > 0) {"},
             {"highest.put(duty, fence);", ""},
-            {"if (known == null) {\n            return Verdict.UNSURE;", "if (known == null) {\n            return Verdict.TAKEN;"},
+            {
+                "if (known == null) {\n            return Verdict.UNSURE;",
+                "if (known == null) {\n            return Verdict.TAKEN;"
+            },
         };
     }
 
     @Test(dataProvider = "gateMistakes")
     public void eachKnownMistakeOfTheGateIsFound(String from, String to) throws Exception {
         Path gate = Path.of("..", "fleet/src/main/java/embershift/fleet/Gate.java");
-        try (Mutation mutation = new Mutation(gate, from, to); URLClassLoader loader = mutation.loader()) {
-            assertNotNull(loader.loadClass("embershift.rig.world.FenceModel").getMethod("firstBroken").invoke(null), to);
+        try (Mutation mutation = new Mutation(gate, from, to);
+                URLClassLoader loader = mutation.loader()) {
+            assertNotNull(
+                    loader.loadClass("embershift.rig.world.FenceModel")
+                            .getMethod("firstBroken")
+                            .invoke(null),
+                    to);
         }
     }
 
@@ -79,7 +94,8 @@
         SessionId again = new SessionId(record.apply(8, new Command.Open("i1", 2)).number());
         assertTrue(!record.apply(9, Grants.note(again, 1, duty, first, "done 1")).done());
         assertEquals(record.get(duty.progressKey()).value(), "intended 1");
-        Fence third = new Fence(record.apply(10, Grants.takeOver(again, 2, duty, "i1", second)).number());
+        Fence third =
+                new Fence(record.apply(10, Grants.takeOver(again, 2, duty, "i1", second)).number());
         assertTrue(!record.apply(11, Grants.note(other, 3, duty, second, "done 1")).done());
         assertTrue(!record.apply(12, Grants.giveBack(other, 4, duty, second)).done());
         assertTrue(record.apply(13, Grants.giveBack(again, 3, duty, third)).done());
--- a/rig/src/test/java/embershift/rig/FleetProcessesTest.java
+++ b/rig/src/test/java/embershift/rig/FleetProcessesTest.java
@@ -9,20 +9,23 @@
 import embershift.rig.process.Instances;
 import embershift.rig.process.Program;
 import embershift.rig.process.Ways;
-import org.testng.ITestResult;
-import org.testng.annotations.AfterMethod;
-import org.testng.annotations.Test;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import org.testng.ITestResult;
+import org.testng.annotations.AfterMethod;
+import org.testng.annotations.Test;
 
-/** Instances, nodes and hosts as processes and on sockets, with faults between them: lists, revisions, releases, who is shut out. */
+/**
+ * Instances, nodes and hosts as processes and on sockets, with faults between them: lists,
+ * revisions, releases, who is shut out.
+ */
 public class FleetProcessesTest {
 
     private static final double PATIENCE = 30;
-    private static final String FLEET = "session-s = 1.5\nsettle-s = 0.5\npatience-s = 4\nsilent-s = 1.5\n";
+    private static final String FLEET =
+            "session-s = 1.5\nsettle-s = 0.5\npatience-s = 4\nsilent-s = 1.5\n";
 
     private Path folder;
     private FleetSite site;
@@ -70,7 +73,10 @@
     public void revisionIsActedOnByAllAndAStoppedNodeIsSilentUntilItIsBroughtUp() throws Exception {
         begin(3, 3, "");
         for (String node : List.of("n1", "n2", "n3")) {
-            FleetSite.await("a tunnel at " + node, PATIENCE, () -> String.valueOf(site.tunnel(node)).startsWith("UP"));
+            FleetSite.await(
+                    "a tunnel at " + node,
+                    PATIENCE,
+                    () -> String.valueOf(site.tunnel(node)).startsWith("UP"));
         }
         revise(0, "out/h1=worn", "sockets=900");
         for (String node : List.of("n1", "n2", "n3")) {
@@ -90,7 +96,10 @@
         revise(0, "out/h2=worn");
         FleetSite.await("stage", PATIENCE, () -> stageIs("2 ALL"));
         // The state that is noted may be that of before the stage; the node's own trail is not.
-        FleetSite.await("n3 has taken it", PATIENCE, () -> said("audit", "--node", "n3").matches("(?s).*n3 +2 .*"));
+        FleetSite.await(
+                "n3 has taken it",
+                PATIENCE,
+                () -> said("audit", "--node", "n3").matches("(?s).*n3 +2 .*"));
         site.awaitState("n3", "CURRENT");
         assertEquals(site.state("n2"), "SILENT");
         assertEquals(site.get("rollout/floor"), "1");
@@ -106,9 +115,19 @@
         assertEquals(site.setups("h2", "n2", current), 0);
         assertTrue(current > wentOn);
         // The trails tell what each went by then, the one that stood still too.
-        for (String[] then : new String[][] {{"n2", "1", "by its trail"}, {"n3", "2", "(by its trail|last known; nothing is told since)"}}) {
-            FleetSite.await(then[0] + " went by " + then[1], PATIENCE, () -> said("audit", "--node", then[0], "--at-time", whileStopped)
-                    .matches("(?s).*" + then[0] + " +" + then[1] + " +" + then[2] + ".*"));
+        for (String[] then :
+                new String[][] {
+                    {"n2", "1", "by its trail"},
+                    {"n3", "2", "(by its trail|last known; nothing is told since)"}
+                }) {
+            FleetSite.await(
+                    then[0] + " went by " + then[1],
+                    PATIENCE,
+                    () ->
+                            said("audit", "--node", then[0], "--at-time", whileStopped)
+                                    .matches(
+                                            "(?s).*" + then[0] + " +" + then[1] + " +" + then[2]
+                                                    + ".*"));
         }
         assertTrue(said("audit", "--host", "h2").contains("out.h2=1"));
         Path picture = folder.resolve("audit.svg");
@@ -117,7 +136,10 @@
         FleetSite.Said verify = site.fleet("audit", "--verify");
         assertEquals(verify.status(), 0, verify.text());
         FleetSite.Said who = site.fleet("audit", "--revision", "2");
-        assertTrue(who.text().lines().filter(line -> line.startsWith("n")).count() == 3 && !who.text().contains("never"), who.text());
+        assertTrue(
+                who.text().lines().filter(line -> line.startsWith("n")).count() == 3
+                        && !who.text().contains("never"),
+                who.text());
     }
 
     @Test
@@ -128,11 +150,16 @@
         FleetSite.await("floor", PATIENCE, () -> "1".equals(site.get("rollout/floor")));
         revise(0, "colour=red", "out/h2=worn");
         FleetSite.await("halt", PATIENCE, () -> stageIs("2 HALTED 1"));
-        assertTrue(site.get("rollout/stage").contains("colour is not known here"), site.get("rollout/stage"));
+        assertTrue(
+                site.get("rollout/stage").contains("colour is not known here"),
+                site.get("rollout/stage"));
         assertEquals(site.get("rollout/floor"), "1");
         // Nothing of it holds anywhere: h2 is in use.
         long halted = System.nanoTime();
-        assertTrue(site.tunnel("n1").startsWith("UP") && site.tunnel("n2").startsWith("UP") && site.tunnel("n3").startsWith("UP"));
+        assertTrue(
+                site.tunnel("n1").startsWith("UP")
+                        && site.tunnel("n2").startsWith("UP")
+                        && site.tunnel("n3").startsWith("UP"));
         assertEquals(site.setups("h2", null, halted), 3);
         String owner = site.awaitOwner("rollout", null);
         site.instances.kill(owner);
@@ -158,18 +185,27 @@
         older.goOn();
         assertTrue(older.awaitFor(PATIENCE), "the older one goes on");
         assertEquals(older.await(), 5);
-        assertTrue(older.output().contains("another process has the name n1 since"), older.output());
+        assertTrue(
+                older.output().contains("another process has the name n1 since"), older.output());
         assertTrue(newer.runs());
         assertEquals(site.state("n1"), "CURRENT");
-        // What the older one would still have told was not taken: its trail is as it was, but for what had come before.
-        long older1 = site.list("trail/n1/").keySet().stream().map(key -> key.split("/")[2]).distinct().count();
+        // What the older one would still have told was not taken: its trail is as it was, but for
+        // what had come before.
+        long older1 =
+                site.list("trail/n1/").keySet().stream()
+                        .map(key -> key.split("/")[2])
+                        .distinct()
+                        .count();
         assertTrue(older1 >= 1 && trails.length() > 0);
         // By hand: told why, it leaves in order.
         assertEquals(site.fleet("shut-out", "n2", "misbehaves").status(), 0);
         Program out = site.node("n2");
         assertTrue(out.awaitFor(PATIENCE));
         assertEquals(out.await(), 5);
-        assertTrue(out.output().contains("shut out: by-hand misbehaves") && out.output().contains("n2 leaving"), out.output());
+        assertTrue(
+                out.output().contains("shut out: by-hand misbehaves")
+                        && out.output().contains("n2 leaving"),
+                out.output());
         site.awaitState("n2", "SHUT_OUT");
         // A new incarnation is let in, and catches up before it is ready.
         site.startNode("n2");
@@ -180,13 +216,25 @@
     public void listsComeFromOneOwnerAndAnOldOneThatGoesOnChangesNothing() throws Exception {
         begin(3, 3, "alone-s = 2\nspread-s = 1\n");
         String owner = site.awaitOwner("lists", null);
-        FleetSite.await("all led", PATIENCE, () -> site.instances.names().stream().mapToLong(name ->
-                site.counts(name).path("lists told whole").asLong()).sum() >= 3);
+        FleetSite.await(
+                "all led",
+                PATIENCE,
+                () ->
+                        site.instances.names().stream()
+                                        .mapToLong(
+                                                name ->
+                                                        site.counts(name)
+                                                                .path("lists told whole")
+                                                                .asLong())
+                                        .sum()
+                                >= 3);
         Instances.sleep(1);
         // Discovery hears one caller, whose calls wait three seconds: not three.
         long before = site.hosts.calls();
         Instances.sleep(3.5);
-        assertTrue(site.hosts.calls() - before <= 2, "calls in 3.5 s: " + (site.hosts.calls() - before));
+        assertTrue(
+                site.hosts.calls() - before <= 2,
+                "calls in 3.5 s: " + (site.hosts.calls() - before));
         site.hosts.lifecycle("h1", "terminating", false);
         Instances.sleep(1);
         long told = System.nanoTime();
@@ -215,27 +263,55 @@
         assertEquals(site.setups("h1", null, drained), 0);
         assertEquals(site.setups("h2", null, drained), 0);
         site.ways.clearAll();
-        FleetSite.await("what the old owner had on its way is refused, by its fence or its age", PATIENCE, () -> String.join("\n",
-                site.list("trail/").values()).contains("duty=lists"));
-        assertTrue(String.join("\n", site.list("trail/").values()).matches("(?s).*duty=lists[^\n]*verdict=(OLD|VOID).*"));
+        FleetSite.await(
+                "what the old owner had on its way is refused, by its fence or its age",
+                PATIENCE,
+                () -> String.join("\n", site.list("trail/").values()).contains("duty=lists"));
+        assertTrue(
+                String.join("\n", site.list("trail/").values())
+                        .matches("(?s).*duty=lists[^\n]*verdict=(OLD|VOID).*"));
         // With no owner at all each asks for itself.
         long calls = site.hosts.calls();
         site.instances.names().forEach(site.instances::stop);
-        FleetSite.await("each node asks for itself", PATIENCE, () -> site.hosts.calls() - calls >= 3);
+        FleetSite.await(
+                "each node asks for itself", PATIENCE, () -> site.hosts.calls() - calls >= 3);
         site.hosts.lifecycle("h1", "in_service", true);
         long back = System.nanoTime();
-        FleetSite.await("h1 is in use again", PATIENCE, () -> String.valueOf(site.tunnel("n1")).startsWith("UP")
-                && site.setups("h1", "n1", back) > 0);
+        FleetSite.await(
+                "h1 is in use again",
+                PATIENCE,
+                () ->
+                        String.valueOf(site.tunnel("n1")).startsWith("UP")
+                                && site.setups("h1", "n1", back) > 0);
         site.instances.names().forEach(site.instances::goOn);
     }
 
     @Test
     public void releaseGoesOnByAnotherOwnerWithNeverMoreAwayThanStated() throws Exception {
         begin(2, 3, "");
-        FleetSite.await("nodes", PATIENCE, () -> site.state("n1").equals("CURRENT") && site.state("n2").equals("CURRENT"));
+        FleetSite.await(
+                "nodes",
+                PATIENCE,
+                () -> site.state("n1").equals("CURRENT") && site.state("n2").equals("CURRENT"));
         try (FleetSite.Clients clients = site.new Clients(0.1)) {
-            assertEquals(site.fleet("release", "start", "r1", "host:h1", "host:h2", "node:n1", "host:h3", "node:n2", "--size", "1",
-                    "--warm", "0.5", "--service", "0.8").status(), 0);
+            assertEquals(
+                    site.fleet(
+                                    "release",
+                                    "start",
+                                    "r1",
+                                    "host:h1",
+                                    "host:h2",
+                                    "node:n1",
+                                    "host:h3",
+                                    "node:n2",
+                                    "--size",
+                                    "1",
+                                    "--warm",
+                                    "0.5",
+                                    "--service",
+                                    "0.8")
+                            .status(),
+                    0);
             FleetSite.await("the first part", PATIENCE, () -> !site.manager.events().isEmpty());
             String owner = site.awaitOwner("release", null);
             site.instances.stop(owner);
@@ -243,7 +319,9 @@
             FleetSite.await("another part", PATIENCE, () -> site.manager.events().size() >= 4);
             site.instances.goOn(owner);
             site.instances.kill(next);
-            FleetSite.await("the end of it, is " + site.get("release/state"), 2 * PATIENCE,
+            FleetSite.await(
+                    "the end of it, is " + site.get("release/state"),
+                    2 * PATIENCE,
                     () -> "r1 done".equals(site.get("release/state")));
             assertEquals(site.manager.events().size(), 10, site.manager.events().toString());
             assertEquals(site.manager.mostAway(), 1, site.manager.events().toString());
@@ -253,7 +331,8 @@
     }
 
     @Test
-    public void ownerThatNodesCannotHearGivesTheDutyUpAndOneWithoutTheRecordDoesNothing() throws Exception {
+    public void ownerThatNodesCannotHearGivesTheDutyUpAndOneWithoutTheRecordDoesNothing()
+            throws Exception {
         begin(2, 2, "");
         revise(0, "out/h1=worn");
         FleetSite.await("floor", PATIENCE, () -> "1".equals(site.get("rollout/floor")));
@@ -265,7 +344,9 @@
         FleetSite.await("floor", PATIENCE, () -> "2".equals(site.get("rollout/floor")));
         // The reverse: it hears the nodes, and neither the other instances nor they it.
         List.of("n1", "n2").forEach(node -> site.ways.cutBoth(owner, node, false));
-        site.instances.names().stream().filter(name -> !name.equals(next)).forEach(name -> site.ways.cutBoth(next, name, true));
+        site.instances.names().stream()
+                .filter(name -> !name.equals(next))
+                .forEach(name -> site.ways.cutBoth(next, name, true));
         site.awaitOwner("rollout", next);
         revise(0, "--remove", "out/h2");
         FleetSite.await("floor", PATIENCE, () -> "3".equals(site.get("rollout/floor")));
@@ -277,9 +358,27 @@
     @Test
     public void releaseHaltsWithoutAMajorityWhileNodesPlaceOnAndGoesOnAfter() throws Exception {
         begin(2, 3, "");
-        FleetSite.await("nodes", PATIENCE, () -> site.state("n1").equals("CURRENT") && site.state("n2").equals("CURRENT"));
-        assertEquals(site.fleet("release", "start", "r2", "host:h1", "node:n1", "host:h2", "host:h3", "--size", "1", "--warm", "0.3",
-                "--service", "0").status(), 0);
+        FleetSite.await(
+                "nodes",
+                PATIENCE,
+                () -> site.state("n1").equals("CURRENT") && site.state("n2").equals("CURRENT"));
+        assertEquals(
+                site.fleet(
+                                "release",
+                                "start",
+                                "r2",
+                                "host:h1",
+                                "node:n1",
+                                "host:h2",
+                                "host:h3",
+                                "--size",
+                                "1",
+                                "--warm",
+                                "0.3",
+                                "--service",
+                                "0")
+                        .status(),
+                0);
         FleetSite.await("the first part", PATIENCE, () -> !site.manager.events().isEmpty());
         List<String> away = site.instances.names().subList(0, 2);
         away.forEach(site.instances::stop);
@@ -290,7 +389,8 @@
         assertEquals(site.manager.events().stream().filter(event -> event.away()).count(), begun);
         assertTrue(site.tunnel("n2").startsWith("UP"));
         away.forEach(site.instances::goOn);
-        FleetSite.await("the end of it", 2 * PATIENCE, () -> "r2 done".equals(site.get("release/state")));
+        FleetSite.await(
+                "the end of it", 2 * PATIENCE, () -> "r2 done".equals(site.get("release/state")));
         assertEquals(site.manager.events().size(), 8);
         assertEquals(site.manager.mostAway(), 1, site.manager.events().toString());
     }
@@ -313,7 +413,10 @@
         site.instances.names().forEach(site.instances::stop);
         assertTrue(node.awaitFor(PATIENCE));
         assertEquals(node.await(), 6);
-        assertTrue(node.output().contains("no instance is heard") && node.output().contains("n1 leaving"), node.output());
+        assertTrue(
+                node.output().contains("no instance is heard")
+                        && node.output().contains("n1 leaving"),
+                node.output());
         site.instances.names().forEach(site.instances::goOn);
         site.startNode("n1");
         site.awaitState("n1", "CURRENT");
