--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -471,7 +471,7 @@
     private boolean mayRunAgain(Tunnel tunnel) {
         return switch (tunnel.profile.repeat()) {
             case REPEATABLE -> true;
-            case REFERENCED -> !tunnel.mayHaveRun || now < tunnel.firstSentAt + tunnel.profile.dedupWindow();
+            case REFERENCED -> !tunnel.mayHaveRun || now < tunnel.dedupWindowEnd();
             case ONCE_ONLY -> !tunnel.mayHaveRun;
         };
     }
@@ -505,9 +505,9 @@
         double usual = opened.sum(now) / Math.max(1, opened.count(now));
         double patience = SLOW_SETUP * Math.max(tunnel.profile.setupGoal(), usual);
         // Timed out, a once-only tunnel, or one past its window, could neither go again nor be declined.
-        boolean last = tunnel.setups + 1 >= deployment.mostSetups()
-                || tunnel.profile.repeat() == Repeat.ONCE_ONLY || tunnel.profile.repeat() == Repeat.REFERENCED
-                && now + patience >= tunnel.firstSentAt + tunnel.profile.dedupWindow();
+        Repeat repeat = tunnel.profile.repeat();
+        boolean last = tunnel.setups + 1 >= deployment.mostSetups() || repeat == Repeat.ONCE_ONLY
+                || (repeat == Repeat.REFERENCED && now + patience >= tunnel.dedupWindowEnd());
         double timeOut = last ? 0 : Math.min(tunnel.clientGivesUpAt - now, patience);
         tunnel.setups++;
         tunnel.out = true;
@@ -544,7 +544,7 @@
             return home;
         }
         List<Host> eligible = new ArrayList<>(roll);
-        eligible.removeIf(host -> excess && !host.cold() || !mayTake(host, tunnel));
+        eligible.removeIf(host -> (excess && !host.cold()) || !mayTake(host, tunnel));
         if (!tunnel.tried.containsAll(eligible)) {
             eligible.removeAll(tunnel.tried);
         }
@@ -572,7 +572,7 @@
     /** Whether rules, health and list let this host take the tunnel now. */
     private boolean mayTake(Host host, Tunnel tunnel) {
         return used(host) && dropsRepeats(tunnel, host) && !late(host, tunnel)
-                && (!host.cold() && !hollow(host) || host.slowStart.mayTake(now, warmHostCanTake));
+                && ((!host.cold() && !hollow(host)) || host.slowStart.mayTake(now, warmHostCanTake));
     }
 
     private boolean late(Host host, Tunnel tunnel) {
@@ -606,7 +606,7 @@
         boolean nearOnly = mean < IDLE && nearTake;
         double holderLimit = limit(HOLDER_SLACK);
         List<Host> holding = new ArrayList<>(holders.of(tunnel.group));
-        holding.removeIf(host -> nearOnly && !host.near() || !mayTake(host, tunnel)
+        holding.removeIf(host -> (nearOnly && !host.near()) || !mayTake(host, tunnel)
                 || tunnel.tried.contains(host) || count(host) > holderLimit);
         if (!holding.isEmpty()) {
             return drawn(holding, chance.next() * SPAN);
@@ -617,13 +617,13 @@
         for (int k = 0; draws > 0 && k < 4 * seats.size(); k++) {
             long drawn = Seats.scattered(number + k);
             Host host = seats.under(drawn);
-            if (host == null || !host.takesNew() || nearOnly && !host.near()
+            if (host == null || !host.takesNew() || (nearOnly && !host.near())
                     || (drawn & 0xffff) / 65536.0 * mean * active >= mean * active - count(host)) {
                 continue;
             }
             draws--;
             if (mayTake(host, tunnel) && !tunnel.tried.contains(host)
-                    && (count(host) <= most || !host.heard() && mayAsk(tunnel))) {
+                    && (count(host) <= most || (!host.heard() && mayAsk(tunnel)))) {
                 return host;
             }
         }
@@ -662,7 +662,7 @@
         healthy.stream().filter(host -> !host.overwhelmed()).forEach(filling::add);
         noneTimely = healthy.stream().allMatch(host -> host.lateness.lasts(now, longestMessage));
         healthy.removeIf(host -> host.cold() || host.noted
-                || !noneTimely && host.lateness.lasts(now, longestMessage));
+                || (!noneTimely && host.lateness.lasts(now, longestMessage)));
         int heard = (int) healthy.stream().filter(Host::heard).count();
         List<Host> sound = healthy.stream().filter(host -> !host.overwhelmed()).toList();
         sound = sound.isEmpty() ? healthy : sound;
@@ -1034,7 +1034,7 @@
          * each other node has as well.
          */
         double expectedLoad() {
-            double others = Math.max(0, grown - grownAtReport) * (deployment.nodes() - 1) / counted;
+            int others = Math.max(0, grown - grownAtReport) * (deployment.nodes() - 1) / counted;
             double known = heard() ? load + others * usualLoadOfOne : cold() ? 0 : usualLoad;
             return known + placedSinceReport * loadOfOne();
         }
--- a/core/src/main/java/embershift/policy/Tunnel.java
+++ b/core/src/main/java/embershift/policy/Tunnel.java
@@ -39,4 +39,9 @@
         this.group = group;
         this.clientGivesUpAt = clientGivesUpAt;
     }
+
+    /** When hosts stop dropping repeats of this tunnel. */
+    double dedupWindowEnd() {
+        return firstSentAt + profile.dedupWindow();
+    }
 }
--- a/core/src/test/java/embershift/policy/ColdHostSumTest.java
+++ b/core/src/test/java/embershift/policy/ColdHostSumTest.java
@@ -322,7 +322,7 @@
                                     / 4;
                 }
                 line.append(String.format(" %.2f", used));
-                boolean thin = demand < 2 || demand == 2 && (first < 32 || nodes > 100);
+                boolean thin = demand < 2 || (demand == 2 && (first < 32 || nodes > 100));
                 assertTrue(
                         used > (demand > 100 ? 0.8 : thin ? 0 : 0.6) - (first < 5 ? 0.2 : 0),
                         demand + ": " + used);
--- a/core/src/test/java/embershift/policy/Node.java
+++ b/core/src/test/java/embershift/policy/Node.java
@@ -290,8 +290,8 @@
      * Lets time pass with a round each hundredth of a second, and returns how many moves came in
      * it.
      */
-    long later(double seconds) {
-        long moves = 0;
+    int later(double seconds) {
+        int moves = 0;
         for (int i = 0; i < Math.round(seconds * 100); i++) {
             now += 0.01;
             round(news -> {});
@@ -327,8 +327,8 @@
                 .count();
     }
 
-    long count(String start) {
-        return said.stream().filter(line -> line.startsWith(start)).count();
+    int count(String start) {
+        return (int) said.stream().filter(line -> line.startsWith(start)).count();
     }
 
     @Override
--- a/door/src/main/java/embershift/door/Door.java
+++ b/door/src/main/java/embershift/door/Door.java
@@ -671,8 +671,8 @@
                 if (now >= notBefore) {
                     dial(now);
                 }
-            } else if (!welcome && (greeted || !connected) && now - dialledAt > STUCK
-                    || link.backedUp() && now - heard > STUCK) {
+            } else if ((!welcome && (greeted || !connected) && now - dialledAt > STUCK)
+                    || (link.backedUp() && now - heard > STUCK)) {
                 drop(now);
             }
         }
@@ -715,7 +715,7 @@
             if (greeted
                     || !connected
                     || link == null
-                    || incarnation == 0 && registering != null && registering != this) {
+                    || (incarnation == 0 && registering != null && registering != this)) {
                 return;
             }
             greeted = true;
--- a/door/src/main/java/embershift/door/Frames.java
+++ b/door/src/main/java/embershift/door/Frames.java
@@ -71,6 +71,11 @@
     }
 
     public static ByteBuffer piece(byte kind, byte[] content) {
+        return ByteBuffer.wrap(bytes(kind, content));
+    }
+
+    /** A piece, for who writes arrays. */
+    public static byte[] bytes(byte kind, byte[] content) {
         byte[] whole = new byte[1 + content.length];
         whole[0] = kind;
         System.arraycopy(content, 0, whole, 1, content.length);
@@ -78,7 +83,7 @@
                 .putInt(whole.length)
                 .putInt(checksum(whole))
                 .put(whole)
-                .flip();
+                .array();
     }
 
     private static int checksum(byte[] content) {
--- a/door/src/main/java/embershift/door/Words.java
+++ b/door/src/main/java/embershift/door/Words.java
@@ -68,8 +68,8 @@
     /** The texts of an object by their names; null for those that are null. */
     public static Map<String, String> texts(JsonNode object) {
         Map<String, String> texts = new LinkedHashMap<>();
-        object.fields()
-                .forEachRemaining(
+        object.properties()
+                .forEach(
                         field ->
                                 texts.put(
                                         field.getKey(),
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -149,8 +149,7 @@
     }
 
     private void say(byte pieceKind, ObjectNode message) throws IOException {
-        ByteBuffer piece = Words.piece(pieceKind, message);
-        link.getOutputStream().write(piece.array(), 0, piece.remaining());
+        link.getOutputStream().write(Frames.bytes(pieceKind, Words.bytes(message)));
     }
 
     /** As an instance says it; what differs from run to run is left out. */
--- a/emulator/src/main/java/embershift/emulator/day/DayReader.java
+++ b/emulator/src/main/java/embershift/emulator/day/DayReader.java
@@ -20,7 +20,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Comparator;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -191,8 +190,7 @@
     private static JsonNode laidOver(JsonNode usual, JsonNode own) {
         if (usual.isObject() && own.isObject()) {
             ObjectNode both = usual.deepCopy();
-            for (Iterator<Map.Entry<String, JsonNode>> keys = own.fields(); keys.hasNext(); ) {
-                Map.Entry<String, JsonNode> key = keys.next();
+            for (Map.Entry<String, JsonNode> key : own.properties()) {
                 JsonNode under = usual.get(key.getKey());
                 both.set(
                         key.getKey(),
--- a/emulator/src/main/java/embershift/emulator/day/DayWriter.java
+++ b/emulator/src/main/java/embershift/emulator/day/DayWriter.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import java.util.Iterator;
 import java.util.Map;
 
 /**
@@ -17,8 +16,7 @@
     public static String write(ObjectNode tree) {
         StringBuilder text = new StringBuilder();
         plain(tree, text);
-        for (Iterator<Map.Entry<String, JsonNode>> keys = tree.fields(); keys.hasNext(); ) {
-            Map.Entry<String, JsonNode> key = keys.next();
+        for (Map.Entry<String, JsonNode> key : tree.properties()) {
             if (key.getValue().isObject()) {
                 text.append("\n[").append(key.getKey()).append("]\n");
                 plain(key.getValue(), text);
@@ -37,8 +35,7 @@
     }
 
     private static void plain(JsonNode table, StringBuilder text) {
-        for (Iterator<Map.Entry<String, JsonNode>> keys = table.fields(); keys.hasNext(); ) {
-            Map.Entry<String, JsonNode> key = keys.next();
+        for (Map.Entry<String, JsonNode> key : table.properties()) {
             if (!key.getValue().isObject() && !isTables(key.getValue())) {
                 // Numbers, texts, truths and lists of them are written alike in JSON and in TOML.
                 text.append(key.getKey()).append(" = ").append(key.getValue()).append('\n');
--- a/emulator/src/main/java/embershift/emulator/experiment/Hunt.java
+++ b/emulator/src/main/java/embershift/emulator/experiment/Hunt.java
@@ -272,7 +272,8 @@
         }
         for (int i = 0; i < troubles; i++) {
             JsonNode trouble = tree.get("trouble").get(i);
-            halved(tree, steps, i, "times", trouble.path("times").asInt(1) / 2, 1);
+            int halvedCount = trouble.path("times").asInt(1) / 2;
+            halved(tree, steps, i, "times", halvedCount, 1);
             halved(tree, steps, i, "for", trouble.path("for").asDouble() / 2, 0.5);
             halved(tree, steps, i, "factor", trouble.path("factor").asDouble() / 2, 1.5);
             halved(tree, steps, i, "part", trouble.path("part").asDouble() / 2, 0.1);
--- a/emulator/src/main/java/embershift/emulator/sockets/SocketDay.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/SocketDay.java
@@ -202,7 +202,10 @@
         } catch (java.util.concurrent.CompletionException e) {
             throw new IOException(e.getCause());
         } finally {
-            loop.execute(() -> made.thenAccept(SocketDay::clear));
+            loop.execute(
+                    () -> {
+                        CompletableFuture<Void> unused = made.thenAccept(SocketDay::clear);
+                    });
             loop.execute(loop::stop);
         }
     }
@@ -256,7 +259,7 @@
             attempts.put(client.attempt.id.name(), client.attempt);
             client.begin();
         }
-        if (left.isEmpty() && waitingUps == 0 || agenda.now() > -1) {
+        if ((left.isEmpty() && waitingUps == 0) || agenda.now() > -1) {
             if (!begun) {
                 begun = true;
                 pump.begin(0);
--- a/emulator/src/main/java/embershift/emulator/world/Cuts.java
+++ b/emulator/src/main/java/embershift/emulator/world/Cuts.java
@@ -11,8 +11,8 @@
     /** One cut: what those inside and those outside it can't send each other. */
     public record Cut(Predicate<Place> inside, Predicate<Place> outside, Direction direction) {
         boolean holds(Place from, Place to) {
-            return direction != Direction.IN && inside.test(from) && outside.test(to)
-                    || direction != Direction.OUT && inside.test(to) && outside.test(from);
+            return (direction != Direction.IN && inside.test(from) && outside.test(to))
+                    || (direction != Direction.OUT && inside.test(to) && outside.test(from));
         }
     }
 
@@ -37,6 +37,6 @@
     }
 
     public boolean openBothWays(Place one, Place other) {
-        return cuts.isEmpty() || open(one, other) && open(other, one);
+        return cuts.isEmpty() || (open(one, other) && open(other, one));
     }
 }
--- a/emulator/src/main/java/embershift/emulator/world/Roster.java
+++ b/emulator/src/main/java/embershift/emulator/world/Roster.java
@@ -24,7 +24,6 @@
     private final Agenda agenda;
     private final Network network;
     private final Dice dice;
-    private final Witness witness;
     private final Map<HostId, Listing> list = new LinkedHashMap<>();
     private final Map<HostId, Double> changedAt = new LinkedHashMap<>();
     private final List<Version> versions = new ArrayList<>();
@@ -40,19 +39,12 @@
     long calls;
     long entries;
 
-    Roster(
-            Day.Roster figures,
-            String zone,
-            Agenda agenda,
-            Network network,
-            Dice dice,
-            Witness witness) {
+    Roster(Day.Roster figures, String zone, Agenda agenda, Network network, Dice dice) {
         super(Sort.ROSTER, 0, "roster", zone);
         this.figures = figures;
         this.agenda = agenda;
         this.network = network;
         this.dice = dice;
-        this.witness = witness;
     }
 
     private static Listing listing(Host host, HostId address, Listing.State state) {
--- a/emulator/src/main/java/embershift/emulator/world/Troubles.java
+++ b/emulator/src/main/java/embershift/emulator/world/Troubles.java
@@ -270,9 +270,10 @@
         int waves = (nodes.size() + wave - 1) / wave;
         for (int i = 0; i < nodes.size(); i++) {
             int number = nodes.get(i);
+            int inWave = i / wave;
             world.agenda()
                     .in(
-                            trouble.lasts() * (i / wave) / waves,
+                            trouble.lasts() * inWave / waves,
                             () -> {
                                 if (trouble.politely()) {
                                     world.restartNode(number);
--- a/emulator/src/main/java/embershift/emulator/world/World.java
+++ b/emulator/src/main/java/embershift/emulator/world/World.java
@@ -79,13 +79,7 @@
         this.network = new Network(day.network(), agenda, new Dice(seed, "network"));
         List<String> zones = day.fleet().zones();
         this.roster =
-                new Roster(
-                        day.roster(),
-                        zones.get(0),
-                        agenda,
-                        network,
-                        new Dice(seed, "roster"),
-                        witness);
+                new Roster(day.roster(), zones.get(0), agenda, network, new Dice(seed, "roster"));
         this.front = new Front(zones, new Dice(seed, "front"));
         hosts.addAll(Host.fleet(day, seed, agenda));
         hosts.forEach(host -> byAddress.put(host.address(), host));
--- a/emulator/src/test/java/embershift/emulator/DayReaderTest.java
+++ b/emulator/src/test/java/embershift/emulator/DayReaderTest.java
@@ -131,8 +131,20 @@
     @Test
     public void aDayThatIsWrittenReadsTheSame() throws UnreadableDay {
         String text =
-                "name = \"x\"\n[fleet]\nzones = [\"a\", \"b\"]\nnodes = 2\n[[trouble]]\nwhat = \"cut\"\n"
-                        + "whom = \"hosts zone a\"\npeer = \"nodes zone b\"\nat = 3.5\n[[trouble]]\nwhat = \"pause\"\nwhom = \"nodes\"\n";
+                """
+                name = "x"
+                [fleet]
+                zones = ["a", "b"]
+                nodes = 2
+                [[trouble]]
+                what = "cut"
+                whom = "hosts zone a"
+                peer = "nodes zone b"
+                at = 3.5
+                [[trouble]]
+                what = "pause"
+                whom = "nodes"
+                """;
         String written = DayWriter.write(READER.tree(text, "d.toml"));
         Day one = READER.read(text, "d.toml", Map.of());
         Day other = READER.read(written, "d.toml", Map.of());
--- a/emulator/src/test/java/embershift/emulator/MutationsTest.java
+++ b/emulator/src/test/java/embershift/emulator/MutationsTest.java
@@ -177,7 +177,7 @@
 
     private static void swallow(
             Decisions behind, String method, Object[] arguments, Runnable unchanged) {
-        if (!method.equals("decline") && !method.equals("closeWithError")
+        if ((!method.equals("decline") && !method.equals("closeWithError"))
                 || !arguments[0].toString().contains("7.")) {
             unchanged.run();
         }
@@ -250,6 +250,7 @@
                 "all",
                 1
             },
+            {"answer after UP", says(MutationsTest::answerAfterUp), "repeatable", "all", 1},
             {"two setups at once", says(MutationsTest::twoAtOnce), "repeatable", "all", 2},
             {
                 "once-only repeated",
--- a/fleet/src/main/java/embershift/fleet/Audit.java
+++ b/fleet/src/main/java/embershift/fleet/Audit.java
@@ -89,13 +89,9 @@
                                                                             segments.get(0)
                                                                                     .key())))));
                                 }));
-        for (int i = 0; i < runs.size(); i++) {
-            Run after =
-                    i + 1 < runs.size() && runs.get(i + 1).node.equals(runs.get(i).node)
-                            ? runs.get(i + 1)
-                            : null;
-            check(runs.get(i));
-            spells(runs.get(i), after);
+        for (Run run : runs) {
+            check(run);
+            spells(run);
         }
     }
 
@@ -156,7 +152,7 @@
         }
     }
 
-    private void spells(Run run, Run after) {
+    private void spells(Run run) {
         long revision = run.begin == null ? -1 : run.begin.revision();
         long[] tunnels = new long[3];
         Hybrid from = run.begin == null ? null : run.begin.at();
--- a/fleet/src/main/java/embershift/fleet/HostsHeld.java
+++ b/fleet/src/main/java/embershift/fleet/HostsHeld.java
@@ -37,7 +37,7 @@
     /** A change told under a fence that was not refused. */
     public End take(Fence by, HostsChange change) {
         int order = by.compareTo(fence);
-        if (order < 0 || order == 0 && change.number() < number) {
+        if (order < 0 || (order == 0 && change.number() < number)) {
             return End.OLDER;
         }
         // A host that drains by a newer word must not come back by an older one, whoever brings it.
--- a/fleet/src/main/java/embershift/fleet/Record.java
+++ b/fleet/src/main/java/embershift/fleet/KeyValueStore.java
@@ -14,7 +14,7 @@
  * clock or chance: the same commands in the same order make the same record, byte for byte. All
  * bounds are the same everywhere.
  */
-public final class Record {
+public final class KeyValueStore {
 
     /** Characters of a key, of a value and of a client's name; of all keys and values together. */
     public static final int KEY = 512;
@@ -144,7 +144,7 @@
         for (Write write : change.writes()) {
             if (write.key().isEmpty()
                     || write.key().length() > KEY
-                    || write.value() != null && write.value().length() > VALUE) {
+                    || (write.value() != null && write.value().length() > VALUE)) {
                 return Result.refused(
                         Result.Why.TOO_LARGE,
                         "a key has 1 to " + KEY + " characters, a value up to " + VALUE);
@@ -275,10 +275,12 @@
     }
 
     /**
+     * The record that these bytes stand for.
+     *
      * @throws RecordCodec.Unreadable where these are no such bytes
      */
-    public static Record of(byte[] bytes) {
-        Record record = new Record();
+    public static KeyValueStore of(byte[] bytes) {
+        KeyValueStore record = new KeyValueStore();
         RecordCodec.read(bytes, record::fill);
         return record;
     }
--- a/fleet/src/main/java/embershift/fleet/Owner.java
+++ b/fleet/src/main/java/embershift/fleet/Owner.java
@@ -362,7 +362,7 @@
             progress = null;
         }
         if (progress != null && progress.state() == Plan.Progress.State.POISONED) {
-            finish(now, duty.name() + " stays stopped at step " + progress.step());
+            finish(duty.name() + " stays stopped at step " + progress.step());
         } else if (progress != null && progress.state() == Plan.Progress.State.INTENDED) {
             int owners = progress.owners() + 1;
             if (owners > terms.owners()) {
@@ -403,7 +403,7 @@
     /** Goes on from where progress is known to be. */
     private void step(double now) {
         if (progress != null && progress.state() == Plan.Progress.State.POISONED) {
-            finish(now, duty.name() + " is stopped at step " + progress.step());
+            finish(duty.name() + " is stopped at step " + progress.step());
         } else if (progress != null && progress.state() == Plan.Progress.State.INTENDED) {
             if (tenure.mayBegin(now, plan.longest())) {
                 stage = Stage.ACTING;
@@ -416,7 +416,7 @@
         } else {
             int following = progress == null ? 0 : progress.step() + 1;
             if (following >= plan.steps()) {
-                finish(now, duty.name() + " is done");
+                finish(duty.name() + " is done");
             } else {
                 note(
                         now,
@@ -425,7 +425,7 @@
         }
     }
 
-    private void finish(double now, String why) {
+    private void finish(String why) {
         hands.told(why);
         hands.ask(Grants.giveBack(session, ++number, duty, tenure.fence()));
         tenure.over();
--- a/fleet/src/main/java/embershift/fleet/RecordCodec.java
+++ b/fleet/src/main/java/embershift/fleet/RecordCodec.java
@@ -87,35 +87,33 @@
         try {
             DataInputStream in = in(bytes);
             int kind = in.readByte();
-            switch (kind) {
-                case OPEN:
-                    return new Command.Open(text(in), in.readDouble());
-                case END:
-                    return new Command.End(new SessionId(in.readLong()));
-                case CHANGE:
-                    SessionId session = new SessionId(in.readLong());
-                    long number = in.readLong();
-                    long open = in.readLong();
-                    List<Condition> conditions = new ArrayList<>();
-                    for (int i = many(in); i > 0; i--) {
-                        conditions.add(new Condition(text(in), in.readLong()));
-                    }
-                    List<Write> writes = new ArrayList<>();
-                    for (int i = many(in); i > 0; i--) {
-                        String key = text(in);
-                        writes.add(
-                                new Write(
-                                        key, in.readBoolean() ? text(in) : null, in.readBoolean()));
-                    }
-                    return new Command.Change(session, number, open, conditions, writes);
-                default:
-                    throw new Unreadable("a command of kind " + kind);
-            }
+            return switch (kind) {
+                case OPEN -> new Command.Open(text(in), in.readDouble());
+                case END -> new Command.End(new SessionId(in.readLong()));
+                case CHANGE -> change(in);
+                default -> throw new Unreadable("a command of kind " + kind);
+            };
         } catch (IOException e) {
             throw new Unreadable("a command that ends early");
         }
     }
 
+    private static Command.Change change(DataInputStream in) throws IOException {
+        SessionId session = new SessionId(in.readLong());
+        long number = in.readLong();
+        long open = in.readLong();
+        List<Condition> conditions = new ArrayList<>();
+        for (int i = many(in); i > 0; i--) {
+            conditions.add(new Condition(text(in), in.readLong()));
+        }
+        List<Write> writes = new ArrayList<>();
+        for (int i = many(in); i > 0; i--) {
+            String key = text(in);
+            writes.add(new Write(key, in.readBoolean() ? text(in) : null, in.readBoolean()));
+        }
+        return new Command.Change(session, number, open, conditions, writes);
+    }
+
     private static DataInputStream in(byte[] bytes) throws IOException {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int version = in.readByte();
@@ -152,7 +150,7 @@
                             out.writeByte(
                                     result.getValue().why() == null
                                             ? -1
-                                            : result.getValue().why().ordinal());
+                                            : result.getValue().why().code());
                             out.writeLong(result.getValue().number());
                             text(out, result.getValue().text());
                         }
@@ -190,9 +188,7 @@
                     session.results.put(
                             number,
                             new Result(
-                                    why < 0 ? null : Result.Why.values()[why],
-                                    in.readLong(),
-                                    text(in)));
+                                    why < 0 ? null : Result.Why.of(why), in.readLong(), text(in)));
                 }
                 sessions.add(session);
             }
--- a/fleet/src/main/java/embershift/fleet/ReleasePlan.java
+++ b/fleet/src/main/java/embershift/fleet/ReleasePlan.java
@@ -93,7 +93,7 @@
         List<Part> parts = new ArrayList<>();
         for (int i = 1; i < lines.length; i++) {
             String[] words = lines[i].split(" ");
-            if (words.length != 2 || !words[0].equals("node") && !words[0].equals("host")) {
+            if (words.length != 2 || (!words[0].equals("node") && !words[0].equals("host"))) {
                 return null;
             }
             parts.add(new Part(words[0].equals("node"), words[1]));
--- a/fleet/src/main/java/embershift/fleet/Replica.java
+++ b/fleet/src/main/java/embershift/fleet/Replica.java
@@ -63,7 +63,7 @@
     }
 
     private interface Call {
-        void at(Record state);
+        void at(KeyValueStore state);
     }
 
     private record Pending(long call, long term) {}
@@ -82,7 +82,7 @@
     private final Raft raft;
     private final Port port;
     private final Habits habits;
-    private Record record;
+    private KeyValueStore record;
     private double now;
     private long tickets;
     private final TreeMap<Long, Pending> pending = new TreeMap<>();
@@ -113,7 +113,7 @@
         this.port = port;
         this.habits = habits;
         Snapshot snapshot = restored.snapshot();
-        record = snapshot == null ? new Record() : Record.of(snapshot.data());
+        record = snapshot == null ? new KeyValueStore() : KeyValueStore.of(snapshot.data());
         snapshotAt = snapshot == null ? 0 : snapshot.index();
         raft = new Raft(self, pace, bounds, restored, run, seed, new Side());
     }
@@ -126,7 +126,7 @@
     /**
      * What others may see of the record as this instance has it; behind the leader's, maybe far.
      */
-    public Record record() {
+    public KeyValueStore record() {
         return record;
     }
 
@@ -159,7 +159,7 @@
 
         @Override
         public void restore(Snapshot snapshot) {
-            record = Record.of(snapshot.data());
+            record = KeyValueStore.of(snapshot.data());
             snapshotAt = snapshot.index();
             bytesSince = 0;
             pending.headMap(snapshot.index(), true)
--- a/fleet/src/main/java/embershift/fleet/Result.java
+++ b/fleet/src/main/java/embershift/fleet/Result.java
@@ -9,12 +9,32 @@
 public record Result(Why why, long number, String text) {
 
     public enum Why {
-        CONDITION,
-        NO_SESSION,
-        FORGOTTEN,
-        TOO_LARGE,
-        FULL,
-        UNREADABLE
+        CONDITION(0),
+        NO_SESSION(1),
+        FORGOTTEN(2),
+        TOO_LARGE(3),
+        FULL(4),
+        UNREADABLE(5);
+
+        private final int code;
+
+        Why(int code) {
+            this.code = code;
+        }
+
+        /** The number that stands for it in messages and on disk. */
+        public int code() {
+            return code;
+        }
+
+        static Why of(int code) {
+            for (Why each : values()) {
+                if (each.code == code) {
+                    return each;
+                }
+            }
+            throw new RecordCodec.Unreadable("a result of reason " + code);
+        }
     }
 
     static Result done(long number) {
--- a/fleet/src/main/java/embershift/fleet/Rollout.java
+++ b/fleet/src/main/java/embershift/fleet/Rollout.java
@@ -325,7 +325,7 @@
     private boolean foreign(Report report) {
         Sums known = sums.get(report.revision());
         return report.revision() > revisions.lastKey()
-                || known != null && !known.chain.equals(report.chain());
+                || (known != null && !known.chain.equals(report.chain()));
     }
 
     private boolean diverged(Report report) {
@@ -335,7 +335,7 @@
 
     /** The revision by which that node should go. */
     public long goal(String name) {
-        return stage == Stage.ALL || stage == Stage.FIRST && first.contains(name) ? number : good;
+        return stage == Stage.ALL || (stage == Stage.FIRST && first.contains(name)) ? number : good;
     }
 
     public Collection<String> names() {
@@ -467,7 +467,7 @@
                 halt(name + " was started anew while it took it");
                 return;
             }
-            if (silent && now - stageSince > terms.silent()
+            if ((silent && now - stageSince > terms.silent())
                     || now - stageSince > terms.patience() + terms.settle()) {
                 halt(name + (silent ? " is silent" : " did not take it in time"));
                 return;
@@ -516,7 +516,7 @@
                 shutOut(name, node);
                 continue;
             }
-            if (now < node.next || node.inFlight && now < node.inFlightUntil) {
+            if (now < node.next || (node.inFlight && now < node.inFlightUntil)) {
                 continue;
             }
             if (node.report.refused() >= goal(name)
@@ -591,9 +591,9 @@
                         .allMatch(
                                 name ->
                                         state(name) == State.SHUT_OUT
-                                                || state(name) == State.CURRENT
+                                                || (state(name) == State.CURRENT
                                                         && nodes.get(name).report.revision()
-                                                                >= number);
+                                                                >= number));
         if (all) {
             floor = number;
             hands.floor(floor);
--- a/fleet/src/test/java/embershift/fleet/StoredFormatTest.java
+++ b/fleet/src/test/java/embershift/fleet/StoredFormatTest.java
@@ -60,8 +60,8 @@
                 List.of(new Write(key, value, bound)));
     }
 
-    private static Record record() {
-        Record record = new Record();
+    private static KeyValueStore record() {
+        KeyValueStore record = new KeyValueStore();
         record.apply(1, new Command.Open("client one", 3));
         record.pass(2);
         SessionId session = new SessionId(1);
@@ -69,7 +69,8 @@
         record.apply(4, write(session, 2, new Condition("bound", 77), "refused", "x", false));
         record.apply(5, write(SessionId.NONE, 0, null, "plain/ü", "two\nlines", false));
         record.apply(6, new Command.Open("second", 30));
-        record.apply(7, write(new SessionId(6), 1, null, "k".repeat(Record.KEY + 1), "x", false));
+        record.apply(
+                7, write(new SessionId(6), 1, null, "k".repeat(KeyValueStore.KEY + 1), "x", false));
         record.apply(
                 8,
                 write(
@@ -89,7 +90,7 @@
         GoldenSamples samples = new GoldenSamples();
         commands().forEach((name, command) -> samples.bytes(name, RecordCodec.bytes(command)));
         samples.bytes("snapshot", record().bytes());
-        samples.bytes("empty snapshot", new Record().bytes());
+        samples.bytes("empty snapshot", new KeyValueStore().bytes());
         TreeMap<Long, Result> results = new TreeMap<>();
         for (Result.Why why : Result.Why.values()) {
             results.put((long) results.size(), Result.refused(why, "as text"));
@@ -118,10 +119,10 @@
                         });
         for (String name : List.of("snapshot", "empty snapshot", "snapshot with each result")) {
             byte[] golden = GoldenSamples.expectedBytes(getClass(), BINARY, name);
-            assertEquals(Record.of(golden).bytes(), golden, name);
+            assertEquals(KeyValueStore.of(golden).bytes(), golden, name);
         }
         assertEquals(
-                Record.of(GoldenSamples.expectedBytes(getClass(), BINARY, "snapshot"))
+                KeyValueStore.of(GoldenSamples.expectedBytes(getClass(), BINARY, "snapshot"))
                         .get("plain/ü")
                         .value(),
                 "two\nlines");
@@ -178,9 +179,11 @@
         samples.text("release part id", releasePlan().id(1, releasePlan().parts().get(1)));
         samples.text(
                 "release keys", ReleasePlan.KEY + " " + ReleasePlan.WISH + " " + ReleasePlan.STATE);
-        for (Plan.Progress.State state : Plan.Progress.State.values()) {
+        List<Plan.Progress.State> states = List.of(Plan.Progress.State.values());
+        for (Plan.Progress.State state : states) {
             samples.text(
-                    "progress " + state.ordinal(), new Plan.Progress("plan-1", state, 2, 1).text());
+                    "progress " + states.indexOf(state),
+                    new Plan.Progress("plan-1", state, 2, 1).text());
         }
         samples.text(
                 "begin of a trail", new Folding.Begin(4, 200, "sum", 3, new Hybrid(12, 1)).text());
--- a/hosted/src/main/java/embershift/hosted/Duties.java
+++ b/hosted/src/main/java/embershift/hosted/Duties.java
@@ -1,6 +1,6 @@
 package embershift.hosted;
 
-import embershift.fleet.Record;
+import embershift.fleet.KeyValueStore;
 import embershift.transport.Loop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
 
     private final Loop loop;
     private final String name;
-    private final Supplier<Record> record;
+    private final Supplier<KeyValueStore> record;
     private final Installation.Fleet fleet;
     private final RecordCaller commands;
     private final RecordCaller words;
@@ -39,7 +39,7 @@
             Loop loop,
             String name,
             Installation.Fleet fleet,
-            Supplier<Record> record,
+            Supplier<KeyValueStore> record,
             Supplier<List<InetSocketAddress>> addresses,
             BiConsumer<String, Long> count,
             long seed) {
@@ -114,7 +114,7 @@
         return loop.now();
     }
 
-    Record record() {
+    KeyValueStore record() {
         return record.get();
     }
 
--- a/hosted/src/main/java/embershift/hosted/Nodes.java
+++ b/hosted/src/main/java/embershift/hosted/Nodes.java
@@ -8,7 +8,7 @@
 import embershift.fleet.Condition;
 import embershift.fleet.Hybrid;
 import embershift.fleet.Item;
-import embershift.fleet.Record;
+import embershift.fleet.KeyValueStore;
 import embershift.fleet.Segment;
 import embershift.fleet.Write;
 import embershift.transport.Loop;
@@ -127,7 +127,7 @@
     }
 
     private final Loop loop;
-    private final Supplier<Record> record;
+    private final Supplier<KeyValueStore> record;
     private final RecordCaller caller;
     private final RecordCaller trails;
     private final Listener listener;
@@ -137,7 +137,7 @@
 
     Nodes(
             Loop loop,
-            Supplier<Record> record,
+            Supplier<KeyValueStore> record,
             RecordCaller caller,
             RecordCaller trails,
             Listener listener) {
@@ -225,7 +225,7 @@
             return link;
         }
         Item item = record.get().get(NODE + name);
-        if (link.incarnation > 0 || item != null && item.value().equals(boot)) {
+        if (link.incarnation > 0 || (item != null && item.value().equals(boot))) {
             welcome(link, link.incarnation > 0 ? link.incarnation : item.revision());
         } else {
             register(link);
--- a/hosted/src/main/java/embershift/hosted/OrderCommands.java
+++ b/hosted/src/main/java/embershift/hosted/OrderCommands.java
@@ -203,7 +203,7 @@
             Revision before =
                     number == 0 ? Revision.NONE : Revision.read(item(last).path("value").asText());
             Revision content =
-                    backTo == 0 || backTo < 0 && number == 0
+                    backTo == 0 || (backTo < 0 && number == 0)
                             ? Revision.NONE
                             : Revision.read(item(from).path("value").asText());
             if (before == null || content == null) {
--- a/hosted/src/main/java/embershift/hosted/RecordClient.java
+++ b/hosted/src/main/java/embershift/hosted/RecordClient.java
@@ -208,8 +208,7 @@
         }
         long id = ++calls;
         call.put("id", id).put("version", 1);
-        ByteBuffer piece = Frames.piece(Frames.CALL, Words.bytes(call));
-        socket.getOutputStream().write(piece.array(), 0, piece.remaining());
+        socket.getOutputStream().write(Frames.bytes(Frames.CALL, Words.bytes(call)));
         InputStream in = socket.getInputStream();
         List<byte[]> pieces = new ArrayList<>();
         byte[] buffer = new byte[16 << 10];
--- a/hosted/src/main/java/embershift/hosted/RolloutDuty.java
+++ b/hosted/src/main/java/embershift/hosted/RolloutDuty.java
@@ -5,8 +5,8 @@
 import embershift.door.Words;
 import embershift.fleet.Folding;
 import embershift.fleet.Item;
+import embershift.fleet.KeyValueStore;
 import embershift.fleet.Plan;
-import embershift.fleet.Record;
 import embershift.fleet.Revision;
 import embershift.fleet.Rollout;
 import embershift.fleet.Write;
@@ -219,7 +219,10 @@
         all.record().beginning(Folding.KEY).forEach(item -> begins.put(item.key(), item.value()));
         List<Write> writes =
                 Folding.fold(
-                        all.record().beginning("trail/"), begins, Record.ALL / 2, Record.ALL / 16);
+                        all.record().beginning("trail/"),
+                        begins,
+                        KeyValueStore.ALL / 2,
+                        KeyValueStore.ALL / 16);
         if (!writes.isEmpty()) {
             all.counted("trails folded");
             write(writes);
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -65,7 +65,9 @@
         }
 
         void say(ByteBuffer piece) throws IOException {
-            socket.getOutputStream().write(piece.array(), 0, piece.remaining());
+            byte[] bytes = new byte[piece.remaining()];
+            piece.get(bytes);
+            socket.getOutputStream().write(bytes);
         }
 
         ObjectNode call(ObjectNode call) throws Exception {
@@ -317,7 +319,11 @@
                                 .path("revision")
                                 .asLong();
                 RecordClient client =
-                        new RecordClient(List.of(new InetSocketAddress("127.0.0.1", port)), "test");
+                        new RecordClient(
+                                List.of(
+                                        new InetSocketAddress(
+                                                InetAddress.getLoopbackAddress(), port)),
+                                "test");
                 client.ask(
                         RecordClient.put("out/n1", incarnation + " by-hand because of it", -1), 5);
                 client.close();
--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -193,62 +193,57 @@
 
     /** What the line says, as a call on the module; null where it only stirs the instance. */
     private Consumer<News> arrival(String word, Fields line, Instance instance) {
-        switch (word) {
-            case "SYNC":
-                return sync(line);
-            case "ACCEPT":
-            case "RESUMED":
-                return tunnel(word, line);
-            case "ACK_FIRST":
-                {
-                    TunnelId id = new TunnelId(line.text("handle"));
-                    int setup = line.whole("trial");
-                    HostId host = new HostId(line.text("host"));
-                    double took = line.numberOr("cost-time-s", 0);
-                    return news -> news.tunnelOpened(id, setup, host, took);
-                }
-            case "HINT_UPDATE":
-                {
-                    TunnelId id = new TunnelId(line.text("handle"));
-                    line.whole("trial");
-                    double value = line.number("value");
-                    HostId host = new HostId(line.text("host"));
-                    return switch (line.whole("sort")) {
-                        case 1 -> news -> news.tunnelLoadNoted(id, value * MICRO);
-                        case 2 -> news -> news.messageDelayNoted(host, value * MILLI);
-                        default -> null;
-                    };
-                }
-            case "REPORT_BACK":
-                return setupEnd(line, instance);
-            case "GONE":
-                {
-                    TunnelId id = new TunnelId(line.text("handle"));
-                    return news -> news.tunnelLeft(id);
-                }
-            case "PROBE_RESULT":
-                {
-                    HostId host = new HostId(line.text("host"));
-                    boolean answered = line.whole("verdict") == 0;
-                    double took = line.numberOr("cost-time-s", 0);
-                    Consumer<News> report = report(host, line, instance);
-                    return news -> {
-                        news.probeEnded(host, answered, took);
-                        report.accept(news);
-                    };
-                }
-            case "PEER_DATA":
-                {
-                    int node = line.whole("src");
-                    byte[] content = line.bytes("content");
-                    return news -> news.nodeHeard(node, content);
-                }
-            case "WAKEUP":
+        return switch (word) {
+            case "SYNC" -> sync(line);
+            case "ACCEPT", "RESUMED" -> tunnel(word, line);
+            case "ACK_FIRST" -> {
+                TunnelId id = new TunnelId(line.text("handle"));
+                int setup = line.whole("trial");
+                HostId host = new HostId(line.text("host"));
+                double took = line.numberOr("cost-time-s", 0);
+                yield news -> news.tunnelOpened(id, setup, host, took);
+            }
+            case "HINT_UPDATE" -> hint(line);
+            case "REPORT_BACK" -> setupEnd(line, instance);
+            case "GONE" -> {
+                TunnelId id = new TunnelId(line.text("handle"));
+                yield news -> news.tunnelLeft(id);
+            }
+            case "PROBE_RESULT" -> probeEnd(line, instance);
+            case "PEER_DATA" -> {
+                int node = line.whole("src");
+                byte[] content = line.bytes("content");
+                yield news -> news.nodeHeard(node, content);
+            }
+            case "WAKEUP" -> {
                 line.wide("ctx");
-                return null;
-            default:
-                throw line.unreadable("message", "an event of the wire");
-        }
+                yield null;
+            }
+            default -> throw line.unreadable("message", "an event of the wire");
+        };
+    }
+
+    private static Consumer<News> hint(Fields line) {
+        TunnelId id = new TunnelId(line.text("handle"));
+        line.whole("trial");
+        double value = line.number("value");
+        HostId host = new HostId(line.text("host"));
+        return switch (line.whole("sort")) {
+            case 1 -> news -> news.tunnelLoadNoted(id, value * MICRO);
+            case 2 -> news -> news.messageDelayNoted(host, value * MILLI);
+            default -> null;
+        };
+    }
+
+    private Consumer<News> probeEnd(Fields line, Instance instance) {
+        HostId host = new HostId(line.text("host"));
+        boolean answered = line.whole("verdict") == 0;
+        double took = line.numberOr("cost-time-s", 0);
+        Consumer<News> report = report(host, line, instance);
+        return news -> {
+            news.probeEnded(host, answered, took);
+            report.accept(news);
+        };
     }
 
     private Consumer<News> sync(Fields line) {
--- a/node/src/main/java/embershift/program/Neighbours.java
+++ b/node/src/main/java/embershift/program/Neighbours.java
@@ -381,7 +381,7 @@
     /** Takes away the lists of long ago. */
     private void sweep() throws IOException {
         for (long old = last - LISTS; old > 0 && Files.deleteIfExists(list(old)); old--) {
-            continue;
+            // Down to the first one that is gone already.
         }
     }
 
--- a/node/src/main/java/embershift/program/Service.java
+++ b/node/src/main/java/embershift/program/Service.java
@@ -8,6 +8,7 @@
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Unreadable;
 import embershift.routing.Router;
+import embershift.signals.Signals;
 import embershift.transport.Loop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -17,8 +18,6 @@
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
 
 /** A node from its start to its exit. */
 public final class Service {
@@ -101,13 +100,13 @@
         CompletableFuture<InetSocketAddress> serving = new CompletableFuture<>();
         loop.execute(() -> serve(serving));
         // Before the node can be seen to be ready: unhandled, both signals would end the program.
-        if (Signal.handle(new Signal("HUP"), signal -> reload()) == SignalHandler.SIG_IGN) {
+        if (!Signals.onHangup(this::reload)) {
             // As under nohup: what was ignored before the program began can't be had, and nobody
             // would see why.
             log.line(
                     "SIGHUP is ignored by whoever started this process: a new configuration needs a restart");
         }
-        Signal.handle(new Signal("USR1"), signal -> loop.execute(this::printTally));
+        Signals.onUser1(() -> loop.execute(this::printTally));
         // Behind the start on the loop, so that one who leaves finds it over; before its end, as
         // clients may be here by then.
         Runtime.getRuntime().addShutdownHook(new Thread(this::leaveAndWait, "leave"));
@@ -332,7 +331,7 @@
 
     private void lookWhetherEmpty() {
         double stayed = loop.now() - leavingSince;
-        if (stayed > mostStay() || stayed > leastStay && router.empty()) {
+        if (stayed > mostStay() || (stayed > leastStay && router.empty())) {
             enter(Phase.CLOSING);
             router.stop();
             loop.after(LAST_WORDS, this::stop);
--- a/node/src/main/java/embershift/protocol/Json.java
+++ b/node/src/main/java/embershift/protocol/Json.java
@@ -54,8 +54,8 @@
             case '{' -> object(depth);
             case '[' -> list(depth);
             case '"' -> string();
-            case 't' -> word("true", Boolean.TRUE);
-            case 'f' -> word("false", Boolean.FALSE);
+            case 't' -> word("true", true);
+            case 'f' -> word("false", false);
             case 'n' -> word("null", null);
             default -> number();
         };
--- a/node/src/main/java/embershift/routing/Passage.java
+++ b/node/src/main/java/embershift/routing/Passage.java
@@ -496,7 +496,7 @@
         SetupEnd end =
                 last == HostLine.Word.BYE
                         ? SetupEnd.COMPLETED
-                        : tookLeave || state == State.ENDING && !reset
+                        : tookLeave || (state == State.ENDING && !reset)
                                 ? SetupEnd.CANCELLED
                                 : SetupEnd.BROKEN;
         router.endings().end(this);
@@ -562,7 +562,7 @@
                 return;
             }
             double wait = waitsUntil - router.now();
-            if (wait <= 0 || !standing() && !contact.takesNew() || router.now() >= repeatsUntil) {
+            if (wait <= 0 || (!standing() && !contact.takesNew()) || router.now() >= repeatsUntil) {
                 // This node came late to it, or was told meanwhile that the host drains or is gone:
                 // by the time that the
                 // connection took, the grace may be over, and so may the time in which a repeat is
--- a/node/src/main/java/embershift/routing/Roster.java
+++ b/node/src/main/java/embershift/routing/Roster.java
@@ -210,7 +210,7 @@
                 page.generation() == generation
                         && !page.listings().isEmpty()
                         && schedule.early(router.now());
-        if (usedBefore && (page.generation() < generation || !wholeAsked && sameAgain)) {
+        if (usedBefore && (page.generation() < generation || (!wholeAsked && sameAgain))) {
             // On one connection versions only grow: this is an earlier answer that came once more,
             // and the call that is
             // out still waits there.
@@ -220,11 +220,11 @@
         // A discovery that came back may count anew: what has changed since its first version is
         // not all that has.
         boolean counted = page.whole() || page.generation() >= generation;
-        wholeWanted = wholeWanted && !page.whole() && !wholeAsked || !counted;
+        wholeWanted = (wholeWanted && !page.whole() && !wholeAsked) || !counted;
         schedule.answered(router.now(), page.generation() != generation);
         generation = page.generation();
         router.discoverySaid(page);
-        if (led || !watching && !wholeWanted) {
+        if (led || (!watching && !wholeWanted)) {
             schedule.stopped();
             follow();
         } else if (wholeWanted) {
--- a/node/src/main/java/embershift/routing/Tally.java
+++ b/node/src/main/java/embershift/routing/Tally.java
@@ -4,6 +4,7 @@
 import embershift.model.Deployment;
 import embershift.model.ProfileId;
 import java.util.ArrayList;
+import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -39,12 +40,12 @@
     private final Map<String, long[]> counts = new TreeMap<>();
 
     /** The profiles of the deployment, in its order; others are counted for none. */
-    private final Map<ProfileId, long[]> profiles = new LinkedHashMap<>();
+    private final Map<ProfileId, Map<Outcome, Long>> profiles = new LinkedHashMap<>();
 
     Tally(Deployment deployment) {
         deployment
                 .profiles()
-                .forEach(profile -> profiles.put(profile.id(), new long[Outcome.values().length]));
+                .forEach(profile -> profiles.put(profile.id(), new EnumMap<>(Outcome.class)));
     }
 
     public void count(String name) {
@@ -53,9 +54,9 @@
 
     void count(Outcome outcome, ProfileId profile) {
         count(outcome.name);
-        long[] own = profiles.get(profile);
+        Map<Outcome, Long> own = profiles.get(profile);
         if (own != null) {
-            own[outcome.ordinal()]++;
+            own.merge(outcome, 1L, Long::sum);
         }
     }
 
@@ -88,7 +89,7 @@
     }
 
     public long of(ProfileId profile, Outcome outcome) {
-        return profiles.get(profile)[outcome.ordinal()];
+        return profiles.get(profile).getOrDefault(outcome, 0L);
     }
 
     /** One line for each count, by name, then those of each profile. */
@@ -97,18 +98,15 @@
         StringBuilder out = new StringBuilder();
         counts.forEach((name, count) -> out.append(name).append(' ').append(count[0]).append('\n'));
         profiles.forEach(
-                (profile, own) -> {
-                    for (Outcome outcome : Outcome.values()) {
-                        if (own[outcome.ordinal()] > 0) {
-                            out.append(outcome.name)
-                                    .append(" of ")
-                                    .append(profile.name())
-                                    .append(' ')
-                                    .append(own[outcome.ordinal()])
-                                    .append('\n');
-                        }
-                    }
-                });
+                (profile, own) ->
+                        own.forEach(
+                                (outcome, count) ->
+                                        out.append(outcome.name)
+                                                .append(" of ")
+                                                .append(profile.name())
+                                                .append(' ')
+                                                .append(count)
+                                                .append('\n')));
         return out.toString();
     }
 }
--- a/node/src/test/java/embershift/operations/OperatorsTest.java
+++ b/node/src/test/java/embershift/operations/OperatorsTest.java
@@ -23,7 +23,6 @@
 /** Operators' calls on loopback, beside the tunnels that they ask about. */
 public class OperatorsTest extends Loopback {
 
-    private Router router;
     private InetSocketAddress clients;
     private InetSocketAddress operators;
     private volatile boolean ready;
--- a/node/src/test/java/embershift/program/ReadyTest.java
+++ b/node/src/test/java/embershift/program/ReadyTest.java
@@ -41,8 +41,8 @@
         Process node = null;
         CountDownLatch called = new CountDownLatch(1);
         Set<Socket> open = ConcurrentHashMap.newKeySet();
-        try (ServerSocket host = listening();
-                ServerSocket discovery = listening()) {
+        ServerSocket discovery = listening();
+        try (ServerSocket host = listening()) {
             int port = ReplaceTest.freePort();
             int management = ReplaceTest.freePort();
             if (kind.equals("refused")) {
@@ -74,6 +74,7 @@
                     kind.equals("refused") || called.await(PATIENCE_MS, TimeUnit.MILLISECONDS),
                     "discovery was not asked");
         } finally {
+            discovery.close();
             if (node != null) {
                 node.destroyForcibly().waitFor();
             }
--- a/node/src/test/java/embershift/routing/CrossingsTest.java
+++ b/node/src/test/java/embershift/routing/CrossingsTest.java
@@ -322,9 +322,8 @@
     public void questionThatIsOutWhenAHostsAddressChangesIsAskedThere() throws Exception {
         ServerSocket host = listening();
         ServerSocket there = listening();
-        Socket watch = null;
         Socket side = asked(host);
-        watch = accept(discovery);
+        Socket watch = accept(discovery);
         call(watch);
         page(
                 watch,
--- a/node/src/test/java/embershift/routing/DescriptorsTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorsTest.java
@@ -221,7 +221,7 @@
             answers.start();
         }
         for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-                counted("probes answered") < 2 * hosts.length; ) {
+                counted("probes answered") < 2L * hosts.length; ) {
             assertTrue(
                     System.nanoTime() < until,
                     counted("probes answered") + " answered, failed " + counted("probes failed"));
--- a/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
@@ -151,7 +151,7 @@
                 double next = Math.min(Math.min(fails, schedule.due()), wake);
                 assertTrue(next < Double.POSITIVE_INFINITY, "never called again after " + now);
                 now = Math.max(now, next);
-                if (next == fails || next == schedule.due() && schedule.calling()) {
+                if (next == fails || (next == schedule.due() && schedule.calling())) {
                     fails = Double.POSITIVE_INFINITY;
                     schedule.failed(now);
                     round(News::rosterLost);
--- a/node/src/test/java/embershift/routing/StandingFaultsTest.java
+++ b/node/src/test/java/embershift/routing/StandingFaultsTest.java
@@ -8,8 +8,6 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
-import java.util.ArrayList;
-import java.util.List;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -117,10 +115,9 @@
         int clients = 200;
         start("" + (on(loop::descriptors) + room));
         Runnable goOn = hold();
-        List<Socket> all = new ArrayList<>();
         int before = new File("/proc/self/fd").list().length;
         for (int i = 0; i < clients; i++) {
-            all.add(client(""));
+            client("");
         }
         Thread.sleep(200);
         int taken = new File("/proc/self/fd").list().length - before - clients;
--- a/node/src/test/java/embershift/routing/StandingTermsTest.java
+++ b/node/src/test/java/embershift/routing/StandingTermsTest.java
@@ -10,6 +10,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -239,7 +240,7 @@
         ServerSocket host = listening();
         int before = on(loop::descriptors);
         start("" + (before + 80), host);
-        byte[] much = "no first line of ours\r\n".repeat(1000).getBytes();
+        byte[] much = "no first line of ours\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < 200; i++) {
             Socket bad = new Socket(address.getAddress(), address.getPort());
             try {
--- a/node/src/test/java/embershift/transport/LastWordsTest.java
+++ b/node/src/test/java/embershift/transport/LastWordsTest.java
@@ -8,6 +8,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -47,7 +48,7 @@
                             new Link.Events() {
                                 @Override
                                 public void received(ByteBuffer bytes) {
-                                    seen.add(new String(text(bytes)));
+                                    seen.add(new String(text(bytes), StandardCharsets.ISO_8859_1));
                                 }
 
                                 @Override
--- a/raft/src/main/java/embershift/raft/Codec.java
+++ b/raft/src/main/java/embershift/raft/Codec.java
@@ -85,7 +85,7 @@
                         out.writeLong(member.id().number());
                         out.writeUTF(member.name());
                         out.writeUTF(member.address());
-                        out.writeByte(member.role().ordinal());
+                        out.writeByte(member.role().code());
                     }
                 });
     }
@@ -110,7 +110,7 @@
                             new MemberId(in.readLong()),
                             in.readUTF(),
                             in.readUTF(),
-                            Member.Role.values()[in.readByte()]));
+                            Member.Role.of(in.readByte())));
         }
         return Members.of(members);
     }
@@ -122,7 +122,7 @@
     private static void write(DataOutputStream out, Entry entry) throws IOException {
         out.writeLong(entry.index());
         out.writeLong(entry.term());
-        out.writeByte(entry.kind().ordinal());
+        out.writeByte(entry.kind().code());
         blob(out, entry.data());
     }
 
@@ -131,8 +131,7 @@
     }
 
     private static Entry entry(DataInputStream in) throws IOException {
-        return new Entry(
-                in.readLong(), in.readLong(), Entry.Kind.values()[in.readByte()], blob(in));
+        return new Entry(in.readLong(), in.readLong(), Entry.Kind.of(in.readByte()), blob(in));
     }
 
     public static byte[] bytes(Vote vote) {
--- a/raft/src/main/java/embershift/raft/Entry.java
+++ b/raft/src/main/java/embershift/raft/Entry.java
@@ -8,9 +8,29 @@
      * a term.
      */
     public enum Kind {
-        COMMAND,
-        MEMBERS,
-        NOTHING
+        COMMAND(0),
+        MEMBERS(1),
+        NOTHING(2);
+
+        private final int code;
+
+        Kind(int code) {
+            this.code = code;
+        }
+
+        /** The number that stands for it in messages and on disk. */
+        public int code() {
+            return code;
+        }
+
+        static Kind of(int code) {
+            for (Kind each : values()) {
+                if (each.code == code) {
+                    return each;
+                }
+            }
+            throw new Codec.Unreadable("an entry of kind " + code);
+        }
     }
 
     /** Bytes that its place costs beside its data. */
--- a/raft/src/main/java/embershift/raft/Member.java
+++ b/raft/src/main/java/embershift/raft/Member.java
@@ -11,9 +11,29 @@
      * follows.
      */
     public enum Role {
-        VOTER,
-        JOINING,
-        LEARNER
+        VOTER(0),
+        JOINING(1),
+        LEARNER(2);
+
+        private final int code;
+
+        Role(int code) {
+            this.code = code;
+        }
+
+        /** The number that stands for it in messages and on disk. */
+        public int code() {
+            return code;
+        }
+
+        static Role of(int code) {
+            for (Role each : values()) {
+                if (each.code == code) {
+                    return each;
+                }
+            }
+            throw new Codec.Unreadable("a member of role " + code);
+        }
     }
 
     Member as(Role other) {
--- a/raft/src/main/java/embershift/raft/Members.java
+++ b/raft/src/main/java/embershift/raft/Members.java
@@ -4,6 +4,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.SortedMap;
 import java.util.TreeMap;
 
 /** Who belongs to the group, as of one entry of the log. Unchangeable; at most {@code MOST}. */
@@ -12,10 +13,10 @@
     public static final int MOST = 32;
     public static final Members NONE = new Members(new TreeMap<>());
 
-    private final TreeMap<MemberId, Member> all;
+    private final SortedMap<MemberId, Member> all;
     private final List<MemberId> voters;
 
-    private Members(TreeMap<MemberId, Member> all) {
+    private Members(SortedMap<MemberId, Member> all) {
         this.all = all;
         voters =
                 all.values().stream()
--- a/raft/src/main/java/embershift/raft/Raft.java
+++ b/raft/src/main/java/embershift/raft/Raft.java
@@ -219,7 +219,7 @@
     /** Whether this leader has heard of the member since it last looked, or just before. */
     public boolean heardOf(MemberId id) {
         Progress progress = others.get(id);
-        return id.equals(self) || progress != null && (progress.heard || progress.heardBefore);
+        return id.equals(self) || (progress != null && (progress.heard || progress.heardBefore));
     }
 
     // What is fed in.
@@ -461,12 +461,12 @@
 
     private void asked(MemberId from, Message.Ask ask) {
         boolean free =
-                ask.ahead() && ask.term() > term
+                (ask.ahead() && ask.term() > term)
                         || from.equals(votedFor)
-                        || votedFor == null && leader == null;
+                        || (votedFor == null && leader == null);
         boolean current =
                 ask.lastTerm() > log.lastTerm()
-                        || ask.lastTerm() == log.lastTerm() && ask.lastIndex() >= log.last();
+                        || (ask.lastTerm() == log.lastTerm() && ask.lastIndex() >= log.last());
         if (!free || !current || doubtful || role == Role.LEADER) {
             promise(from, new Message.AskReply(term, false, ask.ahead()));
         } else if (ask.ahead()) {
@@ -682,10 +682,10 @@
         if (reply.ok()) {
             boolean further = reply.index() > progress.match;
             progress.acknowledged(reply.index());
-            if (progress.way == Progress.Way.PROBING && reply.index() > 0
-                    || further
+            if ((progress.way == Progress.Way.PROBING && reply.index() > 0)
+                    || (further
                             && progress.way == Progress.Way.SNAPSHOT
-                            && progress.match >= progress.snapshot.index()) {
+                            && progress.match >= progress.snapshot.index())) {
                 progress.probe(progress.match + 1);
                 progress.way = Progress.Way.AHEAD;
             }
@@ -945,7 +945,7 @@
         follow(term, from);
         long before = message.before();
         if (before > log.last()
-                || before >= log.base() && log.term(before) != message.beforeTerm()) {
+                || (before >= log.base() && log.term(before) != message.beforeTerm())) {
             long hint = Math.min(before, log.last());
             hint = log.lastNotAfter(hint, message.beforeTerm());
             promise(
--- a/raft/src/test/java/embershift/raft/WireFormatTest.java
+++ b/raft/src/test/java/embershift/raft/WireFormatTest.java
@@ -74,7 +74,7 @@
         messages().forEach((name, message) -> samples.bytes(name, Codec.bytes(message)));
         for (Entry.Kind kind : Entry.Kind.values()) {
             samples.bytes(
-                    "entry of kind " + kind.ordinal(), Codec.bytes(entry(3, kind, bytes("data"))));
+                    "entry of kind " + kind.code(), Codec.bytes(entry(3, kind, bytes("data"))));
         }
         samples.bytes("members", Codec.bytes(GROUP));
         samples.bytes("no members", Codec.bytes(Members.NONE));
@@ -116,9 +116,7 @@
             assertEquals(
                     Codec.entry(
                                     GoldenSamples.expectedBytes(
-                                            getClass(),
-                                            MESSAGES,
-                                            "entry of kind " + kind.ordinal()))
+                                            getClass(), MESSAGES, "entry of kind " + kind.code()))
                             .kind(),
                     kind);
         }
--- a/rig/src/main/java/embershift/rig/process/OwnerStand.java
+++ b/rig/src/main/java/embershift/rig/process/OwnerStand.java
@@ -18,6 +18,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
 /**
@@ -60,11 +61,12 @@
                         Integer.parseInt(args[2]),
                         ReceiverStand.addresses(args[3]),
                         ReceiverStand.addresses(args[4]));
-        stand.deciding.scheduleWithFixedDelay(
-                () -> stand.decide(() -> stand.owner.tick(now())),
-                0,
-                TICK_MS,
-                TimeUnit.MILLISECONDS);
+        ScheduledFuture<?> unused =
+                stand.deciding.scheduleWithFixedDelay(
+                        () -> stand.decide(() -> stand.owner.tick(now())),
+                        0,
+                        TICK_MS,
+                        TimeUnit.MILLISECONDS);
         System.out.println("owner " + args[0]);
     }
 
--- a/rig/src/main/java/embershift/rig/process/Relay.java
+++ b/rig/src/main/java/embershift/rig/process/Relay.java
@@ -115,8 +115,9 @@
                 "relay-out",
                 () -> {
                     try {
-                        while (pass(held.take(), from, to, way)) {
-                            continue;
+                        boolean passed = true;
+                        while (passed) {
+                            passed = pass(held.take(), from, to, way);
                         }
                     } catch (IOException e) {
                         reset(from, to);
--- a/rig/src/main/java/embershift/rig/process/Starts.java
+++ b/rig/src/main/java/embershift/rig/process/Starts.java
@@ -126,7 +126,6 @@
         List<Start> starts = new ArrayList<>();
         try {
             List<Thread> threads = new ArrayList<>();
-            List<IOException> failed = new ArrayList<>();
             for (Place place : places) {
                 Path temporary = Files.createDirectories(folder.resolve(place.name + ".tmp"));
                 Path configuration =
--- a/rig/src/main/java/embershift/rig/scale/RecordCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RecordCosts.java
@@ -1,7 +1,7 @@
 package embershift.rig.scale;
 
 import embershift.fleet.Command;
-import embershift.fleet.Record;
+import embershift.fleet.KeyValueStore;
 import embershift.fleet.SessionId;
 import embershift.fleet.Write;
 import java.util.ArrayList;
@@ -37,7 +37,7 @@
 
     /** A change, the whole as bytes (time and size), a read of all keys. */
     static double[] once(int keys) {
-        Record record = new Record();
+        KeyValueStore record = new KeyValueStore();
         long index = 0;
         for (int key = 0; key < keys; key++) {
             record.apply(++index, change(key, 0));
--- a/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
@@ -43,7 +43,6 @@
         private double now;
         private long order;
         private long orders;
-        private long floor;
         private double spent;
 
         Fleet(int nodes) {
@@ -114,7 +113,7 @@
 
         @Override
         public void floor(long revision) {
-            floor = revision;
+            // Nobody is below it here.
         }
 
         @Override
--- a/rig/src/main/java/embershift/rig/scale/ScalingGuard.java
+++ b/rig/src/main/java/embershift/rig/scale/ScalingGuard.java
@@ -29,7 +29,6 @@
     private static final double FLAT = 2.5;
 
     private static final double LINEAR = 8;
-    private static final double SQUARE = 32;
 
     /** The same for what is counted. */
     private static final double COUNTED_FLAT = 1.05;
--- a/rig/src/main/java/embershift/rig/scale/TrailCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/TrailCosts.java
@@ -4,7 +4,7 @@
 import embershift.fleet.Diary;
 import embershift.fleet.Folding;
 import embershift.fleet.Item;
-import embershift.fleet.Record;
+import embershift.fleet.KeyValueStore;
 import embershift.fleet.Segment;
 import embershift.fleet.SessionId;
 import embershift.fleet.Trace;
@@ -104,7 +104,7 @@
                                                 (one, other) -> one)),
                         Map.of());
         double question = Cpu.since(from);
-        if (writes.isEmpty() || audit.toString().isEmpty()) {
+        if (writes.isEmpty() || audit.nodes().isEmpty()) {
             throw new IllegalStateException("nothing was folded");
         }
         double perEntry = (double) size / entries;
@@ -113,7 +113,7 @@
         return new double[] {
             fold / MILLI,
             question / MILLI,
-            Record.ALL / 2.0 / (nodes * rate * perEntry) / 60,
+            KeyValueStore.ALL / 2.0 / (nodes * rate * perEntry) / 60,
             perEntry,
             nodes * pieces
         };
--- a/rig/src/main/java/embershift/rig/world/DutyWorld.java
+++ b/rig/src/main/java/embershift/rig/world/DutyWorld.java
@@ -6,9 +6,9 @@
 import embershift.fleet.Fence;
 import embershift.fleet.Gate;
 import embershift.fleet.Item;
+import embershift.fleet.KeyValueStore;
 import embershift.fleet.Owner;
 import embershift.fleet.Plan;
-import embershift.fleet.Record;
 import embershift.fleet.Result;
 import embershift.fleet.SessionId;
 import java.util.ArrayList;
@@ -35,7 +35,7 @@
 
     private final Plan plan;
     private final Owner.Terms terms = new Owner.Terms(2, 0.1, 15, 1000, 4);
-    private final Record record = new Record();
+    private final KeyValueStore record = new KeyValueStore();
     private final Map<SessionId, Double> ends = new HashMap<>();
     private final List<Station> stations = new ArrayList<>();
     private final List<Receiver> receivers = new ArrayList<>();
--- a/rig/src/main/java/embershift/rig/world/FleetWorld.java
+++ b/rig/src/main/java/embershift/rig/world/FleetWorld.java
@@ -259,7 +259,6 @@
         }
 
         private RevisionHeld.End revision(
-                Fence fence,
                 long number,
                 long base,
                 String chain,
@@ -299,11 +298,11 @@
                                 .noneMatch(
                                         stage ->
                                                 stage.startsWith(number + " ALL")
-                                                        || stage.startsWith(number + " FIRST")
+                                                        || (stage.startsWith(number + " FIRST")
                                                                 && List.of(
                                                                                 stage.split(" ")[3]
                                                                                         .split(","))
-                                                                        .contains(name))) {
+                                                                        .contains(name)))) {
                     broken(name + " acts on " + number + ", which is not for it yet: " + stages);
                 }
             }
@@ -323,7 +322,7 @@
             HostsHeld.End end = hosts.take(fence, change);
             count("lists " + end);
             if (hosts.fence().compareTo(fenceBefore) < 0
-                    || hosts.fence().equals(fenceBefore) && hosts.number() < numberBefore) {
+                    || (hosts.fence().equals(fenceBefore) && hosts.number() < numberBefore)) {
                 broken(name + " goes back in its list");
             }
             if (end == HostsHeld.End.TAKEN || end == HostsHeld.End.SAME) {
@@ -362,7 +361,7 @@
             Segment segment = diary.next(name, incarnation);
             if (segment == null
                     || time.now() < trailsAwayUntil
-                    || faults() && chance.nextInt(4) == 0) {
+                    || (faults() && chance.nextInt(4) == 0)) {
                 return;
             }
             time.in(
@@ -535,7 +534,6 @@
                     () -> {
                         RevisionHeld.End end =
                                 node.revision(
-                                        rolloutFence,
                                         revision.number(),
                                         base,
                                         revision.chain(),
--- a/rig/src/main/java/embershift/rig/world/Scripts.java
+++ b/rig/src/main/java/embershift/rig/world/Scripts.java
@@ -72,7 +72,6 @@
 
         void start(MemberId id, Restored restored, long run) {
             Raft[] raft = new Raft[1];
-            Deque<Long> durable = new ArrayDeque<>();
             raft[0] =
                     new Raft(
                             id,
@@ -94,7 +93,7 @@
                                         Snapshot snapshot,
                                         boolean alone,
                                         List<Entry> entries) {
-                                    durable.add(number);
+                                    // Told by the script.
                                     words.add(new Word(null, id, null));
                                 }
 
--- a/rig/src/main/java/embershift/rig/world/World.java
+++ b/rig/src/main/java/embershift/rig/world/World.java
@@ -4,7 +4,7 @@
 import embershift.fleet.Command;
 import embershift.fleet.Condition;
 import embershift.fleet.Item;
-import embershift.fleet.Record;
+import embershift.fleet.KeyValueStore;
 import embershift.fleet.Replica;
 import embershift.fleet.SessionId;
 import embershift.fleet.Write;
@@ -43,6 +43,7 @@
  * clients saw at the end.
  */
 public final class World {
+    private static final List<Operation.Kind> KINDS = List.of(Operation.Kind.values());
 
     /**
      * What a world came to; {@code broken} is null where all held. Counts say what the world ever
@@ -365,7 +366,7 @@
         @Override
         public void persist(Keeper.Order order) {
             for (Entry entry : order.entries()) {
-                int hash = Arrays.hashCode(entry.data()) * 31 + entry.kind().ordinal();
+                int hash = Arrays.hashCode(entry.data()) * 31 + entry.kind().name().hashCode();
                 long before = replica == null ? -1 : replica.raft().termOf(entry.index() - 1);
                 Integer other = written.putIfAbsent(List.of(entry.index(), entry.term()), hash);
                 if (other != null && other != hash) {
@@ -464,7 +465,7 @@
         public void answer(long call, Answer answer) {
             Client client = callers.remove(call);
             if (client != null) {
-                carry(null, null, () -> client.answered(call, this, answer));
+                carry(null, null, () -> client.answered(call, answer));
             }
         }
 
@@ -599,7 +600,7 @@
             if (session != null) {
                 last++;
                 key = "k" + chance.nextInt(KEYS);
-                kind = Operation.Kind.values()[chance.nextInt(3)];
+                kind = KINDS.get(chance.nextInt(KINDS.size()));
                 value = number + "/" + last + "/" + session.number();
                 if (kind == Operation.Kind.SWAP && (expected == null || chance.nextInt(4) == 0)) {
                     kind = Operation.Kind.READ;
@@ -705,7 +706,7 @@
             }
         }
 
-        void answered(long of, Station by, Answer answer) {
+        void answered(long of, Answer answer) {
             if (of != call || broken != null) {
                 return;
             }
@@ -859,10 +860,16 @@
                                 }
                                 tend(
                                         0,
-                                        leader ->
-                                                !a.up
-                                                        || !a.replica.raft().doubtful()
-                                                                && !(tending = false));
+                                        leader -> {
+                                            if (!a.up) {
+                                                return true;
+                                            }
+                                            if (a.replica.raft().doubtful()) {
+                                                return false;
+                                            }
+                                            tending = false;
+                                            return true;
+                                        });
                             };
                 }
             }
@@ -1078,7 +1085,7 @@
         Map<Long, Integer> states = new HashMap<>();
         for (Station station : stations) {
             if (station.up) {
-                Record record = station.replica.record();
+                KeyValueStore record = station.replica.record();
                 Integer other =
                         states.putIfAbsent(record.applied(), Arrays.hashCode(record.bytes()));
                 if (other != null && other != Arrays.hashCode(record.bytes())) {
--- a/rig/src/test/java/embershift/rig/DutyProcessesTest.java
+++ b/rig/src/test/java/embershift/rig/DutyProcessesTest.java
@@ -86,7 +86,7 @@
         }
     }
 
-    private String record(String from) {
+    private String record() {
         return instances.names().stream()
                 .map(to -> "127.0.0.1:" + instances.way(Instances.CLIENTS, to).getPort())
                 .collect(Collectors.joining(","));
@@ -102,7 +102,7 @@
                                 name,
                                 "work",
                                 folder.resolve(name + ".orders").toString(),
-                                record(name)),
+                                record()),
                         Map.of(),
                         folder.resolve(name + ".log"));
         programs.put(name, program);
@@ -134,7 +134,7 @@
                                 name,
                                 "work",
                                 String.valueOf(steps),
-                                record(name),
+                                record(),
                                 String.join(",", to)),
                         Map.of(),
                         folder.resolve(name + ".log")));
--- a/rig/src/test/java/embershift/rig/DutyWorldTest.java
+++ b/rig/src/test/java/embershift/rig/DutyWorldTest.java
@@ -13,6 +13,7 @@
 import embershift.fleet.Plan;
 import embershift.fleet.SessionId;
 import embershift.rig.world.DutyWorld;
+import embershift.rig.world.SeededWorld;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,7 +32,7 @@
     public void stepsAreDoneInTheirOrderAndNoOldOwnerDoesHarm() {
         Map<String, Long> reached = new TreeMap<>();
         for (long seed = 1; seed <= WORLDS; seed++) {
-            DutyWorld.Report report = DutyWorld.play(seed);
+            SeededWorld.Report report = DutyWorld.play(seed);
             assertNull(report.broken(), report.toString());
             report.reached().forEach((what, times) -> reached.merge(what, times, Long::sum));
         }
--- a/rig/src/test/java/embershift/rig/FenceModelTest.java
+++ b/rig/src/test/java/embershift/rig/FenceModelTest.java
@@ -10,7 +10,7 @@
 import embershift.fleet.Fence;
 import embershift.fleet.Gate;
 import embershift.fleet.Grants;
-import embershift.fleet.Record;
+import embershift.fleet.KeyValueStore;
 import embershift.fleet.SessionId;
 import embershift.fleet.Tenure;
 import embershift.rig.world.FenceModel;
@@ -81,7 +81,7 @@
 
     @Test
     public void dutyPassesOnOnlyWhenItsOwnersSessionEndsAndTheOldOwnerNotesNothingMore() {
-        Record record = new Record();
+        KeyValueStore record = new KeyValueStore();
         DutyId duty = new DutyId("release");
         SessionId one = new SessionId(record.apply(1, new Command.Open("i1", 2)).number());
         SessionId other = new SessionId(record.apply(2, new Command.Open("i2", 2)).number());
--- a/rig/src/test/java/embershift/rig/FleetWorldTest.java
+++ b/rig/src/test/java/embershift/rig/FleetWorldTest.java
@@ -88,7 +88,7 @@
             },
             {
                 "Rollout",
-                "return stage == Stage.ALL || stage == Stage.FIRST && first.contains(name) ? number : good;",
+                "return stage == Stage.ALL || (stage == Stage.FIRST && first.contains(name)) ? number : good;",
                 "return number;"
             },
             {"Rollout", "if (outByDuty.size() >= most) {", "if (false) {"},
--- a/rig/src/test/java/embershift/rig/InstancesTest.java
+++ b/rig/src/test/java/embershift/rig/InstancesTest.java
@@ -365,14 +365,14 @@
                                     .map(
                                             each ->
                                                     new InetSocketAddress(
-                                                            "127.0.0.1",
+                                                            InetAddress.getLoopbackAddress(),
                                                             Integer.parseInt(each.split(":")[1])))
                                     .toList(),
                             "c")) {
                 assertTrue(
                         RecordClient.askOne(
                                         new InetSocketAddress(
-                                                "127.0.0.1",
+                                                InetAddress.getLoopbackAddress(),
                                                 Integer.parseInt(addresses.get(0).split(":")[1])),
                                         RecordClient.call("found"),
                                         PATIENCE)
@@ -389,7 +389,8 @@
                 put(client, "a", "1");
                 InetSocketAddress first =
                         new InetSocketAddress(
-                                "127.0.0.1", Integer.parseInt(addresses.get(0).split(":")[1]));
+                                InetAddress.getLoopbackAddress(),
+                                Integer.parseInt(addresses.get(0).split(":")[1]));
                 for (Patience patience = new Patience(PATIENCE); ; Instances.sleep(0.02)) {
                     String status =
                             String.valueOf(
--- a/rig/src/test/java/embershift/rig/ScaleTest.java
+++ b/rig/src/test/java/embershift/rig/ScaleTest.java
@@ -76,7 +76,7 @@
             },
             {
                 "record",
-                "fleet/src/main/java/embershift/fleet/Record.java",
+                "fleet/src/main/java/embershift/fleet/KeyValueStore.java",
                 "long then = size;",
                 "long then = items.values().stream().mapToLong(item -> cost(item.key(), item.value())).sum();"
             }
@@ -109,8 +109,16 @@
     }
 
     private static final String SIZE =
-            "name = \"a\"\n[size]\nnodes = 2100\nhosts = 2000\nconnections = 41400\nlifetime-s = 600\n"
-                    + "groups = 1000000\nlisteners = 360000\n";
+            """
+            name = "a"
+            [size]
+            nodes = 2100
+            hosts = 2000
+            connections = 41400
+            lifetime-s = 600
+            groups = 1000000
+            listeners = 360000
+            """;
 
     @Test
     public void aFileIsRefusedWholeInOneLine() throws IOException {
--- a/rig/src/test/java/embershift/rig/WorldsTest.java
+++ b/rig/src/test/java/embershift/rig/WorldsTest.java
@@ -157,8 +157,8 @@
             {
                 "two votes in a term",
                 RAFT,
-                "from.equals(votedFor) || votedFor == null && leader == null",
-                "from.equals(votedFor) || leader == null"
+                "from.equals(votedFor) || (votedFor == null && leader == null)",
+                "from.equals(votedFor) || (leader == null)"
             },
             {
                 "conflict not cut",
@@ -212,13 +212,13 @@
             },
             {
                 "snapshot that forgets sessions",
-                "fleet/Record",
+                "fleet/KeyValueStore",
                 "return RecordCodec.bytes(revision, applied, items.values(), sessions.values());",
                 "return RecordCodec.bytes(revision, applied, items.values(), List.of());"
             },
             {
                 "command carried out again",
-                "fleet/Record",
+                "fleet/KeyValueStore",
                 "if (before != null) {\n            return before;",
                 "if (false) {\n            return before;"
             },
--- a/storage/src/main/java/embershift/storage/Sealed.java
+++ b/storage/src/main/java/embershift/storage/Sealed.java
@@ -30,6 +30,8 @@
     }
 
     /**
+     * Reads the content of a file.
+     *
      * @throws Damaged where it was changed, cut, or written by another version
      */
     public static byte[] read(Disk disk, String name) throws IOException {
--- a/storage/src/main/java/embershift/storage/Snapshots.java
+++ b/storage/src/main/java/embershift/storage/Snapshots.java
@@ -1,6 +1,7 @@
 package embershift.storage;
 
 import java.io.IOException;
+import java.util.NavigableSet;
 import java.util.Set;
 import java.util.TreeSet;
 
@@ -19,7 +20,7 @@
         this.disk = disk;
     }
 
-    private TreeSet<String> names() throws IOException {
+    private NavigableSet<String> names() throws IOException {
         TreeSet<String> names = new TreeSet<>();
         for (String name : disk.names()) {
             if (name.matches(NAME + "\\d{16}")) {
@@ -34,14 +35,14 @@
      * log begins later.
      */
     public byte[] latest() throws IOException {
-        TreeSet<String> names = names();
+        NavigableSet<String> names = names();
         return names.isEmpty() ? null : Sealed.read(disk, names.last());
     }
 
     /** On disk when this returns; then the ones before are taken away. */
     public void write(long number, byte[] content) throws IOException {
         Sealed.write(disk, String.format(FORM, number), content);
-        Set<String> old = names().headSet(String.format(FORM, number));
+        Set<String> old = names().headSet(String.format(FORM, number), false);
         disk.delete(old);
     }
 }
--- a/storage/src/test/java/embershift/storage/RecordLogTest.java
+++ b/storage/src/test/java/embershift/storage/RecordLogTest.java
@@ -97,7 +97,7 @@
             byte[] content = disk.read(name);
             for (int at = 0; at < content.length; at++) {
                 byte[] changed = content.clone();
-                changed[at] ^= 1 << at % 8;
+                changed[at] ^= (byte) (1 << (at % 8));
                 MemoryDisk other = with(disk, name, changed);
                 try {
                     RecordLog.Found found = RecordLog.open(other, FILE).found();
