--- a/emulator/src/test/java/embershift/ArchitectureTest.java
+++ b/emulator/src/test/java/embershift/ArchitectureTest.java
@@ -122,12 +122,12 @@
 
     @Test
     public void theAgreementAndTheRecordDoNoInputOrOutputOfTheirOwn() {
-        // Keeper is the one that a disk is handed to.
+        // RaftPersistence is the one that a disk is handed to.
         classes()
                 .that()
                 .resideInAnyPackage("embershift.raft", "embershift.fleet")
                 .and()
-                .doNotHaveSimpleName("Keeper")
+                .doNotHaveSimpleName("RaftPersistence")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
@@ -149,7 +149,7 @@
                 .that()
                 .resideInAnyPackage("embershift.raft", "embershift.fleet")
                 .and()
-                .doNotHaveSimpleName("Keeper")
+                .doNotHaveSimpleName("RaftPersistence")
                 .should()
                 .dependOnClassesThat()
                 .haveNameMatching("java\\.io\\.(File|RandomAccess|Console).*")
--- a/fleet/src/main/java/embershift/fleet/RecordCodec.java
+++ b/fleet/src/main/java/embershift/fleet/RecordCodec.java
@@ -1,6 +1,6 @@
 package embershift.fleet;
 
-import embershift.raft.Codec;
+import embershift.raft.RaftCodec;
 import java.io.ByteArrayInputStream;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
@@ -50,7 +50,7 @@
     }
 
     public static byte[] bytes(Command command) {
-        return Codec.written(
+        return RaftCodec.encode(
                 out -> {
                     out.writeByte(VERSION);
                     if (command instanceof Command.Open open) {
@@ -125,7 +125,7 @@
 
     static byte[] bytes(
             long revision, long applied, Collection<Item> items, Collection<Session> sessions) {
-        return Codec.written(
+        return RaftCodec.encode(
                 out -> {
                     out.writeByte(VERSION);
                     out.writeLong(revision);
--- a/fleet/src/main/java/embershift/fleet/Replica.java
+++ b/fleet/src/main/java/embershift/fleet/Replica.java
@@ -1,23 +1,25 @@
 package embershift.fleet;
 
-import embershift.raft.Bounds;
-import embershift.raft.Entry;
-import embershift.raft.Keeper;
+import embershift.raft.LogEntry;
 import embershift.raft.Member;
 import embershift.raft.MemberId;
-import embershift.raft.Message;
-import embershift.raft.Outside;
-import embershift.raft.Pace;
+import embershift.raft.ProposeResult;
 import embershift.raft.Raft;
-import embershift.raft.Restored;
+import embershift.raft.RaftEnvironment;
+import embershift.raft.RaftLimits;
+import embershift.raft.RaftMessage;
+import embershift.raft.RaftTiming;
+import embershift.raft.RecoveredState;
+import embershift.raft.RejectionReason;
 import embershift.raft.Snapshot;
-import embershift.raft.Vote;
+import embershift.raft.WriteRequest;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /**
@@ -32,22 +34,22 @@
      */
     public interface Port {
 
-        void send(MemberId to, Message message);
+        void send(MemberId to, RaftMessage message);
 
         /** {@link Replica#durable} is owed for each, in order. */
-        void persist(Keeper.Order order);
+        void persist(WriteRequest request);
 
-        /** See {@link Outside#sure}. */
+        /** See {@link RaftEnvironment#stateTrusted}. */
         void sure();
 
         /** Each call is answered once at the most; one that is not within its time is unknown. */
         void answer(long call, Answer answer);
 
         /**
-         * This member leads from now on, or follows; {@code leader} is null where nobody is known
+         * This member leads from now on, or follows; {@code leader} is empty where nobody is known
          * to lead.
          */
-        void role(boolean leads, long term, MemberId leader);
+        void role(boolean leads, long term, Optional<MemberId> leader);
 
         /** Nothing more may be done here: one line that says why. */
         void stop(String why);
@@ -103,18 +105,20 @@
 
     public Replica(
             MemberId self,
-            Pace pace,
-            Bounds bounds,
+            RaftTiming pace,
+            RaftLimits bounds,
             Habits habits,
-            Restored restored,
+            RecoveredState restored,
             long run,
             long seed,
             Port port) {
         this.port = port;
         this.habits = habits;
-        Snapshot snapshot = restored.snapshot();
-        record = snapshot == null ? new KeyValueStore() : KeyValueStore.of(snapshot.data());
-        snapshotAt = snapshot == null ? 0 : snapshot.index();
+        record =
+                restored.snapshot()
+                        .map(snapshot -> KeyValueStore.of(snapshot.data()))
+                        .orElseGet(KeyValueStore::new);
+        snapshotAt = restored.snapshot().map(Snapshot::index).orElse(0L);
         raft = new Raft(self, pace, bounds, restored, run, seed, new Side());
     }
 
@@ -134,31 +138,30 @@
         return raft.role() == Raft.Role.LEADER;
     }
 
-    private final class Side implements Outside {
+    private final class Side implements RaftEnvironment {
 
         @Override
-        public void send(MemberId to, Message message) {
+        public void send(MemberId to, RaftMessage message) {
             port.send(to, message);
         }
 
         @Override
-        public void persist(
-                long number, Vote vote, Snapshot snapshot, boolean alone, List<Entry> entries) {
-            port.persist(new Keeper.Order(number, vote, snapshot, alone, entries));
+        public void persist(WriteRequest request) {
+            port.persist(request);
         }
 
         @Override
-        public void sure() {
+        public void stateTrusted() {
             port.sure();
         }
 
         @Override
-        public void commit(Entry entry) {
+        public void committed(LogEntry entry) {
             apply(entry);
         }
 
         @Override
-        public void restore(Snapshot snapshot) {
+        public void restored(Snapshot snapshot) {
             record = KeyValueStore.of(snapshot.data());
             snapshotAt = snapshot.index();
             bytesSince = 0;
@@ -176,7 +179,7 @@
         }
 
         @Override
-        public void readable(long ticket, long index) {
+        public void readReady(long ticket, long index) {
             Call call = asked.remove(ticket);
             askers.remove(ticket);
             if (call != null) {
@@ -185,7 +188,7 @@
         }
 
         @Override
-        public void unreadable(long ticket) {
+        public void readRejected(long ticket) {
             asked.remove(ticket);
             Long asker = askers.remove(ticket);
             if (asker != null) {
@@ -194,35 +197,35 @@
         }
 
         @Override
-        public void leads(long term) {
+        public void becameLeader(long term) {
             // Whatever was left of each session by the leader before: it is counted from the start
             // again.
             ends.clear();
             record.sessions().forEach((id, seconds) -> ends.put(id, now + seconds));
-            port.role(true, term, raft.self());
+            port.role(true, term, Optional.of(raft.self()));
         }
 
         @Override
-        public void follows(long term, MemberId leader) {
+        public void becameFollower(long term, Optional<MemberId> leader) {
             ends.clear();
             port.role(false, term, leader);
         }
 
         @Override
-        public void aside(MemberId from, byte[] words) {
+        public void applicationMessage(MemberId from, byte[] words) {
             heardSum(from, words);
         }
     }
 
     private Answer.Refused notLeader() {
-        Member leader = raft.leader() == null ? null : raft.members().get(raft.leader());
-        return new Answer.Refused(Answer.Reason.NOT_LEADER, leader == null ? "" : leader.name());
+        String leader = raft.leader().flatMap(raft.membership()::find).map(Member::name).orElse("");
+        return new Answer.Refused(Answer.Reason.NOT_LEADER, leader);
     }
 
-    private void apply(Entry entry) {
-        bytesSince += entry.cost();
+    private void apply(LogEntry entry) {
+        bytesSince += entry.sizeBytes();
         Result result = null;
-        if (entry.kind() == Entry.Kind.COMMAND) {
+        if (entry.kind() == LogEntry.Kind.COMMAND) {
             Command command;
             try {
                 command = RecordCodec.command(entry.data());
@@ -241,7 +244,7 @@
             record.pass(entry.index());
         }
         if (entry.index() % habits.sums() == 0) {
-            keepSum(entry.index(), raft.self(), Snapshot.sum(record.bytes()));
+            keepSum(entry.index(), raft.self(), Snapshot.checksum(record.bytes()));
             sumsToTell.add(entry.index());
         }
         Pending call = pending.remove(entry.index());
@@ -302,7 +305,7 @@
         settle();
     }
 
-    public void receive(double time, MemberId from, Message message) {
+    public void receive(double time, MemberId from, RaftMessage message) {
         now = time;
         if (!stopped) {
             raft.receive(from, message);
@@ -313,7 +316,7 @@
     public void durable(double time, long number) {
         now = time;
         if (!stopped) {
-            raft.durable(number);
+            raft.writesCompleted(number);
         }
         settle();
     }
@@ -328,35 +331,35 @@
     }
 
     private void propose(long call, Command command) {
-        Raft.Taken taken = raft.propose(RecordCodec.bytes(command));
-        took(call, taken);
+        took(call, raft.propose(RecordCodec.bytes(command)));
     }
 
-    private void took(long call, Raft.Taken taken) {
-        if (taken.refusal() == null) {
-            pending.put(taken.index(), new Pending(call, taken.term()));
-        } else {
-            port.answer(call, refused(taken.refusal()));
+    private void took(long call, ProposeResult result) {
+        if (result instanceof ProposeResult.Accepted accepted) {
+            pending.put(accepted.index(), new Pending(call, accepted.term()));
+        } else if (result instanceof ProposeResult.Rejected rejected) {
+            port.answer(call, refused(rejected.reason()));
         }
     }
 
-    private Answer refused(Raft.Refusal refusal) {
+    private Answer refused(RejectionReason refusal) {
         return switch (refusal) {
-            case NOT_LEADER, HANDING_OVER -> notLeader();
-            case TOO_MUCH -> new Answer.Refused(Answer.Reason.BUSY, "too much waits to be agreed");
+            case NOT_LEADER, TRANSFERRING_LEADERSHIP -> notLeader();
+            case OVERLOADED ->
+                    new Answer.Refused(Answer.Reason.BUSY, "too much waits to be agreed");
             case TOO_LARGE -> new Answer.Refused(Answer.Reason.TOO_LARGE, "too large");
-            case NOT_YET ->
+            case CHANGE_IN_PROGRESS ->
                     new Answer.Refused(
                             Answer.Reason.BUSY, "another change of the members is not agreed yet");
-            case ALREADY -> new Answer.Refused(Answer.Reason.MEMBERS, "it is so already");
+            case ALREADY_DONE -> new Answer.Refused(Answer.Reason.MEMBERS, "it is so already");
             case NAME_TAKEN ->
                     new Answer.Refused(
                             Answer.Reason.MEMBERS,
                             "another of that name belongs to the group: remove it");
-            case NO_SUCH_MEMBER ->
+            case UNKNOWN_MEMBER ->
                     new Answer.Refused(
                             Answer.Reason.MEMBERS, "no such member, or not one that votes");
-            case TOO_FEW ->
+            case QUORUM_AT_RISK ->
                     new Answer.Refused(
                             Answer.Reason.MEMBERS, "too few of those left are here and up to date");
             case LAST_VOTER ->
@@ -450,7 +453,7 @@
     public void add(double time, long call, Member member) {
         now = time;
         if (!stopped) {
-            took(call, raft.add(member));
+            took(call, raft.addMember(member));
         }
         settle();
     }
@@ -458,7 +461,7 @@
     public void remove(double time, long call, MemberId id) {
         now = time;
         if (!stopped) {
-            took(call, raft.remove(id));
+            took(call, raft.removeMember(id));
         }
         settle();
     }
@@ -467,8 +470,8 @@
     public void transfer(double time, long call, MemberId to) {
         now = time;
         if (!stopped) {
-            Raft.Refusal refusal = raft.transfer(to);
-            port.answer(call, refusal == null ? new Answer.Done(0) : refused(refusal));
+            Optional<RejectionReason> rejection = raft.transferLeadership(to);
+            port.answer(call, rejection.map(this::refused).orElseGet(() -> new Answer.Done(0)));
         }
         settle();
     }
@@ -476,7 +479,7 @@
     /** Makes this instance, of an empty folder, the first of a group. */
     public void found(double time, Member first) {
         now = time;
-        raft.found(first);
+        raft.bootstrap(first);
         settle();
     }
 
@@ -499,8 +502,8 @@
             raft.compact(
                     Snapshot.of(
                             snapshotAt,
-                            raft.termOf(snapshotAt),
-                            raft.members(snapshotAt),
+                            raft.termAt(snapshotAt),
+                            raft.membershipAt(snapshotAt),
                             record.bytes()));
         }
     }
@@ -540,8 +543,8 @@
         }
         for (Map.Entry<SessionId, Double> end : List.copyOf(ends.entrySet())) {
             if (now > end.getValue()) {
-                if (raft.propose(RecordCodec.bytes(new Command.End(end.getKey()))).refusal()
-                        == null) {
+                if (raft.propose(RecordCodec.bytes(new Command.End(end.getKey())))
+                        instanceof ProposeResult.Accepted) {
                     ends.put(end.getKey(), Double.POSITIVE_INFINITY);
                 }
             }
@@ -560,9 +563,9 @@
                                 .putLong(index)
                                 .putInt(own.get(raft.self()))
                                 .array();
-                raft.members().voters().stream()
+                raft.membership().voters().stream()
                         .filter(voter -> !voter.equals(raft.self()))
-                        .forEach(voter -> raft.tell(voter, words));
+                        .forEach(voter -> raft.sendApplicationMessage(voter, words));
             }
         }
         sumsToTell.clear();
@@ -571,7 +574,7 @@
     private void heardSum(MemberId from, byte[] words) {
         if (words.length == 1 + Long.BYTES + Integer.BYTES
                 && words[0] == SUM
-                && raft.members().votes(from)) {
+                && raft.membership().isVoter(from)) {
             ByteBuffer in = ByteBuffer.wrap(words, 1, Long.BYTES + Integer.BYTES);
             keepSum(in.getLong(), from, in.getInt());
         }
@@ -592,14 +595,14 @@
                                     all.entrySet().stream()
                                                     .filter(
                                                             each ->
-                                                                    raft.members()
-                                                                                    .votes(
+                                                                    raft.membership()
+                                                                                    .isVoter(
                                                                                             each
                                                                                                     .getKey())
                                                                             && each.getValue()
                                                                                     .equals(other))
                                                     .count()
-                                            >= raft.members().majority())
+                                            >= raft.membership().quorum())
                     .findFirst()
                     .ifPresent(
                             other ->
--- a/hosted/src/main/java/embershift/hosted/Calls.java
+++ b/hosted/src/main/java/embershift/hosted/Calls.java
@@ -93,7 +93,11 @@
                     add(instance, entrance, waiter, call);
                     return;
                 }
-                Member member = replica.raft().members().named(call.path("name").asText());
+                Member member =
+                        replica.raft()
+                                .membership()
+                                .findByName(call.path("name").asText())
+                                .orElse(null);
                 if (member == null) {
                     waiter.hears(
                             0,
@@ -190,9 +194,19 @@
         return node;
     }
 
+    /** What callers are told of a role; the names are part of the protocol. */
+    static String wireName(Raft.Role role) {
+        return switch (role) {
+            case FOLLOWER -> "follower";
+            case PRE_CANDIDATE -> "looking_ahead";
+            case CANDIDATE -> "candidate";
+            case LEADER -> "leader";
+        };
+    }
+
     private static ObjectNode status(long id, Instance instance) {
         Raft raft = instance.replica().raft();
-        Member leader = raft.leader() == null ? null : raft.members().get(raft.leader());
+        String leader = raft.leader().flatMap(raft.membership()::find).map(Member::name).orElse("");
         ObjectNode node =
                 Words.node()
                         .put("id", id)
@@ -200,17 +214,17 @@
                         .put("name", instance.name())
                         .put("member", instance.identity().id().toString())
                         .put("group", Long.toHexString(instance.identity().group()))
-                        .put("role", raft.role().name().toLowerCase(Locale.ROOT))
+                        .put("role", wireName(raft.role()))
                         .put("term", raft.term())
-                        .put("leader", leader == null ? "" : leader.name())
-                        .put("last", raft.last())
-                        .put("agreed", raft.commit())
+                        .put("leader", leader)
+                        .put("last", raft.lastIndex())
+                        .put("agreed", raft.commitIndex())
                         .put("applied", instance.replica().record().applied())
                         .put("revision", instance.replica().record().revision())
-                        .put("doubt", raft.doubtful())
+                        .put("doubt", raft.isUntrusted())
                         .put("log-files", instance.logFiles());
         ArrayNode members = node.putArray("members");
-        for (Member member : raft.members().all()) {
+        for (Member member : raft.membership().members()) {
             ObjectNode each =
                     members.addObject()
                             .put("name", member.name())
@@ -218,7 +232,8 @@
                             .put("address", member.address())
                             .put("role", member.role().name().toLowerCase(Locale.ROOT));
             if (raft.role() == Raft.Role.LEADER) {
-                each.put("has", raft.matchOf(member.id())).put("heard", raft.heardOf(member.id()));
+                each.put("has", raft.matchIndexOf(member.id()))
+                        .put("heard", raft.isRecentlyActive(member.id()));
             }
         }
         ObjectNode counts = node.putObject("counts");
--- a/hosted/src/main/java/embershift/hosted/Identity.java
+++ b/hosted/src/main/java/embershift/hosted/Identity.java
@@ -1,9 +1,9 @@
 package embershift.hosted;
 
 import embershift.raft.MemberId;
-import embershift.storage.Damaged;
+import embershift.storage.ChecksummedFile;
+import embershift.storage.CorruptDataException;
 import embershift.storage.Disk;
-import embershift.storage.Sealed;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.security.SecureRandom;
@@ -18,17 +18,17 @@
 
     /** Of a folder that has none, a new one. */
     static Identity of(Disk disk) throws IOException {
-        if (disk.names().contains(FILE)) {
-            byte[] content = Sealed.read(disk, FILE);
+        if (disk.fileNames().contains(FILE)) {
+            byte[] content = ChecksummedFile.read(disk, FILE);
             if (content.length != 2 * Long.BYTES) {
-                throw new Damaged(FILE + ": of another program or version");
+                throw new CorruptDataException(FILE + ": of another program or version");
             }
             ByteBuffer in = ByteBuffer.wrap(content);
             return new Identity(new MemberId(in.getLong()), in.getLong());
         }
-        if (disk.names().stream()
+        if (disk.fileNames().stream()
                 .anyMatch(name -> name.startsWith("log-") || name.startsWith("snapshot-"))) {
-            throw new Damaged(FILE + ": it is gone, and the folder is not empty");
+            throw new CorruptDataException(FILE + ": it is gone, and the folder is not empty");
         }
         Identity fresh = new Identity(new MemberId(number()), 0);
         fresh.write(disk);
@@ -40,7 +40,7 @@
     }
 
     void write(Disk disk) throws IOException {
-        Sealed.write(
+        ChecksummedFile.write(
                 disk,
                 FILE,
                 ByteBuffer.allocate(2 * Long.BYTES).putLong(id.number()).putLong(group).array());
--- a/hosted/src/main/java/embershift/hosted/Installation.java
+++ b/hosted/src/main/java/embershift/hosted/Installation.java
@@ -84,7 +84,7 @@
         }
     }
 
-    /** See {@link embershift.raft.Pace}. */
+    /** See {@link embershift.raft.RaftTiming}. */
     public record Pace(
             @JsonProperty("tick-s") Double tick,
             @JsonProperty("heartbeat-s") Double heartbeat,
@@ -98,8 +98,8 @@
             stall = stall == null ? 1.0 : stall;
         }
 
-        embershift.raft.Pace inTicks() {
-            return new embershift.raft.Pace(ticks(heartbeat), ticks(election), ticks(stall));
+        embershift.raft.RaftTiming inTicks() {
+            return new embershift.raft.RaftTiming(ticks(heartbeat), ticks(election), ticks(stall));
         }
 
         private int ticks(double seconds) {
@@ -118,25 +118,25 @@
             @JsonProperty("callers") Integer callers) {
 
         public Bounds {
-            embershift.raft.Bounds usual = embershift.raft.Bounds.USUAL;
-            command = command == null ? usual.command() : command;
-            waiting = waiting == null ? usual.waiting() : waiting;
+            embershift.raft.RaftLimits usual = embershift.raft.RaftLimits.DEFAULTS;
+            command = command == null ? usual.maxCommandBytes() : command;
+            waiting = waiting == null ? usual.maxUncommittedBytes() : waiting;
             snapshotEntries = snapshotEntries == null ? 10_000 : snapshotEntries;
             snapshotLogBytes = snapshotLogBytes == null ? 16L << 20 : snapshotLogBytes;
-            trail = trail == null ? usual.trail() : trail;
+            trail = trail == null ? usual.retainedEntries() : trail;
             logFile = logFile == null ? 8L << 20 : logFile;
             callers = callers == null ? 512 : callers;
         }
 
-        embershift.raft.Bounds ofRaft() {
-            embershift.raft.Bounds usual = embershift.raft.Bounds.USUAL;
-            return new embershift.raft.Bounds(
+        embershift.raft.RaftLimits ofRaft() {
+            embershift.raft.RaftLimits usual = embershift.raft.RaftLimits.DEFAULTS;
+            return new embershift.raft.RaftLimits(
                     command,
-                    usual.message(),
-                    usual.flight(),
+                    usual.maxMessageBytes(),
+                    usual.maxInflightMessages(),
                     waiting,
-                    usual.chunk(),
-                    usual.snapshot(),
+                    usual.snapshotChunkBytes(),
+                    usual.maxSnapshotBytes(),
                     trail);
         }
     }
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -8,16 +8,18 @@
 import embershift.door.Words;
 import embershift.fleet.Answer;
 import embershift.fleet.Replica;
-import embershift.raft.Codec;
-import embershift.raft.Keeper;
+import embershift.raft.MalformedBytesException;
 import embershift.raft.Member;
 import embershift.raft.MemberId;
-import embershift.raft.Message;
-import embershift.raft.Restored;
+import embershift.raft.RaftMessage;
+import embershift.raft.RaftMessageCodec;
+import embershift.raft.RaftPersistence;
+import embershift.raft.RecoveredState;
+import embershift.raft.WriteRequest;
 import embershift.storage.Disk;
-import embershift.storage.DrillDisk;
-import embershift.storage.Folder;
-import embershift.storage.NoRoom;
+import embershift.storage.FaultInjectingDisk;
+import embershift.storage.FileSystemDisk;
+import embershift.storage.OutOfSpaceException;
 import embershift.transport.Link;
 import embershift.transport.Loop;
 import java.io.IOException;
@@ -31,6 +33,7 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
@@ -63,13 +66,13 @@
     private final Installation installation;
     private final Loop loop;
     private final Disk disk;
-    private final Keeper keeper;
+    private final RaftPersistence keeper;
     private final Replica replica;
     private final double tick;
     private final int mostTicks;
     private Identity identity;
     private double ticked;
-    private final List<Keeper.Order> orders = new ArrayList<>();
+    private final List<WriteRequest> orders = new ArrayList<>();
     private boolean writing;
     private boolean noRoom;
     private final Map<MemberId, Way> ways = new HashMap<>();
@@ -89,22 +92,23 @@
     private volatile List<InetSocketAddress> instances = List.of();
     private Duties duties;
 
-    private Instance(Installation installation, Loop loop, Folder folder) throws IOException {
+    private Instance(Installation installation, Loop loop, FileSystemDisk folder)
+            throws IOException {
         this.installation = installation;
         this.loop = loop;
-        disk = installation.drills() ? new DrillDisk(folder) : folder;
+        disk = installation.drills() ? new FaultInjectingDisk(folder) : folder;
         identity = Identity.of(disk);
-        keeper = Keeper.open(disk, installation.bounds().logFile());
-        Restored restored = keeper.restored();
+        keeper = RaftPersistence.open(disk, installation.bounds().logFile());
+        RecoveredState restored = keeper.takeRecovered();
         tick = installation.pace().tick();
-        embershift.raft.Pace pace = installation.pace().inTicks();
-        mostTicks = 3 * pace.election();
+        embershift.raft.RaftTiming pace = installation.pace().inTicks();
+        mostTicks = 3 * pace.electionTicks();
         ticked = loop.now();
-        if (keeper.cut() > 0) {
+        if (keeper.truncatedBytes() > 0) {
             LOG.warn(
                     "the end of the log was cut",
-                    kv("bytes", keeper.cut()),
-                    kv("doubt", restored.doubtful()));
+                    kv("bytes", keeper.truncatedBytes()),
+                    kv("doubt", restored.isUntrusted()));
         }
         replica =
                 new Replica(
@@ -125,13 +129,13 @@
                 kv("id", identity.id().toString()),
                 kv("group", Long.toHexString(identity.group())),
                 kv("term", replica.raft().term()),
-                kv("entries", replica.raft().last()),
-                kv("members", replica.raft().members().toString()));
+                kv("entries", replica.raft().lastIndex()),
+                kv("members", replica.raft().membership().toString()));
     }
 
     /** Starts; the program then lives on the loop. */
     static void start(Installation installation) throws IOException {
-        Folder folder = Folder.open(Path.of(installation.folder()));
+        FileSystemDisk folder = FileSystemDisk.open(Path.of(installation.folder()));
         Loop loop = new Loop();
         try {
             Instance instance = new Instance(installation, loop, folder);
@@ -205,8 +209,8 @@
     /** For those of this instance that ask the record, wherever its leader is. */
     private void lookWhereAllAre() {
         List<InetSocketAddress> all = new ArrayList<>();
-        MemberId leader = replica.raft().leader();
-        for (Member member : replica.raft().members().all()) {
+        MemberId leader = replica.raft().leader().orElse(MemberId.NONE);
+        for (Member member : replica.raft().membership().members()) {
             InetSocketAddress address =
                     member.id().equals(identity.id())
                             ? listens
@@ -223,7 +227,7 @@
     // The disk.
 
     @Override
-    public void persist(Keeper.Order order) {
+    public void persist(WriteRequest order) {
         orders.add(order);
         write();
     }
@@ -236,15 +240,15 @@
         // After this turn, so that all that it orders goes together.
         loop.execute(
                 () -> {
-                    List<Keeper.Order> batch = List.copyOf(orders);
+                    List<WriteRequest> batch = List.copyOf(orders);
                     orders.clear();
                     loop.aside(() -> keep(batch));
                 });
     }
 
-    private void keep(List<Keeper.Order> batch) {
+    private void keep(List<WriteRequest> batch) {
         try {
-            keeper.keep(batch);
+            keeper.write(batch);
             loop.execute(
                     () -> {
                         if (noRoom) {
@@ -258,7 +262,7 @@
                                                 loop.now(), batch.get(batch.size() - 1).number()));
                         write();
                     });
-        } catch (NoRoom e) {
+        } catch (OutOfSpaceException e) {
             loop.execute(
                     () -> {
                         if (!noRoom) {
@@ -281,7 +285,7 @@
         loop.aside(
                 () -> {
                     try {
-                        keeper.sure();
+                        keeper.markTrusted();
                     } catch (IOException e) {
                         // It will be in doubt again after the next start, which is on the safe
                         // side.
@@ -300,8 +304,8 @@
     // The others.
 
     @Override
-    public void send(MemberId to, Message message) {
-        Member member = replica.raft().members().get(to);
+    public void send(MemberId to, RaftMessage message) {
+        Member member = replica.raft().membership().find(to).orElse(null);
         if (member == null) {
             Entrance entrance = entrances.get(to);
             // Whoever is not known here, as to one that joins nobody is, is answered where it says
@@ -342,7 +346,7 @@
             this.to = to;
         }
 
-        void send(String address, Message message) {
+        void send(String address, RaftMessage message) {
             double now = loop.now();
             if (link == null) {
                 if (now >= notBefore) {
@@ -363,7 +367,7 @@
                 waiting = 0;
                 backedUpSince = now;
             }
-            ByteBuffer piece = Frames.piece(Frames.MESSAGE, Codec.bytes(message));
+            ByteBuffer piece = Frames.piece(Frames.MESSAGE, RaftMessageCodec.encode(message));
             waiting += piece.remaining();
             if (waiting > MOST_WAITING) {
                 count("messages dropped for want of room");
@@ -506,7 +510,7 @@
                     case Frames.NODE -> node(Words.read(piece));
                     default -> throw new Frames.Unreadable("a piece of kind " + piece[0]);
                 }
-            } catch (Frames.Unreadable | Codec.Unreadable e) {
+            } catch (Frames.Unreadable | MalformedBytesException e) {
                 count("connections with unreadable bytes");
                 close();
             }
@@ -619,7 +623,9 @@
             }
             count("messages taken");
             replica.receive(
-                    loop.now(), from, Codec.message(Arrays.copyOfRange(piece, 1, piece.length)));
+                    loop.now(),
+                    from,
+                    RaftMessageCodec.decode(Arrays.copyOfRange(piece, 1, piece.length)));
         }
 
         void answer(ObjectNode answer) {
@@ -706,12 +712,12 @@
     }
 
     int logFiles() {
-        return keeper.files();
+        return keeper.logFileCount();
     }
 
     /** Begins a group with this instance as its only one. */
     String found() {
-        if (identity.group() != 0 || replica.raft().last() > 0) {
+        if (identity.group() != 0 || replica.raft().lastIndex() > 0) {
             return "this instance belongs to group "
                     + Long.toHexString(identity.group())
                     + " already";
@@ -818,13 +824,15 @@
     }
 
     @Override
-    public void role(boolean leads, long term, MemberId leader) {
-        Member member =
-                leader == null || replica == null ? null : replica.raft().members().get(leader);
-        LOG.info(
-                leads ? "leads" : "follows",
-                kv("term", term),
-                kv("leader", member == null ? "" : member.name()));
+    public void role(boolean leads, long term, Optional<MemberId> leader) {
+        // Called while the replica is made, too.
+        String leaderName =
+                replica == null
+                        ? ""
+                        : leader.flatMap(replica.raft().membership()::find)
+                                .map(Member::name)
+                                .orElse("");
+        LOG.info(leads ? "leads" : "follows", kv("term", term), kv("leader", leaderName));
         count(leads ? "terms led" : "changes of leader");
     }
 
@@ -852,12 +860,13 @@
             loop.after(LOOK, () -> awaitDutiesGivenBack(until));
             return;
         }
-        MemberId heir = replica.leads() ? replica.raft().bestHeir() : null;
-        if (heir == null) {
+        Optional<MemberId> heir =
+                replica.leads() ? replica.raft().bestTransferTarget() : Optional.empty();
+        if (heir.isEmpty()) {
             ended.countDown();
             return;
         }
-        replica.transfer(loop.now(), ++lastCall, heir);
+        replica.transfer(loop.now(), ++lastCall, heir.get());
         awaitFollower(loop.now() + HAND_OVER);
     }
 
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -6,6 +6,7 @@
 import embershift.door.Frames;
 import embershift.door.Words;
 import embershift.raft.MemberId;
+import embershift.raft.Raft;
 import embershift.testing.GoldenSamples;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -24,6 +25,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.TreeSet;
+import java.util.stream.Stream;
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
@@ -246,6 +248,13 @@
         samples.assertMatch(getClass(), "calls.txt");
     }
 
+    @Test
+    public void rolesAreToldByTheNamesOfBefore() {
+        assertEquals(
+                Stream.of(Raft.Role.values()).map(Calls::wireName).toList(),
+                List.of("follower", "looking_ahead", "candidate", "leader"));
+    }
+
     @Test(dependsOnMethods = "callsAreAnsweredAsBefore")
     public void otherInstancesAreGreetedAsBefore() throws Exception {
         GoldenSamples samples = new GoldenSamples();
--- a/raft/src/main/java/embershift/raft/Member.java
+++ b/raft/src/main/java/embershift/raft/Member.java
@@ -1,18 +1,20 @@
 package embershift.raft;
 
 /**
- * An instance as all know it. {@code address}: where the others reach it, unless they were told
- * otherwise.
+ * A member of a group.
+ *
+ * @param address where the other members reach it, as HOST:PORT, unless their settings say
+ *     otherwise
  */
 public record Member(MemberId id, String name, String address, Role role) {
 
-    /**
-     * A voter counts; one that joins is to become a voter once it has caught up; a learner only
-     * follows.
-     */
+    /** The part that a member has in the group. */
     public enum Role {
+        /** Counts for every quorum. */
         VOTER(0),
+        /** Receives the log, and becomes a voter once it has caught up. */
         JOINING(1),
+        /** Receives the log, and never votes. */
         LEARNER(2);
 
         private final int code;
@@ -21,22 +23,22 @@
             this.code = code;
         }
 
-        /** The number that stands for it in messages and on disk. */
+        /** Returns the number that stands for this role in messages and on disk. */
         public int code() {
             return code;
         }
 
-        static Role of(int code) {
+        static Role fromCode(int code) {
             for (Role each : values()) {
                 if (each.code == code) {
                     return each;
                 }
             }
-            throw new Codec.Unreadable("a member of role " + code);
+            throw new MalformedBytesException("a member of role " + code);
         }
     }
 
-    Member as(Role other) {
-        return new Member(id, name, address, other);
+    Member withRole(Role otherRole) {
+        return new Member(id, name, address, otherRole);
     }
 }
--- a/raft/src/main/java/embershift/raft/MemberId.java
+++ b/raft/src/main/java/embershift/raft/MemberId.java
@@ -1,11 +1,19 @@
 package embershift.raft;
 
 /**
- * One instance with one folder: an instance that lost its folder comes back under another. 0 is
- * nobody's.
+ * Identifies a member of a group for as long as its directory exists: one that lost its directory
+ * comes back under another identity.
  */
 public record MemberId(long number) implements Comparable<MemberId> {
 
+    /** Stands for no member. */
+    public static final MemberId NONE = new MemberId(0);
+
+    /** Whether this identifies a member. */
+    public boolean isPresent() {
+        return number != 0;
+    }
+
     @Override
     public int compareTo(MemberId other) {
         return Long.compare(number, other.number);
--- /dev/null
+++ b/raft/src/main/java/embershift/raft/RaftState.java
@@ -0,0 +1,107 @@
+package embershift.raft;
+
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * The state that the parts of one member share: its term and vote, its role, its log and what of it
+ * is committed. Only {@link Raft} changes term, vote and role.
+ */
+final class RaftState {
+
+    final MemberId self;
+    final RaftTiming timing;
+    final RaftLimits limits;
+    final RaftEnvironment environment;
+
+    /** Another number at each start of this member. */
+    final long incarnation;
+
+    final LogEntries log;
+    final MembershipHistory memberships;
+    final PendingWrites writes;
+
+    Raft.Role role = Raft.Role.FOLLOWER;
+    long term;
+    MemberId votedFor;
+    MemberId leader = MemberId.NONE;
+    Optional<Snapshot> snapshot;
+    long commitIndex;
+    long appliedIndex;
+
+    /** The index of the first entry of this leader's term. */
+    long termStartIndex;
+
+    /** Whether this member may have lost what it once promised: see {@link RecoveredState}. */
+    boolean isUntrusted;
+
+    RaftState(
+            MemberId self,
+            RaftTiming timing,
+            RaftLimits limits,
+            RecoveredState recovered,
+            long incarnation,
+            RaftEnvironment environment) {
+        this.self = self;
+        this.timing = timing;
+        this.limits = limits;
+        this.incarnation = incarnation;
+        this.environment = environment;
+        term = recovered.hardState().term();
+        votedFor = recovered.hardState().votedFor();
+        snapshot = recovered.snapshot();
+        isUntrusted = recovered.isUntrusted();
+        long snapshotIndex = snapshot.map(Snapshot::index).orElse(0L);
+        log = new LogEntries(snapshotIndex, snapshot.map(Snapshot::term).orElse(0L));
+        memberships =
+                new MembershipHistory(
+                        snapshotIndex, snapshot.map(Snapshot::membership).orElse(Membership.EMPTY));
+        recovered.entries().stream()
+                .filter(entry -> entry.index() > snapshotIndex)
+                .forEach(this::append);
+        writes = new PendingWrites(environment, timing.diskStallTicks(), log.lastIndex());
+        commitIndex = snapshotIndex;
+        appliedIndex = snapshotIndex;
+    }
+
+    Membership membership() {
+        return memberships.latest();
+    }
+
+    Optional<MemberId> leader() {
+        return Optional.of(leader).filter(MemberId::isPresent);
+    }
+
+    boolean hasLeader() {
+        return leader.isPresent();
+    }
+
+    boolean isLeader() {
+        return role == Raft.Role.LEADER;
+    }
+
+    /** Appends an entry in memory; a membership is in force from then on. */
+    void append(LogEntry entry) {
+        log.append(entry);
+        if (entry.kind() == LogEntry.Kind.MEMBERSHIP) {
+            memberships.add(entry.index(), RaftCodec.decodeMembership(entry.data()));
+        }
+    }
+
+    /** Drops that entry and all behind it, as another leader's are to take their place. */
+    void truncateFrom(long index) {
+        log.truncateFrom(index);
+        memberships.truncateFrom(index);
+        writes.truncateFrom(index);
+    }
+
+    void writeHardState() {
+        writes.write(
+                Optional.of(new HardState(term, votedFor)), Optional.empty(), false, List.of());
+    }
+
+    /** Sends a message once everything written until now is durable: a promise must not be lost. */
+    void sendWhenDurable(MemberId to, RaftMessage message) {
+        writes.whenDurable(() -> environment.send(to, message));
+    }
+}
--- a/raft/src/main/java/embershift/raft/Snapshot.java
+++ b/raft/src/main/java/embershift/raft/Snapshot.java
@@ -2,14 +2,27 @@
 
 import java.util.zip.CRC32C;
 
-/** The state after all entries up to {@code index}. {@code sum}: the CRC32C of {@code data}. */
-public record Snapshot(long index, long term, Members members, byte[] data, int sum) {
+/**
+ * The state of the state machine after all entries up to one.
+ *
+ * @param index the last entry that it includes
+ * @param term the term of that entry
+ * @param membership the group as of that entry
+ * @param checksum the CRC-32C of {@code data}
+ */
+public record Snapshot(long index, long term, Membership membership, byte[] data, int checksum) {
 
-    public static Snapshot of(long index, long term, Members members, byte[] data) {
-        return new Snapshot(index, term, members, data, sum(data));
+    /** Creates a snapshot with the checksum of its data. */
+    public static Snapshot of(long index, long term, Membership membership, byte[] data) {
+        return new Snapshot(index, term, membership, data, checksum(data));
     }
 
-    public static int sum(byte[] data) {
+    boolean hasValidChecksum() {
+        return checksum(data) == checksum;
+    }
+
+    /** Returns the CRC-32C of a state, by which members compare theirs. */
+    public static int checksum(byte[] data) {
         CRC32C crc = new CRC32C();
         crc.update(data, 0, data.length);
         return (int) crc.getValue();
--- a/raft/src/test/java/embershift/raft/WireFormatTest.java
+++ b/raft/src/test/java/embershift/raft/WireFormatTest.java
@@ -11,6 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeSet;
 import org.testng.annotations.Test;
 
@@ -24,8 +25,8 @@
     private static final String MEMBER = "member-directory.txt";
     private static final long FILE_BYTES = 400;
     private static final MemberId FIRST = new MemberId(0x1122334455667788L);
-    private static final Members GROUP =
-            Members.of(
+    private static final Membership GROUP =
+            Membership.of(
                     List.of(
                             new Member(FIRST, "i1", "127.0.0.1:7101", Member.Role.VOTER),
                             new Member(
@@ -41,46 +42,51 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Entry entry(long index, Entry.Kind kind, byte[] data) {
-        return new Entry(index, 5, kind, data);
+    private static LogEntry entry(long index, LogEntry.Kind kind, byte[] data) {
+        return new LogEntry(index, 5, kind, data);
     }
 
-    private static Map<String, Message> messages() {
-        List<Entry> entries =
+    private static Map<String, RaftMessage> messages() {
+        List<LogEntry> entries =
                 List.of(
-                        entry(10, Entry.Kind.NOTHING, new byte[0]),
-                        entry(11, Entry.Kind.COMMAND, bytes("put")),
-                        entry(12, Entry.Kind.MEMBERS, Codec.bytes(GROUP)));
-        Map<String, Message> all = new LinkedHashMap<>();
-        all.put("vote request", new Message.Ask(6, 12, 5, false, true));
-        all.put("pre-vote request", new Message.Ask(6, 12, 5, true, false));
-        all.put("vote reply", new Message.AskReply(6, true, false));
-        all.put("pre-vote reply", new Message.AskReply(6, false, true));
-        all.put("append request", new Message.Append(6, 9, 4, entries, 8, 12, 77));
-        all.put("append reply", new Message.AppendReply(6, true, 12, 0, 0, 77, 0xabcdef));
-        all.put("append reply, rejected", new Message.AppendReply(6, false, 9, 7, 3, 77, 0xabcdef));
+                        entry(10, LogEntry.Kind.NO_OP, new byte[0]),
+                        entry(11, LogEntry.Kind.COMMAND, bytes("put")),
+                        entry(12, LogEntry.Kind.MEMBERSHIP, RaftCodec.encode(GROUP)));
+        Map<String, RaftMessage> all = new LinkedHashMap<>();
+        all.put("vote request", new RaftMessage.VoteRequest(6, 12, 5, false, true));
+        all.put("pre-vote request", new RaftMessage.VoteRequest(6, 12, 5, true, false));
+        all.put("vote reply", new RaftMessage.VoteReply(6, true, false));
+        all.put("pre-vote reply", new RaftMessage.VoteReply(6, false, true));
+        all.put("append request", new RaftMessage.AppendRequest(6, 9, 4, entries, 8, 12, 77));
+        all.put("append reply", new RaftMessage.AppendReply(6, true, 12, 0, 0, 77, 0xabcdef));
+        all.put(
+                "append reply, rejected",
+                new RaftMessage.AppendReply(6, false, 9, 7, 3, 77, 0xabcdef));
         all.put(
                 "snapshot request",
-                new Message.Install(6, 8, 4, GROUP, 5, bytes("piece"), 20, 0x12345678, 78));
-        all.put("snapshot reply", new Message.InstallReply(6, 8, 10, 78, 0xabcdef));
-        all.put("timeout now", new Message.Stand(6));
-        all.put("application message", new Message.Aside(6, bytes("sum")));
+                new RaftMessage.SnapshotRequest(
+                        6, 8, 4, GROUP, 5, bytes("piece"), 20, 0x12345678, 78));
+        all.put("snapshot reply", new RaftMessage.SnapshotReply(6, 8, 10, 78, 0xabcdef));
+        all.put("timeout now", new RaftMessage.TimeoutNow(6));
+        all.put("application message", new RaftMessage.ApplicationMessage(6, bytes("sum")));
         return all;
     }
 
     @Test
     public void messagesAreWrittenAsBefore() {
         GoldenSamples samples = new GoldenSamples();
-        messages().forEach((name, message) -> samples.bytes(name, Codec.bytes(message)));
-        for (Entry.Kind kind : Entry.Kind.values()) {
+        messages()
+                .forEach((name, message) -> samples.bytes(name, RaftMessageCodec.encode(message)));
+        for (LogEntry.Kind kind : LogEntry.Kind.values()) {
             samples.bytes(
-                    "entry of kind " + kind.code(), Codec.bytes(entry(3, kind, bytes("data"))));
+                    "entry of kind " + kind.code(),
+                    RaftCodec.encode(entry(3, kind, bytes("data"))));
         }
-        samples.bytes("members", Codec.bytes(GROUP));
-        samples.bytes("no members", Codec.bytes(Members.NONE));
-        samples.bytes("vote", Codec.bytes(new Vote(6, FIRST)));
-        samples.bytes("no vote", Codec.bytes(new Vote(6, null)));
-        samples.bytes("snapshot", Codec.bytes(Snapshot.of(8, 4, GROUP, STATE)));
+        samples.bytes("members", RaftCodec.encode(GROUP));
+        samples.bytes("no members", RaftCodec.encode(Membership.EMPTY));
+        samples.bytes("vote", RaftCodec.encode(new HardState(6, FIRST)));
+        samples.bytes("no vote", RaftCodec.encode(new HardState(6, MemberId.NONE)));
+        samples.bytes("snapshot", RaftCodec.encode(Snapshot.of(8, 4, GROUP, STATE)));
         samples.assertMatch(getClass(), MESSAGES);
     }
 
@@ -90,31 +96,40 @@
                 .forEach(
                         (name, message) -> {
                             byte[] golden = GoldenSamples.expectedBytes(getClass(), MESSAGES, name);
-                            Message read = Codec.message(golden);
+                            RaftMessage read = RaftMessageCodec.decode(golden);
                             assertEquals(read.getClass(), message.getClass(), name);
-                            assertEquals(Codec.bytes(read), golden, name);
+                            assertEquals(RaftMessageCodec.encode(read), golden, name);
                             assertThrows(
-                                    Codec.Unreadable.class,
-                                    () -> Codec.message(Arrays.copyOf(golden, golden.length - 1)));
+                                    MalformedBytesException.class,
+                                    () ->
+                                            RaftMessageCodec.decode(
+                                                    Arrays.copyOf(golden, golden.length - 1)));
                             assertThrows(
-                                    Codec.Unreadable.class,
-                                    () -> Codec.message(Arrays.copyOf(golden, golden.length + 1)));
+                                    MalformedBytesException.class,
+                                    () ->
+                                            RaftMessageCodec.decode(
+                                                    Arrays.copyOf(golden, golden.length + 1)));
                         });
         assertEquals(
-                Codec.members(GoldenSamples.expectedBytes(getClass(), MESSAGES, "members")), GROUP);
+                RaftCodec.decodeMembership(
+                        GoldenSamples.expectedBytes(getClass(), MESSAGES, "members")),
+                GROUP);
         assertEquals(
-                Codec.vote(GoldenSamples.expectedBytes(getClass(), MESSAGES, "vote")),
-                new Vote(6, FIRST));
+                RaftCodec.decodeHardState(
+                        GoldenSamples.expectedBytes(getClass(), MESSAGES, "vote")),
+                new HardState(6, FIRST));
         assertEquals(
-                Codec.vote(GoldenSamples.expectedBytes(getClass(), MESSAGES, "no vote")),
-                new Vote(6, null));
+                RaftCodec.decodeHardState(
+                        GoldenSamples.expectedBytes(getClass(), MESSAGES, "no vote")),
+                new HardState(6, MemberId.NONE));
         Snapshot snapshot =
-                Codec.snapshot(GoldenSamples.expectedBytes(getClass(), MESSAGES, "snapshot"));
-        assertEquals(snapshot.members(), GROUP);
+                RaftCodec.decodeSnapshot(
+                        GoldenSamples.expectedBytes(getClass(), MESSAGES, "snapshot"));
+        assertEquals(snapshot.membership(), GROUP);
         assertEquals(snapshot.data(), STATE);
-        for (Entry.Kind kind : Entry.Kind.values()) {
+        for (LogEntry.Kind kind : LogEntry.Kind.values()) {
             assertEquals(
-                    Codec.entry(
+                    RaftCodec.decodeEntry(
                                     GoldenSamples.expectedBytes(
                                             getClass(), MESSAGES, "entry of kind " + kind.code()))
                             .kind(),
@@ -122,60 +137,82 @@
         }
     }
 
+    private static WriteRequest request(
+            long number,
+            HardState hardState,
+            Snapshot snapshot,
+            boolean replacesLog,
+            List<LogEntry> entries) {
+        return new WriteRequest(
+                number,
+                Optional.ofNullable(hardState),
+                Optional.ofNullable(snapshot),
+                replacesLog,
+                entries);
+    }
+
     /** Votes, entries, a snapshot within the log and one in its place. */
     private static MemoryDisk written() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        Keeper keeper = Keeper.open(disk, FILE_BYTES);
-        keeper.keep(
+        RaftPersistence keeper = RaftPersistence.open(disk, FILE_BYTES);
+        keeper.write(
                 List.of(
-                        new Keeper.Order(1, new Vote(1, FIRST), null, false, List.of()),
-                        new Keeper.Order(
+                        request(1, new HardState(1, FIRST), null, false, List.of()),
+                        request(
                                 2,
                                 null,
                                 null,
                                 false,
-                                List.of(new Entry(1, 1, Entry.Kind.MEMBERS, Codec.bytes(GROUP))))));
-        keeper.keep(
+                                List.of(
+                                        new LogEntry(
+                                                1,
+                                                1,
+                                                LogEntry.Kind.MEMBERSHIP,
+                                                RaftCodec.encode(GROUP))))));
+        keeper.write(
                 List.of(
-                        new Keeper.Order(
+                        request(
                                 3,
                                 null,
                                 null,
                                 false,
                                 List.of(
-                                        new Entry(2, 1, Entry.Kind.NOTHING, new byte[0]),
-                                        new Entry(3, 1, Entry.Kind.COMMAND, bytes("a command"))))));
-        keeper.keep(
-                List.of(
-                        new Keeper.Order(
-                                4, null, Snapshot.of(2, 1, GROUP, STATE), false, List.of())));
-        keeper.keep(
+                                        new LogEntry(2, 1, LogEntry.Kind.NO_OP, new byte[0]),
+                                        new LogEntry(
+                                                3,
+                                                1,
+                                                LogEntry.Kind.COMMAND,
+                                                bytes("a command"))))));
+        keeper.write(List.of(request(4, null, Snapshot.of(2, 1, GROUP, STATE), false, List.of())));
+        keeper.write(
                 List.of(
-                        new Keeper.Order(
+                        request(
                                 5,
-                                new Vote(4, null),
+                                new HardState(4, MemberId.NONE),
                                 Snapshot.of(9, 3, GROUP, STATE),
                                 true,
                                 List.of()),
-                        new Keeper.Order(
+                        request(
                                 6,
                                 null,
                                 null,
                                 false,
                                 List.of(
-                                        new Entry(
+                                        new LogEntry(
                                                 10,
                                                 4,
-                                                Entry.Kind.COMMAND,
+                                                LogEntry.Kind.COMMAND,
                                                 bytes("x".repeat(400)))))));
-        keeper.keep(
+        keeper.write(
                 List.of(
-                        new Keeper.Order(
+                        request(
                                 7,
-                                new Vote(5, new MemberId(2)),
+                                new HardState(5, new MemberId(2)),
                                 null,
                                 false,
-                                List.of(new Entry(11, 5, Entry.Kind.COMMAND, bytes("last"))))));
+                                List.of(
+                                        new LogEntry(
+                                                11, 5, LogEntry.Kind.COMMAND, bytes("last"))))));
         return disk;
     }
 
@@ -183,7 +220,7 @@
     public void directoryIsWrittenAsBefore() throws IOException {
         MemoryDisk disk = written();
         GoldenSamples samples = new GoldenSamples();
-        for (String name : new TreeSet<>(disk.names())) {
+        for (String name : new TreeSet<>(disk.fileNames())) {
             samples.bytes(name, disk.read(name));
         }
         samples.assertMatch(getClass(), MEMBER);
@@ -192,17 +229,17 @@
     @Test
     public void directoryOfAnEarlierVersionIsRead() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        for (String name : written().names()) {
+        for (String name : written().fileNames()) {
             disk.put(name, GoldenSamples.expectedBytes(getClass(), MEMBER, name));
         }
         // A mark that what was once promised may be lost, as a start after a damaged log leaves it.
         disk.put("doubt", GoldenSamples.expectedBytes(getClass(), "doubt.txt", "doubt"));
-        Restored restored = Keeper.open(disk, FILE_BYTES).restored();
-        assertEquals(restored.vote(), new Vote(5, new MemberId(2)));
-        assertEquals(restored.doubtful(), true);
-        assertEquals(restored.snapshot().index(), 9);
-        assertEquals(restored.snapshot().data(), STATE);
-        assertEquals(restored.entries().stream().map(Entry::index).toList(), List.of(10L, 11L));
+        RecoveredState restored = RaftPersistence.open(disk, FILE_BYTES).takeRecovered();
+        assertEquals(restored.hardState(), new HardState(5, new MemberId(2)));
+        assertEquals(restored.isUntrusted(), true);
+        assertEquals(restored.snapshot().orElseThrow().index(), 9);
+        assertEquals(restored.snapshot().orElseThrow().data(), STATE);
+        assertEquals(restored.entries().stream().map(LogEntry::index).toList(), List.of(10L, 11L));
         assertEquals(restored.entries().get(1).data(), bytes("last"));
     }
 
@@ -214,7 +251,7 @@
     public void markOfADamagedLogIsWrittenAsBefore() throws IOException {
         MemoryDisk disk = written();
         String last =
-                new TreeSet<>(disk.names())
+                new TreeSet<>(disk.fileNames())
                         .stream()
                                 .filter(name -> name.startsWith("log-"))
                                 .reduce((one, other) -> other)
@@ -222,7 +259,7 @@
         byte[] damaged = disk.read(last);
         damaged[damaged.length - 1] ^= 1;
         disk.put(last, damaged);
-        assertEquals(Keeper.open(disk, FILE_BYTES).restored().doubtful(), true);
+        assertEquals(RaftPersistence.open(disk, FILE_BYTES).takeRecovered().isUntrusted(), true);
         new GoldenSamples().bytes("doubt", disk.read("doubt")).assertMatch(getClass(), "doubt.txt");
     }
 }
--- a/rig/src/main/java/embershift/rig/process/Measure.java
+++ b/rig/src/main/java/embershift/rig/process/Measure.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.hosted.RecordClient;
 import embershift.rig.history.History;
-import embershift.storage.Folder;
+import embershift.storage.FileSystemDisk;
 import embershift.storage.RecordLog;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -50,13 +50,13 @@
         Path path = Files.createTempDirectory("rig");
         long many = 0;
         double span = 2;
-        try (Folder folder = Folder.open(path);
+        try (FileSystemDisk folder = FileSystemDisk.open(path);
                 RecordLog log = RecordLog.open(folder, 8 << 20)) {
             byte[] body = new byte[120];
             for (long until = System.nanoTime() + (long) (span * 1e9);
                     System.nanoTime() < until;
                     many++) {
-                log.append(List.of(new RecordLog.Fresh(many, body)));
+                log.append(List.of(new RecordLog.NewRecord(many, body)));
                 log.force();
             }
         }
--- a/rig/src/main/java/embershift/rig/process/Play.java
+++ b/rig/src/main/java/embershift/rig/process/Play.java
@@ -5,7 +5,7 @@
 import embershift.rig.history.History;
 import embershift.rig.history.Linearizable;
 import embershift.rig.history.Operation;
-import embershift.storage.DrillDisk;
+import embershift.storage.FaultInjectingDisk;
 import java.io.IOException;
 import java.io.RandomAccessFile;
 import java.nio.file.Files;
@@ -308,8 +308,8 @@
                                 .folder(whom)
                                 .resolve(
                                         fault.what() == Schedule.What.DISK_FULL
-                                                ? DrillDisk.FULL
-                                                : DrillDisk.SLOW);
+                                                ? FaultInjectingDisk.FULL_MARKER
+                                                : FaultInjectingDisk.SLOW_MARKER);
                 quietly(() -> Files.write(mark, new byte[0]));
                 return () -> quietly(() -> Files.deleteIfExists(mark));
             }
@@ -398,7 +398,8 @@
     private String heal(double rested) throws IOException {
         ways.clearAll();
         for (String name : instances.names()) {
-            for (String mark : List.of(DrillDisk.FULL, DrillDisk.SLOW)) {
+            for (String mark :
+                    List.of(FaultInjectingDisk.FULL_MARKER, FaultInjectingDisk.SLOW_MARKER)) {
                 Files.deleteIfExists(instances.folder(name).resolve(mark));
             }
             if (instances.program(name).runs()) {
--- a/rig/src/main/java/embershift/rig/world/Scripts.java
+++ b/rig/src/main/java/embershift/rig/world/Scripts.java
@@ -1,19 +1,21 @@
 package embershift.rig.world;
 
-import embershift.raft.Bounds;
-import embershift.raft.Codec;
-import embershift.raft.Entry;
-import embershift.raft.Keeper;
+import embershift.raft.HardState;
+import embershift.raft.LogEntry;
 import embershift.raft.Member;
 import embershift.raft.MemberId;
-import embershift.raft.Members;
-import embershift.raft.Message;
-import embershift.raft.Outside;
-import embershift.raft.Pace;
+import embershift.raft.Membership;
+import embershift.raft.ProposeResult;
 import embershift.raft.Raft;
-import embershift.raft.Restored;
+import embershift.raft.RaftCodec;
+import embershift.raft.RaftEnvironment;
+import embershift.raft.RaftLimits;
+import embershift.raft.RaftMessage;
+import embershift.raft.RaftPersistence;
+import embershift.raft.RaftTiming;
+import embershift.raft.RecoveredState;
 import embershift.raft.Snapshot;
-import embershift.raft.Vote;
+import embershift.raft.WriteRequest;
 import embershift.storage.MemoryDisk;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -21,6 +23,7 @@
 import java.util.Deque;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
@@ -28,7 +31,7 @@
 /** Cases too rare for chance, led step by step: each returns what went wrong, or null. */
 public final class Scripts {
 
-    private static final Pace PACE = new Pace(2, 10, 20);
+    private static final RaftTiming PACE = new RaftTiming(2, 10, 20);
 
     private Scripts() {}
 
@@ -43,7 +46,7 @@
         return all.stream().filter(found -> found != null).findFirst().orElse(null);
     }
 
-    private record Word(MemberId from, MemberId to, Message message) {}
+    private record Word(MemberId from, MemberId to, RaftMessage message) {}
 
     /** Three members in one hand; what they say is passed on where {@code passes} lets it. */
     private static final class Three {
@@ -57,71 +60,66 @@
             for (long id = 1; id <= 3; id++) {
                 all.add(new Member(new MemberId(id), "i" + id, "", Member.Role.VOTER));
             }
-            byte[] agreed = Codec.bytes(Members.of(all));
+            byte[] agreed = RaftCodec.encode(Membership.of(all));
             for (Member member : all) {
                 start(
                         member.id(),
-                        new Restored(
-                                new Vote(1, null),
-                                null,
-                                List.of(new Entry(1, 1, Entry.Kind.MEMBERS, agreed)),
+                        new RecoveredState(
+                                new HardState(1, MemberId.NONE),
+                                Optional.empty(),
+                                List.of(new LogEntry(1, 1, LogEntry.Kind.MEMBERSHIP, agreed)),
                                 false),
                         1);
             }
         }
 
-        void start(MemberId id, Restored restored, long run) {
+        void start(MemberId id, RecoveredState restored, long run) {
             Raft[] raft = new Raft[1];
             raft[0] =
                     new Raft(
                             id,
                             PACE,
-                            Bounds.USUAL,
+                            RaftLimits.DEFAULTS,
                             restored,
                             run,
                             id.number(),
-                            new Outside() {
+                            new RaftEnvironment() {
                                 @Override
-                                public void send(MemberId to, Message message) {
+                                public void send(MemberId to, RaftMessage message) {
                                     words.add(new Word(id, to, message));
                                 }
 
                                 @Override
-                                public void persist(
-                                        long number,
-                                        Vote vote,
-                                        Snapshot snapshot,
-                                        boolean alone,
-                                        List<Entry> entries) {
+                                public void persist(WriteRequest request) {
                                     // Told by the script.
                                     words.add(new Word(null, id, null));
                                 }
 
                                 @Override
-                                public void sure() {}
+                                public void stateTrusted() {}
 
                                 @Override
-                                public void commit(Entry entry) {}
+                                public void committed(LogEntry entry) {}
 
                                 @Override
-                                public void restore(Snapshot snapshot) {}
+                                public void restored(Snapshot snapshot) {}
 
                                 @Override
-                                public void readable(long ticket, long index) {
+                                public void readReady(long ticket, long index) {
                                     readable.add(ticket);
                                 }
 
                                 @Override
-                                public void unreadable(long ticket) {}
+                                public void readRejected(long ticket) {}
 
                                 @Override
-                                public void leads(long term) {}
+                                public void becameLeader(long term) {}
 
                                 @Override
-                                public void follows(long term, MemberId leader) {}
+                                public void becameFollower(long term, Optional<MemberId> leader) {}
 
                                 @Override
-                                public void aside(MemberId from, byte[] said) {}
+                                public void applicationMessage(MemberId from, byte[] said) {}
                             });
             members.put(id, raft[0]);
         }
@@ -135,7 +133,7 @@
             while (!words.isEmpty()) {
                 Word word = words.remove();
                 if (word.from == null) {
-                    members.get(word.to).durable(Long.MAX_VALUE);
+                    members.get(word.to).writesCompleted(Long.MAX_VALUE);
                 } else if (passes.test(word)) {
                     members.get(word.to).receive(word.from, word.message);
                 }
@@ -151,7 +149,7 @@
 
         /** Time passes for these alone until one of them leads; which one, or 0. */
         long elect(long... some) {
-            for (int i = 0; i < 10 * PACE.election(); i++) {
+            for (int i = 0; i < 10 * PACE.electionTicks(); i++) {
                 for (long id : some) {
                     tick(id, 1);
                     if (at(id).role() == Raft.Role.LEADER) {
@@ -183,11 +181,11 @@
         Three three = new Three();
         three.elect(1);
         three.passes = word -> false;
-        Raft.Taken one =
-                three.at(1).add(new Member(new MemberId(4), "i4", "", Member.Role.LEARNER));
-        Raft.Taken other =
-                three.at(1).add(new Member(new MemberId(5), "i5", "", Member.Role.LEARNER));
-        return one.refusal() != null || other.refusal() == null
+        ProposeResult one =
+                three.at(1).addMember(new Member(new MemberId(4), "i4", "", Member.Role.LEARNER));
+        ProposeResult other =
+                three.at(1).addMember(new Member(new MemberId(5), "i5", "", Member.Role.LEARNER));
+        return one instanceof ProposeResult.Rejected || other instanceof ProposeResult.Accepted
                 ? "two changes of members are out: " + one + " " + other
                 : null;
     }
@@ -199,21 +197,24 @@
         three.at(3)
                 .receive(
                         one,
-                        new Message.Append(
+                        new RaftMessage.AppendRequest(
                                 2,
                                 1,
                                 1,
                                 List.of(
-                                        new Entry(2, 2, Entry.Kind.COMMAND, new byte[] {1}),
-                                        new Entry(3, 2, Entry.Kind.COMMAND, new byte[] {2})),
+                                        new LogEntry(2, 2, LogEntry.Kind.COMMAND, new byte[] {1}),
+                                        new LogEntry(3, 2, LogEntry.Kind.COMMAND, new byte[] {2})),
                                 1,
                                 3,
                                 0));
         three.words.clear();
-        three.at(3).durable(Long.MAX_VALUE);
+        three.at(3).writesCompleted(Long.MAX_VALUE);
         // The leader of term 3 has other entries, all agreed, and begins with the one before them.
-        three.at(3).receive(new MemberId(2), new Message.Append(3, 1, 1, List.of(), 3, 3, 0));
-        return three.at(3).commit() > 1
+        three.at(3)
+                .receive(
+                        new MemberId(2),
+                        new RaftMessage.AppendRequest(3, 1, 1, List.of(), 3, 3, 0));
+        return three.at(3).commitIndex() > 1
                 ? "entries that nobody sent in this term are taken for agreed"
                 : null;
     }
@@ -226,19 +227,26 @@
         }
         three.settle();
         MemberId last = new MemberId(3);
-        long had = three.at(1).matchOf(last);
-        List<Entry> left = new ArrayList<>();
+        long had = three.at(1).matchIndexOf(last);
+        List<LogEntry> left = new ArrayList<>();
         for (long i = 1; i <= had - 2; i++) {
-            left.add(three.at(3).entry(i));
+            left.add(three.at(3).entry(i).orElseThrow());
         }
-        three.start(last, new Restored(new Vote(three.at(1).term(), null), null, left, true), 2);
+        three.start(
+                last,
+                new RecoveredState(
+                        new HardState(three.at(1).term(), MemberId.NONE),
+                        Optional.empty(),
+                        left,
+                        true),
+                2);
         // It says what it has, and before it is helped the leader must not count what it had.
         three.passes =
                 word ->
-                        !(word.message instanceof Message.Append append
+                        !(word.message instanceof RaftMessage.AppendRequest append
                                 && !append.entries().isEmpty());
-        three.tick(1, 2 * PACE.heartbeat());
-        return three.at(1).matchOf(last) >= had
+        three.tick(1, 2 * PACE.heartbeatTicks());
+        return three.at(1).matchIndexOf(last) >= had
                 ? "counts what a member had before it lost it"
                 : null;
     }
@@ -246,25 +254,34 @@
     private static String doubtOutlastsACrash() {
         try {
             MemoryDisk disk = new MemoryDisk();
-            Keeper keeper = Keeper.open(disk, 1 << 20);
-            keeper.keep(
+            RaftPersistence keeper = RaftPersistence.open(disk, 1 << 20);
+            keeper.write(
                     List.of(
-                            new Keeper.Order(
+                            new WriteRequest(
                                     1,
-                                    new Vote(1, null),
-                                    null,
+                                    Optional.of(new HardState(1, MemberId.NONE)),
+                                    Optional.empty(),
                                     false,
-                                    List.of(new Entry(1, 1, Entry.Kind.NOTHING, new byte[0])))));
-            String name = disk.names().iterator().next();
+                                    List.of(
+                                            new LogEntry(
+                                                    1, 1, LogEntry.Kind.NO_OP, new byte[0])))));
+            String name = disk.fileNames().iterator().next();
             byte[] content = disk.read(name);
             content[content.length - 1] ^= 1;
             disk.put(name, content);
-            if (!Keeper.open(disk, 1 << 20).restored().doubtful()) {
+            if (!RaftPersistence.open(disk, 1 << 20).takeRecovered().isUntrusted()) {
                 return "a changed end raises no doubt";
             }
-            Keeper again = Keeper.open(disk, 1 << 20);
-            again.keep(List.of(new Keeper.Order(1, new Vote(2, null), null, false, List.of())));
-            return Keeper.open(disk, 1 << 20).restored().doubtful()
+            RaftPersistence again = RaftPersistence.open(disk, 1 << 20);
+            again.write(
+                    List.of(
+                            new WriteRequest(
+                                    1,
+                                    Optional.of(new HardState(2, MemberId.NONE)),
+                                    Optional.empty(),
+                                    false,
+                                    List.of())));
+            return RaftPersistence.open(disk, 1 << 20).takeRecovered().isUntrusted()
                     ? null
                     : "doubt is forgotten over a start";
         } catch (IOException e) {
--- a/rig/src/main/java/embershift/rig/world/World.java
+++ b/rig/src/main/java/embershift/rig/world/World.java
@@ -8,20 +8,22 @@
 import embershift.fleet.Replica;
 import embershift.fleet.SessionId;
 import embershift.fleet.Write;
-import embershift.raft.Bounds;
-import embershift.raft.Codec;
-import embershift.raft.Entry;
-import embershift.raft.Keeper;
+import embershift.raft.LogEntry;
 import embershift.raft.Member;
 import embershift.raft.MemberId;
-import embershift.raft.Message;
-import embershift.raft.Pace;
 import embershift.raft.Raft;
-import embershift.raft.Restored;
+import embershift.raft.RaftLimits;
+import embershift.raft.RaftMessage;
+import embershift.raft.RaftMessageCodec;
+import embershift.raft.RaftPersistence;
+import embershift.raft.RaftTiming;
+import embershift.raft.RecoveredState;
+import embershift.raft.Snapshot;
+import embershift.raft.WriteRequest;
 import embershift.rig.history.Linearizable;
 import embershift.rig.history.Operation;
 import embershift.storage.MemoryDisk;
-import embershift.storage.NoRoom;
+import embershift.storage.OutOfSpaceException;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -31,6 +33,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.Random;
 import java.util.Set;
@@ -80,10 +83,10 @@
     private final Map<String, Long> reached = new LinkedHashMap<>();
     private final double loss;
     private final double doubled;
-    private final Pace pace;
+    private final RaftTiming pace;
 
     /** Small, so that every bound is met and snapshots are needed. */
-    private final Bounds bounds;
+    private final RaftLimits bounds;
 
     private final boolean noisy;
 
@@ -103,7 +106,7 @@
     // What must hold over all of them.
     private final Map<Long, MemberId> leaders = new HashMap<>();
     private final Map<List<Long>, Integer> written = new HashMap<>();
-    private final TreeMap<Long, Entry> agreed = new TreeMap<>();
+    private final TreeMap<Long, LogEntry> agreed = new TreeMap<>();
 
     /** The term in which somebody first knew that the entry was agreed. */
     private final Map<Long, Long> agreedIn = new HashMap<>();
@@ -124,8 +127,8 @@
         Random draw = new Random(seed * 0x9E3779B97F4A7C15L + 1);
         size = 3 + 2 * draw.nextInt(2);
         loss = draw.nextInt(3) == 0 ? 0 : 0.25 * draw.nextDouble() * draw.nextDouble();
-        pace = new Pace(3, 9 + 3 * draw.nextInt(3), 30);
-        bounds = new Bounds(1 << 16, draw.nextBoolean() ? 1 : 600, 4, 20_000, 150, 1 << 20, 6);
+        pace = new RaftTiming(3, 9 + 3 * draw.nextInt(3), 30);
+        bounds = new RaftLimits(1 << 16, draw.nextBoolean() ? 1 : 600, 4, 20_000, 150, 1 << 20, 6);
         noisy = draw.nextBoolean();
         voterSpite = draw.nextBoolean() ? 0 : 0.2;
         winnerSpite = draw.nextBoolean() ? 0 : 0.5;
@@ -172,14 +175,14 @@
         private final double rate;
         private MemberId id;
         private MemoryDisk disk = new MemoryDisk();
-        private Keeper keeper;
+        private RaftPersistence keeper;
         private Replica replica;
         private long run;
         private boolean up;
         private boolean still;
         private double slowUntil;
         private double fullUntil;
-        private final List<Keeper.Order> orders = new ArrayList<>();
+        private final List<WriteRequest> orders = new ArrayList<>();
         private boolean writing;
         private final List<Runnable> held = new ArrayList<>();
         private final Map<MemberId, Long> runsHeard = new HashMap<>();
@@ -203,18 +206,18 @@
 
         void start() {
             try {
-                keeper = Keeper.open(disk, LOG_FILE);
-                Restored restored = keeper.restored();
-                if (keeper.cut() > 0) {
+                keeper = RaftPersistence.open(disk, LOG_FILE);
+                RecoveredState restored = keeper.takeRecovered();
+                if (keeper.truncatedBytes() > 0) {
                     count("torn writes cut");
                 }
-                if (restored.doubtful()) {
+                if (restored.isUntrusted()) {
                     count("started in doubt");
                 }
                 up = true;
                 still = false;
                 run++;
-                seen = restored.snapshot() == null ? 0 : restored.snapshot().index();
+                seen = restored.snapshot().map(Snapshot::index).orElse(0L);
                 replica =
                         new Replica(
                                 id, pace, bounds, HABITS, restored, run, chance.nextLong(), this);
@@ -254,12 +257,12 @@
 
         private void look() {
             Raft raft = replica.raft();
-            for (; seen < raft.commit(); seen++) {
-                Entry entry = raft.entry(seen + 1);
+            for (; seen < raft.commitIndex(); seen++) {
+                LogEntry entry = raft.entry(seen + 1).orElse(null);
                 if (entry == null) {
                     continue;
                 }
-                Entry before = agreed.putIfAbsent(entry.index(), entry);
+                LogEntry before = agreed.putIfAbsent(entry.index(), entry);
                 agreedIn.putIfAbsent(entry.index(), raft.term());
                 if (before != null
                         && (before.term() != entry.term()
@@ -277,14 +280,14 @@
             still = false;
             held.clear();
             // What was on its way to the disk got there in part, or not.
-            disk.full(false);
-            disk.dying(true);
+            disk.setFull(false);
+            disk.setCrashing(true);
             try {
-                keeper.keep(List.copyOf(orders));
+                keeper.write(List.copyOf(orders));
             } catch (IOException e) {
                 // All the same.
             }
-            disk.dying(false);
+            disk.setCrashing(false);
             disk.crash(chance);
             orders.clear();
             writing = false;
@@ -302,9 +305,9 @@
 
         void flip() {
             crash();
-            for (String name : disk.names()) {
+            for (String name : disk.fileNames()) {
                 if (name.startsWith("log-")
-                        && disk.names().stream()
+                        && disk.fileNames().stream()
                                 .noneMatch(
                                         other ->
                                                 other.startsWith("log-")
@@ -333,13 +336,13 @@
         }
 
         @Override
-        public void send(MemberId to, Message message) {
+        public void send(MemberId to, RaftMessage message) {
             Station target = station(to);
             if (target == null) {
                 return;
             }
-            byte[] bytes = Codec.bytes(message);
-            if (message instanceof Message.Install) {
+            byte[] bytes = RaftMessageCodec.encode(message);
+            if (message instanceof RaftMessage.SnapshotRequest) {
                 count("snapshot pieces");
             }
             long ownRun = run;
@@ -358,16 +361,18 @@
                             target.reach(
                                     () ->
                                             target.replica.receive(
-                                                    target.time(), from, Codec.message(bytes)));
+                                                    target.time(),
+                                                    from,
+                                                    RaftMessageCodec.decode(bytes)));
                         }
                     });
         }
 
         @Override
-        public void persist(Keeper.Order order) {
-            for (Entry entry : order.entries()) {
+        public void persist(WriteRequest order) {
+            for (LogEntry entry : order.entries()) {
                 int hash = Arrays.hashCode(entry.data()) * 31 + entry.kind().name().hashCode();
-                long before = replica == null ? -1 : replica.raft().termOf(entry.index() - 1);
+                long before = replica == null ? -1 : replica.raft().termAt(entry.index() - 1);
                 Integer other = written.putIfAbsent(List.of(entry.index(), entry.term()), hash);
                 if (other != null && other != hash) {
                     broken("two entries " + entry.index() + " of term " + entry.term());
@@ -381,8 +386,8 @@
                     }
                 }
             }
-            if (order.snapshot() != null) {
-                count(order.alone() ? "snapshots in place of a log" : "snapshots");
+            if (order.snapshot().isPresent()) {
+                count(order.replacesLog() ? "snapshots in place of a log" : "snapshots");
             }
             if (!order.entries().isEmpty() && order.entries().get(0).index() <= lastOrdered) {
                 count("conflicts cut");
@@ -392,7 +397,8 @@
             }
             orders.add(order);
             write();
-            if (order.vote() != null && order.vote().candidate() != null && spiteful(voterSpite)) {
+            if (order.hardState().filter(each -> each.votedFor().isPresent()).isPresent()
+                    && spiteful(voterSpite)) {
                 count("voters ended");
                 in(0.012 * chance.nextDouble(), this::crash);
                 in(0.015 + 0.02 * chance.nextDouble(), () -> startAgain(this));
@@ -431,17 +437,17 @@
                 return;
             }
             writing = false;
-            List<Keeper.Order> batch = List.copyOf(orders);
+            List<WriteRequest> batch = List.copyOf(orders);
             if (batch.isEmpty()) {
                 return;
             }
             try {
-                disk.full(now < fullUntil);
-                keeper.keep(batch);
+                disk.setFull(now < fullUntil);
+                keeper.write(batch);
                 orders.subList(0, batch.size()).clear();
                 long last = batch.get(batch.size() - 1).number();
                 reach(() -> replica.durable(time(), last));
-            } catch (NoRoom e) {
+            } catch (OutOfSpaceException e) {
                 count("writes without room");
             } catch (IOException e) {
                 broken("i" + number + " can't write: " + e);
@@ -454,7 +460,7 @@
         @Override
         public void sure() {
             try {
-                keeper.sure();
+                keeper.markTrusted();
                 count("doubts cleared");
             } catch (IOException e) {
                 broken("i" + number + " can't write: " + e);
@@ -470,7 +476,7 @@
         }
 
         @Override
-        public void role(boolean leads, long term, MemberId leader) {
+        public void role(boolean leads, long term, Optional<MemberId> leader) {
             if (leads) {
                 count("elections won");
                 if (spiteful(winnerSpite)) {
@@ -480,12 +486,12 @@
                 if (before != null && !before.equals(id)) {
                     broken("two leaders in term " + term);
                 }
-                for (Entry entry : agreed.values()) {
-                    long have = replica.raft().termOf(entry.index());
+                for (LogEntry entry : agreed.values()) {
+                    long have = replica.raft().termAt(entry.index());
                     // One that stood still may win a term that is long over: what came after it, it
                     // can't have.
                     if (agreedIn.get(entry.index()) < term
-                            && entry.index() > replica.raft().base()
+                            && entry.index() > replica.raft().compactedIndex()
                             && have != entry.term()) {
                         broken(
                                 "the leader of term "
@@ -766,8 +772,9 @@
         tend(
                 0,
                 leader -> {
-                    if (leader.replica.raft().members().get(id) == null
-                            && leader.replica.raft().commit() == leader.replica.raft().last()) {
+                    if (leader.replica.raft().membership().find(id).isEmpty()
+                            && leader.replica.raft().commitIndex()
+                                    == leader.replica.raft().lastIndex()) {
                         then.run();
                         return true;
                     }
@@ -780,9 +787,11 @@
         tend(
                 0,
                 leader -> {
-                    Member member = leader.replica.raft().members().get(station.id);
+                    Member member =
+                            leader.replica.raft().membership().find(station.id).orElse(null);
                     if (member != null
-                            && leader.replica.raft().commit() == leader.replica.raft().last()
+                            && leader.replica.raft().commitIndex()
+                                    == leader.replica.raft().lastIndex()
                             && (member.role() == Member.Role.VOTER
                                     || role == Member.Role.LEARNER)) {
                         count("members taken in");
@@ -864,7 +873,7 @@
                                             if (!a.up) {
                                                 return true;
                                             }
-                                            if (a.replica.raft().doubtful()) {
+                                            if (a.replica.raft().isUntrusted()) {
                                                 return false;
                                             }
                                             tending = false;
@@ -954,7 +963,7 @@
 
     private int members() {
         Station leader = leader();
-        return leader == null ? 0 : leader.replica.raft().members().voters().size();
+        return leader == null ? 0 : leader.replica.raft().membership().voters().size();
     }
 
     private Runnable cut(List<List<Integer>> ways) {
@@ -1044,12 +1053,12 @@
                     .append(" term ")
                     .append(raft.term())
                     .append(" agreed ")
-                    .append(raft.commit())
+                    .append(raft.commitIndex())
                     .append(" of ")
-                    .append(raft.last())
-                    .append(raft.doubtful() ? " in doubt " : " ")
+                    .append(raft.lastIndex())
+                    .append(raft.isUntrusted() ? " in doubt " : " ")
                     .append(
-                            raft.members().all().stream()
+                            raft.membership().members().stream()
                                     .map(member -> member.id() + "=" + member.role())
                                     .toList());
         }
@@ -1069,8 +1078,8 @@
             broken("nobody leads though all is well again");
             return;
         }
-        long least = leader.replica.raft().commit() - 30;
-        for (Member member : leader.replica.raft().members().all()) {
+        long least = leader.replica.raft().commitIndex() - 30;
+        for (Member member : leader.replica.raft().membership().members()) {
             Station station = station(member.id());
             if (station != null && station.up && station.replica.record().applied() < least) {
                 broken(
--- a/rig/src/test/java/embershift/rig/WorldsTest.java
+++ b/rig/src/test/java/embershift/rig/WorldsTest.java
@@ -95,119 +95,122 @@
         return Path.of("..", module, "src/main/java/embershift", module, name + ".java");
     }
 
-    private static final String RAFT = "raft/Raft";
-
     @DataProvider
     public Object[][] mistakes() {
         return new Object[][] {
             {
                 "vote not persisted",
-                RAFT,
-                "votedFor = from;\n                persist(true, null, false, List.of());",
-                "votedFor = from;"
+                "raft/ElectionProtocol",
+                "state.votedFor = from; state.writeHardState();",
+                "state.votedFor = from;"
             },
             {
                 "term not persisted",
-                RAFT,
-                "votedFor = null;\n            persist(true, null, false, List.of());",
-                "votedFor = null;"
+                "raft/ElectionProtocol",
+                "state.votedFor = MemberId.NONE; state.writeHardState();",
+                "state.votedFor = MemberId.NONE;"
             },
             {
                 "entry of an earlier term agreed by count",
-                RAFT,
-                "if (place > commit && log.term(place) == term) {",
-                "if (place > commit) {"
+                "raft/Leadership",
+                "if (index > state.commitIndex && state.log.termAt(index) == state.term) {",
+                "if (index > state.commitIndex) {"
             },
             {
                 "promise before it is on disk",
-                RAFT,
-                "onceDurable(() -> outside.send(to, message));",
-                "outside.send(to, message);"
+                "raft/RaftState",
+                "writes.whenDurable(() -> environment.send(to, message));",
+                "environment.send(to, message);"
             },
             {
                 "leader counts what it has not on disk",
-                RAFT,
-                "return id.equals(self) ? onDisk :",
-                "return id.equals(self) ? log.last() :"
+                "raft/Replication",
+                "return state.writes.durableIndex();",
+                "return state.log.lastIndex();"
             },
             {
                 "read without a round",
-                RAFT,
-                "long have = members().voters().stream().filter(id -> id.equals(self)",
-                "long have = members().voters().stream().filter(id -> true || id.equals(self)"
+                "raft/ReadRequests",
+                "if (!replication.hasQuorumSince(activeRound)) {",
+                "if (false) {"
             },
             {
                 "read before anything of the term is agreed",
-                RAFT,
-                "if (!reading.isEmpty() || nextReading.isEmpty() || commit < firstOfTerm) {",
-                "if (!reading.isEmpty() || nextReading.isEmpty()) {"
+                "raft/ReadRequests",
+                "|| queuedTickets.isEmpty() || state.commitIndex < state.termStartIndex) {",
+                "|| queuedTickets.isEmpty()) {"
             },
             {
                 "vote for a log that is behind",
-                RAFT,
-                "if (!free || !current || doubtful",
-                "if (!free || doubtful"
+                "raft/ElectionProtocol",
+                "return hasVote && isUpToDate && !state.isUntrusted",
+                "return hasVote && !state.isUntrusted"
             },
             {
                 "member in doubt votes",
-                RAFT,
-                "if (!free || !current || doubtful",
-                "if (!free || !current"
+                "raft/ElectionProtocol",
+                "return hasVote && isUpToDate && !state.isUntrusted",
+                "return hasVote && isUpToDate"
             },
             {
                 "two votes in a term",
-                RAFT,
-                "from.equals(votedFor) || (votedFor == null && leader == null)",
-                "from.equals(votedFor) || (leader == null)"
+                "raft/ElectionProtocol",
+                "|| candidate.equals(state.votedFor) || (!state.votedFor.isPresent() && !state.hasLeader());",
+                "|| candidate.equals(state.votedFor) || !state.hasLeader();"
             },
             {
                 "conflict not cut",
-                RAFT,
-                "if (entry.index() <= log.last() && log.term(entry.index()) != entry.term()) {",
+                "raft/FollowerLog",
+                "if (entry.index() <= log.lastIndex() && log.termAt(entry.index()) != entry.term()) {",
                 "if (false) {"
             },
             {
                 "agrees to more than it has",
-                RAFT,
-                "Math.min(message.commit(), match)",
-                "Math.min(message.commit(), log.last())"
+                "raft/FollowerLog",
+                "Math.min(request.leaderCommit(), matchIndex)",
+                "Math.min(request.leaderCommit(), log.lastIndex())"
             },
             {
                 "acknowledges its whole log",
-                RAFT,
-                "new Message.AppendReply(term, true, match,",
-                "new Message.AppendReply(term, true, log.last(),"
+                "raft/FollowerLog",
+                "acknowledge(leader, matchIndex, request.heartbeatRound());",
+                "acknowledge(leader, log.lastIndex(), request.heartbeatRound());"
             },
             {
                 "match kept over a start of the member",
-                RAFT,
-                "if (progress.run != 0) {",
+                "raft/FollowerProgress",
+                "if (incarnation != 0) {",
                 "if (false) {"
             },
             {
                 "half is a majority",
-                "raft/Members",
+                "raft/Membership",
                 "return voters.size() / 2 + 1;",
                 "return (voters.size() + 1) / 2;"
             },
             {
                 "two changes of members at a time",
-                RAFT,
-                "commit < firstOfTerm || memberships.lastKey() > commit ||",
-                "commit < firstOfTerm ||"
+                "raft/MembershipChanges",
+                "|| state.memberships.latestIndex() > state.commitIndex",
+                ""
             },
             {
                 "snapshot over a log that differs",
-                RAFT,
-                "boolean alone = log.term(whole.index()) != whole.term();",
-                "boolean alone = log.last() < whole.index();"
+                "raft/FollowerLog",
+                "boolean replacesLog = state.log.termAt(index) != snapshot.term();",
+                "boolean replacesLog = state.log.lastIndex() < index;"
+            },
+            {"not forced", "raft/RaftPersistence", "log.force();", ""},
+            {
+                "doubt not kept",
+                "raft/RaftPersistence",
+                "ChecksummedFile.write(disk, UNTRUSTED_MARKER, new byte[0]);",
+                ""
             },
-            {"not forced", "raft/Keeper", "log.force();\n", "\n"},
-            {"doubt not kept", "raft/Keeper", "Sealed.write(disk, DOUBT, new byte[0]);", ""},
             {
                 "vote lost with the oldest file",
-                "raft/Keeper",
-                "records.add(0, record(0, VOTE, Codec.bytes(vote)));",
+                "raft/RaftPersistence",
+                "records.add(0, record(0, HARD_STATE, RaftCodec.encode(hardState)));",
                 ""
             },
             {
@@ -219,15 +222,10 @@
             {
                 "command carried out again",
                 "fleet/KeyValueStore",
-                "if (before != null) {\n            return before;",
-                "if (false) {\n            return before;"
-            },
-            {
-                "torn write not cut",
-                "storage/RecordLog",
-                "torn = true;\n                    break;",
-                "break;"
+                "if (before != null) { return before;",
+                "if (false) { return before;"
             },
+            {"torn write not cut", "storage/LogRecovery", "hasTornEnd = true;", ""},
         };
     }
 
--- a/storage/src/main/java/embershift/storage/Disk.java
+++ b/storage/src/main/java/embershift/storage/Disk.java
@@ -6,39 +6,45 @@
 import java.util.Set;
 
 /**
- * The files of one folder, as this package needs them: a seam, so that a full, slow or failing disk
- * can be tried without the machine's. Names are plain, without separators. All calls may wait.
+ * The files of one directory. An interface, so that a full, slow or failing disk can be tested
+ * without one. File names are plain, without separators. All calls may block.
  */
 public interface Disk {
 
-    /** The names of all files. */
-    Set<String> names() throws IOException;
+    /** Returns the names of all files. */
+    Set<String> fileNames() throws IOException;
 
-    /** The whole file. */
+    /** Reads a whole file. */
     byte[] read(String name) throws IOException;
 
-    /** Opens a file to write on at its end; makes it where there is none. */
-    Appending append(String name) throws IOException;
+    /** Opens a file for appending, and creates it where it does not exist. */
+    AppendFile openForAppend(String name) throws IOException;
 
-    /** Shortens a file to so many bytes; on disk when this returns. */
-    void cut(String name, long length) throws IOException;
+    /** Truncates a file to {@code length} bytes. The change is durable when this returns. */
+    void truncate(String name, long length) throws IOException;
 
     /**
-     * Gives a file this content, whole or not at all, whatever happens meanwhile; on disk when this
-     * returns.
+     * Replaces the content of a file atomically: after a crash at any point it has either its old
+     * or its new content. The change is durable when this returns.
+     *
+     * @throws OutOfSpaceException if the disk is full; the old content is still there
      */
     void replace(String name, byte[] content) throws IOException;
 
-    /** Takes files away; it is no harm where there are none. */
+    /** Deletes files; names of files that do not exist are ignored. */
     void delete(Set<String> names) throws IOException;
 
-    /** A file that grows. */
-    interface Appending extends Closeable {
+    /** A file open for appending. */
+    interface AppendFile extends Closeable {
 
-        /** Writes all of it; where that fails, some of it may have been written. */
+        /**
+         * Appends all remaining bytes.
+         *
+         * @throws OutOfSpaceException if the disk is full; part of the bytes may have been written
+         */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** Returns once all that was written is on disk. */
+        /** Returns once everything written so far is durable. */
         void force() throws IOException;
     }
 }
--- a/storage/src/main/java/embershift/storage/MemoryDisk.java
+++ b/storage/src/main/java/embershift/storage/MemoryDisk.java
@@ -10,60 +10,54 @@
 import java.util.TreeSet;
 
 /**
- * A folder in memory, for simulations: what was not forced is lost in a crash, all of it or in
- * part.
+ * A directory in memory, for simulations. A simulated crash loses some or all of the bytes that
+ * were not forced.
  */
 public final class MemoryDisk implements Disk {
 
     private static final class Content {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        private int forced;
+        private int durableLength;
+
+        void setDurable(byte[] newBytes) {
+            bytes.reset();
+            bytes.writeBytes(newBytes);
+            durableLength = newBytes.length;
+        }
     }
 
     private final TreeMap<String, Content> files = new TreeMap<>();
-    private boolean full;
-    private boolean dying;
-
-    /**
-     * Whether it takes nothing more from now on, but for the first half of what is written next.
-     */
-    public void full(boolean now) {
-        full = now;
+    private boolean isFull;
+    private boolean isCrashing;
+
+    /** Makes the disk full: of each write only the first half is accepted, then it fails. */
+    public void setFull(boolean full) {
+        isFull = full;
     }
 
-    /**
-     * Whether the machine ends before anything more is forced: what is written until then may be
-     * lost.
-     */
-    public void dying(boolean now) {
-        dying = now;
+    /** Makes each sync fail, as on a machine that is about to crash. */
+    public void setCrashing(boolean crashing) {
+        isCrashing = crashing;
     }
 
-    /**
-     * The machine ends: of what was not forced only a beginning is left, as long as chance has it.
-     */
-    public void crash(Random chance) {
+    /** Simulates a crash: of the bytes not forced, each file keeps a prefix of random length. */
+    public void crash(Random random) {
         for (Content content : files.values()) {
-            int kept = content.forced + chance.nextInt(content.bytes.size() - content.forced + 1);
-            set(content, Arrays.copyOf(content.bytes.toByteArray(), kept));
+            int unforced = content.bytes.size() - content.durableLength;
+            int keptLength = content.durableLength + random.nextInt(unforced + 1);
+            content.setDurable(Arrays.copyOf(content.bytes.toByteArray(), keptLength));
         }
     }
 
-    /** Puts a file there, as if it had been so all along. */
+    /** Puts a durable file there. */
     public void put(String name, byte[] bytes) {
         Content content = new Content();
-        set(content, bytes);
+        content.setDurable(bytes);
         files.put(name, content);
     }
 
-    private static void set(Content content, byte[] bytes) {
-        content.bytes.reset();
-        content.bytes.writeBytes(bytes);
-        content.forced = bytes.length;
-    }
-
     @Override
-    public Set<String> names() {
+    public Set<String> fileNames() {
         return new TreeSet<>(files.keySet());
     }
 
@@ -81,45 +75,21 @@
     }
 
     @Override
-    public Appending append(String name) {
-        Content content = files.computeIfAbsent(name, none -> new Content());
-        return new Appending() {
-            @Override
-            public void write(ByteBuffer bytes) throws IOException {
-                int many = full ? bytes.remaining() / 2 : bytes.remaining();
-                byte[] part = new byte[many];
-                bytes.get(part);
-                content.bytes.writeBytes(part);
-                if (full) {
-                    throw new NoRoom("full", null);
-                }
-            }
-
-            @Override
-            public void force() throws IOException {
-                if (dying) {
-                    throw new IOException("the machine has ended");
-                }
-                content.forced = content.bytes.size();
-            }
-
-            @Override
-            public void close() {}
-        };
+    public AppendFile openForAppend(String name) {
+        return new MemoryFile(files.computeIfAbsent(name, none -> new Content()));
     }
 
     @Override
-    public void cut(String name, long length) throws IOException {
-        set(content(name), Arrays.copyOf(content(name).bytes.toByteArray(), (int) length));
+    public void truncate(String name, long length) throws IOException {
+        Content content = content(name);
+        content.setDurable(Arrays.copyOf(content.bytes.toByteArray(), (int) length));
     }
 
     @Override
     public void replace(String name, byte[] bytes) throws IOException {
-        if (dying) {
-            throw new IOException("the machine has ended");
-        }
-        if (full) {
-            throw new NoRoom("full", null);
+        checkNotCrashing();
+        if (isFull) {
+            throw new OutOfSpaceException("full", null);
         }
         put(name, bytes);
     }
@@ -128,4 +98,41 @@
     public void delete(Set<String> names) {
         files.keySet().removeAll(names);
     }
+
+    private void checkNotCrashing() throws IOException {
+        if (isCrashing) {
+            throw new IOException("the machine has ended");
+        }
+    }
+
+    private final class MemoryFile implements AppendFile {
+
+        private final Content content;
+
+        MemoryFile(Content content) {
+            this.content = content;
+        }
+
+        @Override
+        public void write(ByteBuffer bytes) throws IOException {
+            int acceptedLength = isFull ? bytes.remaining() / 2 : bytes.remaining();
+            byte[] accepted = new byte[acceptedLength];
+            bytes.get(accepted);
+            content.bytes.writeBytes(accepted);
+            if (isFull) {
+                throw new OutOfSpaceException("full", null);
+            }
+        }
+
+        @Override
+        public void force() throws IOException {
+            checkNotCrashing();
+            content.durableLength = content.bytes.size();
+        }
+
+        @Override
+        public void close() {
+            // Nothing is held open.
+        }
+    }
 }
--- a/storage/src/test/java/embershift/storage/RecordLogTest.java
+++ b/storage/src/test/java/embershift/storage/RecordLogTest.java
@@ -23,11 +23,11 @@
 
     private static final long FILE = 200;
 
-    private static List<RecordLog.Fresh> records(int from, int to) {
-        List<RecordLog.Fresh> records = new ArrayList<>();
+    private static List<RecordLog.NewRecord> records(int from, int to) {
+        List<RecordLog.NewRecord> records = new ArrayList<>();
         for (int i = from; i < to; i++) {
             records.add(
-                    new RecordLog.Fresh(
+                    new RecordLog.NewRecord(
                             i,
                             ("record " + i + "x".repeat(i % 7)).getBytes(StandardCharsets.UTF_8)));
         }
@@ -45,9 +45,9 @@
     }
 
     private static int found(Disk disk) throws IOException {
-        RecordLog.Found found = RecordLog.open(disk, FILE).found();
+        RecordLog.Recovery found = RecordLog.open(disk, FILE).takeRecovery();
         for (int i = 0; i < found.records().size(); i++) {
-            assertEquals(found.records().get(i).mark(), i);
+            assertEquals(found.records().get(i).retentionKey(), i);
             assertEquals(found.records().get(i).body(), records(i, i + 1).get(0).body());
         }
         return found.records().size();
@@ -56,30 +56,30 @@
     /** The files of a disk, with one of them in place of what it was. */
     private static MemoryDisk with(Disk disk, String name, byte[] content) throws IOException {
         MemoryDisk other = new MemoryDisk();
-        for (String each : disk.names()) {
+        for (String each : disk.fileNames()) {
             other.put(each, each.equals(name) ? content : disk.read(each));
         }
         return other;
     }
 
     private static String last(Disk disk) throws IOException {
-        return disk.names().stream().reduce((one, other) -> other).orElseThrow();
+        return disk.fileNames().stream().reduce((one, other) -> other).orElseThrow();
     }
 
     @Test
     public void killAtEachByteOfTheLastFileLosesOnlyWhatWasNotWhole() throws Exception {
         MemoryDisk disk = written(20);
-        assertTrue(disk.names().size() > 3);
+        assertTrue(disk.fileNames().size() > 3);
         String name = last(disk);
         byte[] whole = disk.read(name);
         int before = 20;
         for (int length = whole.length; length >= 0; length--) {
             MemoryDisk cut = with(disk, name, Arrays.copyOf(whole, length));
             RecordLog log = RecordLog.open(cut, FILE);
-            RecordLog.Found found = log.found();
+            RecordLog.Recovery found = log.takeRecovery();
             int many = found.records().size();
             assertTrue(many == before || many == before - 1, length + ": " + many);
-            assertFalse(found.doubtful());
+            assertFalse(found.isUntrusted());
             before = many;
             log.append(records(many, many + 2));
             log.force();
@@ -93,18 +93,18 @@
         MemoryDisk disk = written(20);
         int cuts = 0;
         int refused = 0;
-        for (String name : disk.names()) {
+        for (String name : disk.fileNames()) {
             byte[] content = disk.read(name);
             for (int at = 0; at < content.length; at++) {
                 byte[] changed = content.clone();
                 changed[at] ^= (byte) (1 << (at % 8));
                 MemoryDisk other = with(disk, name, changed);
                 try {
-                    RecordLog.Found found = RecordLog.open(other, FILE).found();
+                    RecordLog.Recovery found = RecordLog.open(other, FILE).takeRecovery();
                     assertEquals(found.records().size(), 19, name + " at " + at);
-                    assertTrue(found.doubtful());
+                    assertTrue(found.isUntrusted());
                     cuts++;
-                } catch (Damaged e) {
+                } catch (CorruptDataException e) {
                     assertFalse(e.getMessage().contains("\n"));
                     refused++;
                 }
@@ -116,8 +116,8 @@
     @Test
     public void fileThatIsMissingInTheMiddleIsRefused() throws Exception {
         MemoryDisk disk = written(20);
-        disk.delete(Set.of(disk.names().stream().skip(1).findFirst().orElseThrow()));
-        assertThrows(Damaged.class, () -> RecordLog.open(disk, FILE));
+        disk.delete(Set.of(disk.fileNames().stream().skip(1).findFirst().orElseThrow()));
+        assertThrows(CorruptDataException.class, () -> RecordLog.open(disk, FILE));
     }
 
     @Test
@@ -127,15 +127,15 @@
         int many = 0;
         for (int i = 0; i < 40; i++) {
             int next = many;
-            disk.full(i % 3 != 0);
+            disk.setFull(i % 3 != 0);
             if (i % 3 == 0) {
                 log.append(records(next, next + 1));
                 log.force();
                 many++;
             } else {
-                assertThrows(NoRoom.class, () -> log.append(records(next, next + 1)));
+                assertThrows(OutOfSpaceException.class, () -> log.append(records(next, next + 1)));
             }
-            disk.full(false);
+            disk.setFull(false);
             MemoryDisk copy = with(disk, null, null);
             assertEquals(found(copy), many);
         }
@@ -146,28 +146,28 @@
     public void oldestFilesGoOnceTheirMarksAreBelowAndTheRestIsRead() throws Exception {
         MemoryDisk disk = written(20);
         RecordLog log = RecordLog.open(disk, FILE);
-        int files = log.files();
-        log.dropBelow(10);
-        assertTrue(log.files() < files);
-        List<RecordLog.Kept> left = RecordLog.open(disk, FILE).found().records();
-        assertTrue(left.get(0).mark() <= 10 && left.get(0).mark() > 0);
-        assertEquals(left.get(left.size() - 1).mark(), 19);
+        int files = log.fileCount();
+        log.discardBelow(10);
+        assertTrue(log.fileCount() < files);
+        List<RecordLog.StoredRecord> left = RecordLog.open(disk, FILE).takeRecovery().records();
+        assertTrue(left.get(0).retentionKey() <= 10 && left.get(0).retentionKey() > 0);
+        assertEquals(left.get(left.size() - 1).retentionKey(), 19);
     }
 
     @Test
     public void folderOfTheSystemKeepsTheSameAndBelongsToOneAtATime() throws Exception {
         Path path = Files.createTempDirectory("embershift");
-        try (Folder folder = Folder.open(path)) {
+        try (FileSystemDisk folder = FileSystemDisk.open(path)) {
             RecordLog log = RecordLog.open(folder, FILE);
             log.append(records(0, 20));
             log.force();
             log.close();
             assertEquals(found(folder), 20);
-            new Snapshots(folder).write(3, new byte[] {1});
-            new Snapshots(folder).write(4, new byte[] {2});
-            assertEquals(new Snapshots(folder).latest(), new byte[] {2});
-            assertThrows(IOException.class, () -> Folder.open(path));
-            for (String name : folder.names()) {
+            new SnapshotStore(folder).write(3, new byte[] {1});
+            new SnapshotStore(folder).write(4, new byte[] {2});
+            assertEquals(new SnapshotStore(folder).latest().orElseThrow(), new byte[] {2});
+            assertThrows(IOException.class, () -> FileSystemDisk.open(path));
+            for (String name : folder.fileNames()) {
                 folder.delete(Set.of(name));
             }
         }
@@ -178,27 +178,30 @@
     @Test
     public void snapshotThatWasChangedOrCutIsRefused() throws Exception {
         MemoryDisk disk = new MemoryDisk();
-        new Snapshots(disk).write(1, "content".getBytes(StandardCharsets.UTF_8));
+        new SnapshotStore(disk).write(1, "content".getBytes(StandardCharsets.UTF_8));
         byte[] whole = disk.read(last(disk));
         for (int at = 0; at < whole.length; at++) {
             byte[] changed = whole.clone();
             changed[at] ^= 4;
             assertThrows(
-                    Damaged.class, () -> new Snapshots(with(disk, last(disk), changed)).latest());
+                    CorruptDataException.class,
+                    () -> new SnapshotStore(with(disk, last(disk), changed)).latest());
             byte[] cut = Arrays.copyOf(whole, at);
-            assertThrows(Damaged.class, () -> new Snapshots(with(disk, last(disk), cut)).latest());
+            assertThrows(
+                    CorruptDataException.class,
+                    () -> new SnapshotStore(with(disk, last(disk), cut)).latest());
         }
     }
 
     @Test
     public void drillFillsTheDiskUntilItsFileIsTakenAway() throws Exception {
         MemoryDisk under = new MemoryDisk();
-        DrillDisk disk = new DrillDisk(under);
+        FaultInjectingDisk disk = new FaultInjectingDisk(under);
         RecordLog log = RecordLog.open(disk, FILE);
         log.append(records(0, 1));
-        under.put(DrillDisk.FULL, new byte[0]);
-        assertThrows(NoRoom.class, () -> log.append(records(1, 2)));
-        under.delete(Set.of(DrillDisk.FULL));
+        under.put(FaultInjectingDisk.FULL_MARKER, new byte[0]);
+        assertThrows(OutOfSpaceException.class, () -> log.append(records(1, 2)));
+        under.delete(Set.of(FaultInjectingDisk.FULL_MARKER));
         log.append(records(1, 2));
         assertEquals(found(under), 2);
     }
--- a/storage/src/test/java/embershift/storage/StoredFormatTest.java
+++ b/storage/src/test/java/embershift/storage/StoredFormatTest.java
@@ -24,8 +24,8 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static RecordLog.Fresh record(long mark, String text) {
-        return new RecordLog.Fresh(mark, body(text));
+    private static RecordLog.NewRecord record(long mark, String text) {
+        return new RecordLog.NewRecord(mark, body(text));
     }
 
     private static MemoryDisk written() throws IOException {
@@ -35,9 +35,9 @@
         log.append(List.of(record(Long.MAX_VALUE, "third, in the same file as those before it")));
         log.append(List.of(record(9, "fourth")));
         log.force();
-        Sealed.write(disk, "identity", body("who"));
-        new Snapshots(disk).write(3, body("an older snapshot"));
-        new Snapshots(disk).write(1234567, body("state"));
+        ChecksummedFile.write(disk, "identity", body("who"));
+        new SnapshotStore(disk).write(3, body("an older snapshot"));
+        new SnapshotStore(disk).write(1234567, body("state"));
         return disk;
     }
 
@@ -45,7 +45,7 @@
     public void filesAreWrittenAsBefore() throws IOException {
         MemoryDisk disk = written();
         GoldenSamples samples = new GoldenSamples();
-        for (String name : new TreeSet<>(disk.names())) {
+        for (String name : new TreeSet<>(disk.fileNames())) {
             samples.bytes(name, disk.read(name));
         }
         samples.assertMatch(getClass(), GOLDEN);
@@ -54,27 +54,27 @@
     @Test
     public void filesOfAnEarlierVersionAreRead() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        for (String name : written().names()) {
+        for (String name : written().fileNames()) {
             disk.put(name, GoldenSamples.expectedBytes(getClass(), GOLDEN, name));
         }
-        RecordLog.Found found = RecordLog.open(disk, FILE_BYTES).found();
-        assertEquals(found.cut(), 0);
+        RecordLog.Recovery found = RecordLog.open(disk, FILE_BYTES).takeRecovery();
+        assertEquals(found.truncatedBytes(), 0);
         assertEquals(
-                found.records().stream().map(RecordLog.Kept::mark).toList(),
+                found.records().stream().map(RecordLog.StoredRecord::retentionKey).toList(),
                 List.of(7L, -1L, Long.MAX_VALUE, 9L));
         assertEquals(
                 found.records().get(2).body(), body("third, in the same file as those before it"));
-        assertEquals(Sealed.read(disk, "identity"), body("who"));
-        assertEquals(new Snapshots(disk).latest(), body("state"));
+        assertEquals(ChecksummedFile.read(disk, "identity"), body("who"));
+        assertEquals(new SnapshotStore(disk).latest().orElseThrow(), body("state"));
     }
 
     /** A directory of the system holds the same names and bytes, and its lock file. */
     @Test
     public void directoryHoldsTheSameFiles() throws IOException {
         Path path = Files.createTempDirectory("stored");
-        try (Folder folder = Folder.open(path)) {
+        try (FileSystemDisk folder = FileSystemDisk.open(path)) {
             MemoryDisk disk = written();
-            for (String name : disk.names()) {
+            for (String name : disk.fileNames()) {
                 folder.replace(name, disk.read(name));
             }
             try (var files = Files.list(path)) {
@@ -88,13 +88,13 @@
                                         "log-0000000000000004",
                                         "snapshot-0000000001234567")));
             }
-            for (String name : disk.names()) {
+            for (String name : disk.fileNames()) {
                 assertEquals(Files.readAllBytes(path.resolve(name)), disk.read(name));
             }
             Files.writeString(path.resolve("identity.new"), "left by a process that was killed");
-            assertEquals(disk.names().size(), 4);
+            assertEquals(disk.fileNames().size(), 4);
         }
-        Folder.open(path).close();
+        FileSystemDisk.open(path).close();
         assertEquals(Files.exists(path.resolve("identity.new")), false);
     }
 
@@ -103,11 +103,11 @@
     public void changedByteIsSeen() throws IOException {
         MemoryDisk disk = written();
         Random random = new Random(1);
-        for (String name : disk.names()) {
+        for (String name : disk.fileNames()) {
             byte[] changed = disk.read(name);
             changed[random.nextInt(changed.length)] ^= 1;
             GoldenSamples samples = new GoldenSamples();
-            for (String each : disk.names()) {
+            for (String each : disk.fileNames()) {
                 samples.bytes(each, each.equals(name) ? changed : disk.read(each));
             }
             org.testng.Assert.assertThrows(
