--- a/door/src/main/java/embershift/door/Door.java
+++ b/door/src/main/java/embershift/door/Door.java
@@ -2,18 +2,18 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.fleet.Admission;
-import embershift.fleet.Diary;
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Gate;
-import embershift.fleet.HostsChange;
-import embershift.fleet.HostsHeld;
-import embershift.fleet.Hybrid;
-import embershift.fleet.Revision;
-import embershift.fleet.RevisionHeld;
-import embershift.fleet.Segment;
-import embershift.fleet.Trace;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.audit.AuditLog;
+import embershift.fleet.audit.AuditSegment;
+import embershift.fleet.audit.HybridLogicalClock;
+import embershift.fleet.endpoints.AppliedEndpoints;
+import embershift.fleet.endpoints.EndpointUpdate;
+import embershift.fleet.lease.FencingGuard;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.OrderAdmission;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.rollout.AppliedRevision;
+import embershift.fleet.rollout.ConfigRevision;
 import embershift.model.HostId;
 import embershift.model.Listing;
 import embershift.operations.Bans;
@@ -36,6 +36,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import java.util.SortedMap;
@@ -67,22 +68,22 @@
     private static final double COUNTS = 15;
 
     private static final double COUNTS_IDLE = 60;
-    private static final DutyId LISTS = new DutyId("lists");
-    private static final DutyId ROLLOUT = new DutyId("rollout");
-    private static final DutyId RELEASE_DUTY = new DutyId(RELEASE);
+    private static final TaskId LISTS = new TaskId("lists");
+    private static final TaskId ROLLOUT = new TaskId("rollout");
+    private static final TaskId RELEASE_DUTY = new TaskId(RELEASE);
     private static final List<String> TUNNELS =
             List.of("tunnels opened", "tunnels declined", "tunnels closed with error");
     private static final List<String> SHORT = List.of("opened", "declined", "failed");
 
     private final DoorFile file;
     private final String boot = Long.toHexString(new SecureRandom().nextLong());
-    private final Gate gate = new Gate();
-    private final Admission admission;
-    private final HostsHeld hosts = new HostsHeld();
-    private final RevisionHeld revision = new RevisionHeld();
-    private final Diary diary;
+    private final FencingGuard gate = new FencingGuard();
+    private final OrderAdmission admission;
+    private final AppliedEndpoints hosts = new AppliedEndpoints();
+    private final AppliedRevision revision = new AppliedRevision();
+    private final AuditLog diary;
     private final List<InstanceLink> links = new ArrayList<>();
-    private final Map<DutyId, Double> unsure = new HashMap<>();
+    private final Map<TaskId, Double> unsure = new HashMap<>();
     private Node node;
     private Loop loop;
     private Router router;
@@ -120,8 +121,8 @@
 
     public Door(DoorFile file) {
         this.file = file;
-        admission = new Admission(gate, file.oldest());
-        diary = new Diary(file.trail());
+        admission = new OrderAdmission(gate, file.oldest());
+        diary = new AuditLog(file.trail());
     }
 
     @Override
@@ -136,7 +137,7 @@
         heardAt = startedAt;
         countedAt = startedAt;
         router.lists(this);
-        enter(Trace.Kind.STARTED, Map.of(REVISION, "0", "boot", boot), "");
+        enter(AuditEntry.Kind.STARTED, Map.of(REVISION, "0", "boot", boot), "");
         for (String instance : file.instances()) {
             links.add(new InstanceLink(Toml.socket(instance)));
         }
@@ -145,13 +146,13 @@
         look();
     }
 
-    private void enter(Trace.Kind kind, Map<String, String> fields, String words) {
-        diary.enter(System.currentTimeMillis(), kind, fields, words);
+    private void enter(AuditEntry.Kind kind, Map<String, String> fields, String words) {
+        diary.append(System.currentTimeMillis(), kind, fields, words);
     }
 
     @Override
     public boolean ready() {
-        if (admission.outWhy() != null || leaving) {
+        if (admission.shutOutReason().isPresent() || leaving) {
             return false;
         }
         if (welcomed) {
@@ -165,7 +166,7 @@
     public void leaves() {
         leaving = true;
         countTunnels(true);
-        enter(Trace.Kind.ENDS, Map.of(), "");
+        enter(AuditEntry.Kind.ENDS, Map.of(), "");
         reportNow();
         tellTrail(true);
     }
@@ -187,7 +188,7 @@
                             aloneDue = false;
                             router.tally().count("lists missed, discovery asked");
                             enter(
-                                    Trace.Kind.LED,
+                                    AuditEntry.Kind.LED,
                                     Map.of("by", "discovery"),
                                     "no list for " + file.alone() + " s");
                             router.led(false);
@@ -200,7 +201,7 @@
         }
         if (ready() != readyTold) {
             readyTold = ready();
-            enter(Trace.Kind.READY, Map.of("ready", String.valueOf(readyTold)), "");
+            enter(AuditEntry.Kind.READY, Map.of("ready", String.valueOf(readyTold)), "");
             reportNow();
         }
         if (now - countedAt >= COUNTS) {
@@ -230,12 +231,12 @@
                         .put("clock", now)
                         .put("incarnation", incarnation)
                         .put(REVISION, revision.number())
-                        .put("chain", revision.chain())
-                        .put("content", Revision.content(actedOn()))
+                        .put("chain", revision.chainDigest())
+                        .put("content", ConfigRevision.contentDigest(actedOn()))
                         .put("ready", node.serving() && ready())
-                        .put("refused", revision.refused())
-                        .put("why", revision.why())
-                        .put("list-fence", hosts.fence().number())
+                        .put("refused", revision.rejectedNumber())
+                        .put("why", revision.rejectionReason())
+                        .put("list-fence", hosts.token().number())
                         .put("list", hosts.number())
                         .put("led", led)
                         .put("open", router.openTunnels())
@@ -259,18 +260,20 @@
                 .forEach(
                         host ->
                                 acted.put(
-                                        Revision.OUT + host.name(),
+                                        ConfigRevision.EJECTED_PREFIX + host.name(),
                                         revision.fields()
-                                                .getOrDefault(Revision.OUT + host.name(), "")));
+                                                .getOrDefault(
+                                                        ConfigRevision.EJECTED_PREFIX + host.name(),
+                                                        "")));
         revision.fields()
                 .forEach(
                         (field, value) -> {
                             switch (field) {
-                                case Revision.DISCOVERY ->
+                                case ConfigRevision.DISCOVERY ->
                                         acted.put(field, Addresses.written(router.discovery()));
-                                case Revision.SOCKETS ->
+                                case ConfigRevision.SOCKETS ->
                                         acted.put(field, String.valueOf(router.descriptors()));
-                                case Revision.PEERS ->
+                                case ConfigRevision.PEERS ->
                                         acted.put(
                                                 field,
                                                 String.join(
@@ -305,18 +308,19 @@
         if (!fields.isEmpty() || always) {
             countedAt = loop.now();
             fields.put(REVISION, String.valueOf(revision.number()));
-            enter(Trace.Kind.TUNNELS, fields, "");
+            enter(AuditEntry.Kind.TUNNELS, fields, "");
         }
     }
 
     private void tellTrail(boolean again) {
-        if (incarnation == 0 || admission.outWhy() != null) {
+        if (incarnation == 0 || admission.shutOutReason().isPresent()) {
             return;
         }
-        Segment segment = diary.next(name, incarnation);
-        if (segment == null) {
+        Optional<AuditSegment> next = diary.nextSegment(name, incarnation);
+        if (next.isEmpty()) {
             return;
         }
+        AuditSegment segment = next.get();
         toldTrailAt = loop.now();
         for (int i = 0; i < links.size(); i++) {
             // Another than last time, where that one did not keep it.
@@ -326,7 +330,7 @@
                 link.say(
                         Words.node("trail")
                                 .put("number", segment.number())
-                                .put("text", segment.text()));
+                                .put("text", segment.encode()));
                 return;
             }
         }
@@ -337,7 +341,9 @@
     private void askFences(double now) {
         unsure.forEach(
                 (duty, asked) -> {
-                    if (gate.highest(duty) == null && now - asked >= AGAIN && !links.isEmpty()) {
+                    if (gate.highestKnown(duty).isEmpty()
+                            && now - asked >= AGAIN
+                            && !links.isEmpty()) {
                         unsure.put(duty, now);
                         links.get(asking++ % links.size()).ask(duty);
                     }
@@ -348,45 +354,50 @@
 
     private void order(InstanceLink from, ObjectNode order) {
         double now = loop.now();
-        DutyId duty = new DutyId(order.path("duty").asText());
-        Fence fence = new Fence(order.path("fence").asLong());
-        Admission.Word word = admission.take(now, duty, fence, order.path("seen").asDouble());
+        TaskId duty = new TaskId(order.path("duty").asText());
+        FencingToken fence = new FencingToken(order.path("fence").asLong());
+        OrderAdmission.Decision word =
+                admission.decide(now, duty, fence, order.path("seen").asDouble());
         ObjectNode verdict =
                 Words.node("verdict")
                         .put("id", order.path("id").asLong())
                         .put("duty", duty.name())
-                        .put("verdict", word.verdict().name())
-                        .put("why", word.why())
-                        .put("known", word.known() == null ? 0 : word.known().number());
-        router.tally().count("orders " + word.verdict().name().toLowerCase(Locale.ROOT));
-        if (word.verdict() == Admission.Verdict.TAKEN) {
+                        .put("verdict", word.verdict().wireName())
+                        .put("why", word.reason())
+                        .put("known", word.knownToken().map(FencingToken::number).orElse(0L));
+        router.tally().count("orders " + word.verdict().wireName().toLowerCase(Locale.ROOT));
+        if (word.verdict() == OrderAdmission.Verdict.ADMITTED) {
             carryOut(duty, fence, order, verdict, () -> from.say(verdict));
             return;
         }
-        if (word.verdict() == Admission.Verdict.UNSURE) {
+        if (word.verdict() == OrderAdmission.Verdict.TOKEN_UNKNOWN) {
             unsure.putIfAbsent(duty, Double.NEGATIVE_INFINITY);
         } else {
             enter(
-                    Trace.Kind.ORDER,
+                    AuditEntry.Kind.ORDER,
                     Map.of(
                             "duty",
                             duty.name(),
                             "fence",
                             String.valueOf(fence.number()),
                             "verdict",
-                            word.verdict().name(),
+                            word.verdict().wireName(),
                             "id",
                             order.path("id").asText()),
-                    word.why());
+                    word.reason());
         }
         from.say(verdict);
     }
 
     private void carryOut(
-            DutyId duty, Fence fence, ObjectNode order, ObjectNode verdict, Runnable answer) {
+            TaskId duty,
+            FencingToken fence,
+            ObjectNode order,
+            ObjectNode verdict,
+            Runnable answer) {
         String what = order.path("what").asText();
         if (what.equals("hosts") && duty.equals(LISTS)) {
-            verdict.put("end", hosts(fence, order).name());
+            verdict.put("end", hosts(fence, order).wireName());
             answer.run();
         } else if (what.equals(REVISION) && duty.equals(ROLLOUT)) {
             revision(fence, order, verdict, answer);
@@ -397,7 +408,7 @@
             Set<HostId> before = bans.of(RELEASE);
             bans.by(RELEASE, out);
             if (!before.equals(out)) {
-                enter(Trace.Kind.ORDER, traceOfOut(duty, fence, before, out), "");
+                enter(AuditEntry.Kind.ORDER, traceOfOut(duty, fence, before, out), "");
             }
             // Behind the round that takes it.
             loop.execute(
@@ -414,7 +425,7 @@
     }
 
     private static Map<String, String> traceOfOut(
-            DutyId duty, Fence fence, Set<HostId> before, Set<HostId> out) {
+            TaskId duty, FencingToken fence, Set<HostId> before, Set<HostId> out) {
         Map<String, String> fields =
                 new TreeMap<>(Map.of("duty", duty.name(), "fence", String.valueOf(fence.number())));
         out.stream()
@@ -426,16 +437,16 @@
         return fields;
     }
 
-    private HostsHeld.End hosts(Fence fence, ObjectNode order) {
-        HostsChange change =
-                new HostsChange(
+    private AppliedEndpoints.Outcome hosts(FencingToken fence, ObjectNode order) {
+        EndpointUpdate change =
+                new EndpointUpdate(
                         order.path("number").asLong(),
                         order.path("base").asLong(),
                         order.path("generation").asLong(),
                         Words.texts(order.path("changed")),
                         Words.list(order.path("gone")));
-        HostsHeld.End end = hosts.take(fence, change);
-        if (end != HostsHeld.End.TAKEN && end != HostsHeld.End.SAME) {
+        AppliedEndpoints.Outcome end = hosts.apply(fence, change);
+        if (end != AppliedEndpoints.Outcome.APPLIED && end != AppliedEndpoints.Outcome.UNCHANGED) {
             return end;
         }
         ledAt = loop.now();
@@ -443,7 +454,7 @@
         if (!led) {
             led = true;
             enter(
-                    Trace.Kind.LED,
+                    AuditEntry.Kind.LED,
                     Map.of(
                             "by",
                             "list",
@@ -454,17 +465,19 @@
                     "");
             router.led(true);
             router.listed(whole());
-        } else if (end == HostsHeld.End.TAKEN) {
+        } else if (end == AppliedEndpoints.Outcome.APPLIED) {
             router.tally().count("lists taken");
             router.listed(
-                    change.base() == 0 ? whole() : page(false, change.changed(), change.gone()));
+                    change.baseNumber() == 0
+                            ? whole()
+                            : page(false, change.changed(), change.removed()));
         }
         return end;
     }
 
     @Override
     public void discoverySaid(long generation) {
-        hosts.discoverySaid(generation);
+        hosts.discoveryReported(generation);
     }
 
     @Override
@@ -502,19 +515,21 @@
                 page.generation(), false, listings, page.addresses(), page.unreadable());
     }
 
-    private void revision(Fence fence, ObjectNode order, ObjectNode verdict, Runnable answer) {
+    private void revision(
+            FencingToken fence, ObjectNode order, ObjectNode verdict, Runnable answer) {
         long number = order.path("number").asLong();
         // Whatever has been answered until now was answered by the revision before.
         countTunnels(false);
-        RevisionHeld.Taken taken =
-                revision.take(
-                        number,
-                        order.path("base").asLong(),
-                        order.path("chain").asText(),
-                        order.path("content").asText(),
-                        Words.texts(order.path("fields")),
-                        this::act);
-        verdict.put("end", taken.end().name()).put("why", taken.why());
+        AppliedRevision.Result taken =
+                revision.apply(
+                        new AppliedRevision.Order(
+                                number,
+                                order.path("base").asLong(),
+                                order.path("chain").asText(),
+                                order.path("content").asText(),
+                                Words.changes(order.path("fields"))),
+                        fields -> Optional.ofNullable(act(fields)));
+        verdict.put("end", taken.outcome().wireName()).put("why", taken.reason());
         Map<String, String> fields =
                 new TreeMap<>(
                         Map.of(
@@ -522,17 +537,17 @@
                                 String.valueOf(number),
                                 "fence",
                                 String.valueOf(fence.number())));
-        if (taken.end() == RevisionHeld.End.REFUSED) {
+        if (taken.outcome() == AppliedRevision.Outcome.REJECTED) {
             node.log(
                     "revision "
                             + number
                             + " is refused, "
                             + revision.number()
                             + " stays: "
-                            + taken.why());
-            enter(Trace.Kind.REFUSED, fields, taken.why());
+                            + taken.reason());
+            enter(AuditEntry.Kind.REFUSED, fields, taken.reason());
         }
-        if (taken.end() != RevisionHeld.End.TAKEN) {
+        if (taken.outcome() != AppliedRevision.Outcome.APPLIED) {
             answer.run();
             reportNow();
             return;
@@ -547,13 +562,13 @@
                         return;
                     }
                     fields.put("from", String.valueOf(actedOnNumber));
-                    fields.put("content", Revision.content(actedOn()));
+                    fields.put("content", ConfigRevision.contentDigest(actedOn()));
                     Set<HostId> was = outOf(actedOnFields);
                     actedOnNumber = number;
                     actedOnFields = revision.fields();
                     Set<HostId> is = outOf(revision.fields());
                     fields.putAll(traceOfOut(ROLLOUT, fence, was, is));
-                    enter(Trace.Kind.TOOK, fields, "");
+                    enter(AuditEntry.Kind.TOOK, fields, "");
                     setUpsCounted.keySet().retainAll(is);
                     is.forEach(host -> setUpsCounted.putIfAbsent(host, router.setUps(host)));
                     node.log("goes by revision " + number);
@@ -565,8 +580,13 @@
     private static Set<HostId> outOf(SortedMap<String, String> fields) {
         Set<HostId> out = new LinkedHashSet<>();
         fields.keySet().stream()
-                .filter(field -> field.startsWith(Revision.OUT))
-                .forEach(field -> out.add(new HostId(field.substring(Revision.OUT.length()))));
+                .filter(field -> field.startsWith(ConfigRevision.EJECTED_PREFIX))
+                .forEach(
+                        field ->
+                                out.add(
+                                        new HostId(
+                                                field.substring(
+                                                        ConfigRevision.EJECTED_PREFIX.length()))));
         return out;
     }
 
@@ -582,8 +602,8 @@
             String value = field.getValue();
             try {
                 switch (field.getKey()) {
-                    case Revision.DISCOVERY -> toDiscovery = Addresses.read(value);
-                    case Revision.SOCKETS -> {
+                    case ConfigRevision.DISCOVERY -> toDiscovery = Addresses.read(value);
+                    case ConfigRevision.SOCKETS -> {
                         if (!value.matches("\\d{1,6}")
                                 || Integer.parseInt(value) < 2 * Router.OPERATORS) {
                             return "sockets: "
@@ -593,7 +613,7 @@
                         }
                         toSockets = Integer.parseInt(value);
                     }
-                    case Revision.PEERS -> {
+                    case ConfigRevision.PEERS -> {
                         toPeers = new ArrayList<>();
                         for (String peer :
                                 value.isEmpty()
@@ -603,8 +623,9 @@
                         }
                     }
                     default -> {
-                        if (!field.getKey().startsWith(Revision.OUT)
-                                || field.getKey().length() == Revision.OUT.length()) {
+                        if (!field.getKey().startsWith(ConfigRevision.EJECTED_PREFIX)
+                                || field.getKey().length()
+                                        == ConfigRevision.EJECTED_PREFIX.length()) {
                             return field.getKey() + " is not known here";
                         }
                     }
@@ -619,7 +640,7 @@
         peers = toPeers;
         router.reconfigure(adapt(node.configuration()));
         if (!discoveryBefore.equals(router.discovery())) {
-            hosts.discoverySaid(Long.MIN_VALUE);
+            hosts.discoveryReported(Long.MIN_VALUE);
         }
         bans.by(REVISION, outOf(fields));
         return null;
@@ -631,10 +652,10 @@
     }
 
     private void out(String why) {
-        if (admission.outWhy() == null) {
+        if (admission.shutOutReason().isEmpty()) {
             admission.shutOut(why);
             node.log("shut out: " + why);
-            enter(Trace.Kind.OUT, Map.of(), why);
+            enter(AuditEntry.Kind.OUT, Map.of(), why);
             node.end(SHUT_OUT);
         }
     }
@@ -659,7 +680,7 @@
         /** The instance's clock, in the latest of its words. */
         private double instanceAt;
 
-        private final Map<Long, DutyId> asked = new LinkedHashMap<>();
+        private final Map<Long, TaskId> asked = new LinkedHashMap<>();
         private long calls;
 
         InstanceLink(InetSocketAddress address) {
@@ -745,7 +766,7 @@
             }
         }
 
-        void ask(DutyId duty) {
+        void ask(TaskId duty) {
             if (link != null && connected) {
                 asked.put(++calls, duty);
                 link.write(
@@ -753,7 +774,7 @@
                                 Frames.CALL,
                                 Words.node()
                                         .put("call", "get")
-                                        .put("key", duty.fenceKey())
+                                        .put("key", duty.tokenKey())
                                         .put("id", calls)
                                         .put("version", 1)));
             }
@@ -788,17 +809,17 @@
         }
 
         private void answered(JsonNode answer) {
-            DutyId duty = asked.remove(answer.path("id").asLong());
+            TaskId duty = asked.remove(answer.path("id").asLong());
             if (duty != null && answer.path("end").asText().equals("done")) {
-                gate.told(duty, new Fence(answer.path("items").path(0).path("revision").asLong()));
+                gate.learnLatest(
+                        duty,
+                        new FencingToken(answer.path("items").path(0).path("revision").asLong()));
             }
         }
 
         private void taken(ObjectNode words) {
-            Hybrid time = Hybrid.read(words.path("time").asText(""));
-            if (time != null) {
-                diary.heard(time, System.currentTimeMillis());
-            }
+            HybridLogicalClock.decode(words.path("time").asText(""))
+                    .ifPresent(time -> diary.observe(time, System.currentTimeMillis()));
             floor = Math.max(floor, words.path("floor").asLong());
             instanceAt = Math.max(instanceAt, words.path("at").asDouble());
             switch (words.path("kind").asText()) {
@@ -817,7 +838,7 @@
                 case "heard" -> heardAt = loop.now();
                 case "order" -> order(this, words);
                 case "kept" -> {
-                    diary.kept(words.path("number").asLong());
+                    diary.acknowledged(words.path("number").asLong());
                     tellTrail(false);
                 }
                 case "out" -> out(words.path("why").asText());
--- a/door/src/main/java/embershift/door/Words.java
+++ b/door/src/main/java/embershift/door/Words.java
@@ -11,6 +11,7 @@
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 
 /**
@@ -83,6 +84,18 @@
         texts.forEach(object::put);
     }
 
+    /** The values of an object by their names; empty for those that are null. */
+    public static Map<String, Optional<String>> changes(JsonNode object) {
+        Map<String, Optional<String>> changes = new LinkedHashMap<>();
+        texts(object).forEach((name, value) -> changes.put(name, Optional.ofNullable(value)));
+        return changes;
+    }
+
+    /** Writes values by their names; null for those that are empty. */
+    public static void changes(ObjectNode object, Map<String, Optional<String>> changes) {
+        changes.forEach((name, value) -> object.put(name, value.orElse(null)));
+    }
+
     public static Set<String> list(JsonNode array) {
         Set<String> texts = new LinkedHashSet<>();
         array.forEach(each -> texts.add(each.asText()));
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.fleet.Revision;
+import embershift.fleet.rollout.ConfigRevision;
 import embershift.operations.Bans;
 import embershift.program.Companion;
 import embershift.protocol.NodeConfiguration;
@@ -23,6 +23,8 @@
 import java.util.Deque;
 import java.util.HexFormat;
 import java.util.Map;
+import java.util.Optional;
+import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -203,17 +205,35 @@
         say(Frames.ANSWER, answer);
     }
 
-    private ObjectNode revision(Revision revision, long base, Map<String, String> fields) {
-        ObjectNode order =
-                order("rollout", "revision", 30)
-                        .put("number", revision.number())
-                        .put("base", base)
-                        .put("chain", revision.chain())
-                        .put("content", revision.content());
-        Words.texts(order.putObject("fields"), fields);
+    private static SortedMap<String, Optional<String>> changes(String... namesAndValues) {
+        SortedMap<String, Optional<String>> changes = new TreeMap<>();
+        for (int at = 0; at < namesAndValues.length; at += 2) {
+            changes.put(namesAndValues[at], Optional.of(namesAndValues[at + 1]));
+        }
+        return changes;
+    }
+
+    private ObjectNode whole(ConfigRevision revision) {
+        ObjectNode order = order(revision, 0);
+        Words.texts(order.putObject("fields"), revision.fields());
         return order;
     }
 
+    private ObjectNode revision(
+            ConfigRevision revision, long base, Map<String, Optional<String>> changes) {
+        ObjectNode order = order(revision, base);
+        Words.changes(order.putObject("fields"), changes);
+        return order;
+    }
+
+    private ObjectNode order(ConfigRevision revision, long base) {
+        return order("rollout", "revision", 30)
+                .put("number", revision.number())
+                .put("base", base)
+                .put("chain", revision.chainDigest())
+                .put("content", revision.contentDigest());
+    }
+
     private ObjectNode hosts(long number, long base, long fence) {
         ObjectNode order =
                 order("lists", "hosts", fence)
@@ -292,19 +312,19 @@
         verdict("list of an older number", hosts(0, 0, 20));
         verdict("list behind discovery", hosts(11, 0, 21).put("generation", 4));
         tellFence("rollout", 30);
-        Revision first = Revision.NONE.next(Map.of("out/h1", "why", "sockets", "500"));
+        ConfigRevision first = ConfigRevision.NONE.next(changes("out/h1", "why", "sockets", "500"));
         verdict(
                 "revision against one not held",
-                revision(first.next(Map.of("out/h3", "x")), 1, Map.of("out/h3", "x")));
-        verdict("whole revision", revision(first, 0, first.fields()));
-        verdict("revision once more, by difference", revision(first, 1, Map.of()));
-        Revision refused = first.next(Map.of("unknown", "x"));
+                revision(first.next(changes("out/h3", "x")), 1, changes("out/h3", "x")));
+        verdict("whole revision", whole(first));
+        verdict("revision once more, by difference", revision(first, 1, changes()));
+        ConfigRevision refused = first.next(changes("unknown", "x"));
         verdict("revision that is refused", revision(refused, 1, refused.differenceFrom(first)));
-        Map<String, String> changes = new TreeMap<>(Map.of("out/h2", "x"));
-        changes.put("out/h1", null);
-        Revision second = first.next(changes);
+        SortedMap<String, Optional<String>> changes = changes("out/h2", "x");
+        changes.put("out/h1", Optional.empty());
+        ConfigRevision second = first.next(changes);
         verdict("revision by difference", revision(second, 1, second.differenceFrom(first)));
-        verdict("older revision", revision(first, 0, first.fields()));
+        verdict("older revision", whole(first));
         tellFence("release", 40);
         ObjectNode out = order("release", "out", 40);
         out.putArray("hosts").add("h4");
--- a/emulator/src/test/java/embershift/ArchitectureTest.java
+++ b/emulator/src/test/java/embershift/ArchitectureTest.java
@@ -42,7 +42,7 @@
                 .layer("raft")
                 .definedBy("embershift.raft")
                 .layer("fleet")
-                .definedBy("embershift.fleet")
+                .definedBy("embershift.fleet..")
                 .layer("door")
                 .definedBy("embershift.door")
                 .layer("hosted")
@@ -99,6 +99,41 @@
                 .check(PROGRAM);
     }
 
+    @Test
+    public void packagesOfTheStoreAndItsControllersBuildOnOneAnother() {
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("digest")
+                .definedBy("embershift.fleet.digest")
+                .layer("store")
+                .definedBy("embershift.fleet.store")
+                .layer("lease")
+                .definedBy("embershift.fleet.lease")
+                .layer("endpoints")
+                .definedBy("embershift.fleet.endpoints")
+                .layer("audit")
+                .definedBy("embershift.fleet.audit")
+                .layer("rollout")
+                .definedBy("embershift.fleet.rollout")
+                .layer("restart")
+                .definedBy("embershift.fleet.restart")
+                .whereLayer("digest")
+                .mayOnlyBeAccessedByLayers("audit", "rollout")
+                .whereLayer("store")
+                .mayOnlyBeAccessedByLayers("lease", "endpoints", "audit")
+                .whereLayer("lease")
+                .mayOnlyBeAccessedByLayers("endpoints")
+                .whereLayer("endpoints")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("audit")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("rollout")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("restart")
+                .mayNotBeAccessedByAnyLayer()
+                .check(PROGRAM);
+    }
+
     @Test
     public void theModuleStandsOnNothingAndDoesNoInputOrOutput() {
         classes()
@@ -125,14 +160,14 @@
         // RaftPersistence is the one that a disk is handed to.
         classes()
                 .that()
-                .resideInAnyPackage("embershift.raft", "embershift.fleet")
+                .resideInAnyPackage("embershift.raft", "embershift.fleet..")
                 .and()
                 .doNotHaveSimpleName("RaftPersistence")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage(
                         "embershift.raft",
-                        "embershift.fleet",
+                        "embershift.fleet..",
                         "java.lang",
                         "java.lang.invoke",
                         "java.lang.runtime",
@@ -147,7 +182,7 @@
                 .check(PROGRAM);
         noClasses()
                 .that()
-                .resideInAnyPackage("embershift.raft", "embershift.fleet")
+                .resideInAnyPackage("embershift.raft", "embershift.fleet..")
                 .and()
                 .doNotHaveSimpleName("RaftPersistence")
                 .should()
@@ -164,7 +199,7 @@
                         "embershift.model",
                         "embershift.policy",
                         "embershift.raft",
-                        "embershift.fleet")
+                        "embershift.fleet..")
                 .should()
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
--- /dev/null
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditReport.java
@@ -0,0 +1,213 @@
+package embershift.fleet.audit;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.TreeMap;
+import java.util.TreeSet;
+
+/**
+ * Which node acted on which config revision, as the stored audit logs tell, and what they can't
+ * tell. The same segments give the same answers. Times are in milliseconds since 1970.
+ */
+public final class AuditReport {
+
+    /**
+     * What a node acted on at a time.
+     *
+     * @param revision empty if that is not known
+     * @param evidence for people: how that is known, or why not
+     */
+    public record RevisionInForce(String node, Optional<Long> revision, String evidence) {}
+
+    /**
+     * Who acted on a revision.
+     *
+     * @param mayHaveUsed nodes of which that can't be ruled out, and why
+     */
+    public record RevisionUsers(
+            List<RevisionPeriod> used, Map<String, String> mayHaveUsed, List<String> neverUsed) {}
+
+    /** An entry and the node it is of. */
+    public record NodeEntry(String node, AuditEntry entry) {}
+
+    private final List<IncarnationLog> logs = new ArrayList<>();
+    private final TreeMap<String, Long> latestIncarnations;
+    private final List<RevisionPeriod> periods = new ArrayList<>();
+    private final List<String> problems = new ArrayList<>();
+
+    /**
+     * Creates a report.
+     *
+     * @param segments stored texts, in the order of their keys
+     * @param latestIncarnations of each name in the store
+     * @param checkpoints stored texts by key
+     */
+    public AuditReport(
+            Collection<String> segments,
+            Map<String, Long> latestIncarnations,
+            Map<String, String> checkpoints) {
+        this.latestIncarnations = new TreeMap<>(latestIncarnations);
+        decode(segments)
+                .forEach(
+                        (node, byIncarnation) ->
+                                byIncarnation.forEach(
+                                        (incarnation, ofLog) ->
+                                                add(node, incarnation, ofLog, checkpoints)));
+    }
+
+    private Map<String, Map<Long, List<AuditSegment>>> decode(Collection<String> texts) {
+        Map<String, Map<Long, List<AuditSegment>>> segments = new TreeMap<>();
+        for (String text : texts) {
+            AuditSegment.decode(text)
+                    .ifPresentOrElse(
+                            segment ->
+                                    segments.computeIfAbsent(
+                                                    segment.node(), none -> new TreeMap<>())
+                                            .computeIfAbsent(
+                                                    segment.incarnation(),
+                                                    none -> new ArrayList<>())
+                                            .add(segment),
+                            () ->
+                                    problems.add(
+                                            "a segment can't be read, or was changed: "
+                                                    + text.lines().findFirst().orElse("")));
+        }
+        return segments;
+    }
+
+    private void add(
+            String node,
+            long incarnation,
+            List<AuditSegment> segments,
+            Map<String, String> checkpoints) {
+        segments.sort(Comparator.comparingLong(AuditSegment::number));
+        String checkpointKey = AuditCheckpoint.keyFor(segments.get(0).key());
+        AuditCheckpoint checkpoint =
+                Optional.ofNullable(checkpoints.get(checkpointKey))
+                        .flatMap(AuditCheckpoint::decode)
+                        .orElse(AuditCheckpoint.BEGINNING);
+        IncarnationLog log = new IncarnationLog(node, incarnation, segments, checkpoint);
+        logs.add(log);
+        problems.addAll(LogVerifier.verify(log));
+        periods.addAll(RevisionPeriods.of(log));
+    }
+
+    /** Returns all periods, by node and time. */
+    public List<RevisionPeriod> periods() {
+        return periods;
+    }
+
+    /** Returns all nodes that are registered or have a log. */
+    public Collection<String> nodes() {
+        TreeSet<String> nodes = new TreeSet<>(latestIncarnations.keySet());
+        logs.forEach(log -> nodes.add(log.node()));
+        return nodes;
+    }
+
+    /** Returns the entries of all nodes between two times, in the order of their times. */
+    public List<NodeEntry> entriesBetween(long fromMillis, long toMillis) {
+        List<NodeEntry> entries = new ArrayList<>();
+        for (IncarnationLog log : logs) {
+            for (AuditSegment segment : log.segments()) {
+                segment.entries().stream()
+                        .filter(entry -> entry.at().millis() >= fromMillis)
+                        .filter(entry -> entry.at().millis() <= toMillis)
+                        .forEach(entry -> entries.add(new NodeEntry(log.node(), entry)));
+            }
+        }
+        entries.sort(Comparator.comparing(each -> each.entry().at()));
+        return entries;
+    }
+
+    /** Returns what a node acted on at a time. */
+    public RevisionInForce revisionAt(String node, long millis) {
+        Optional<RevisionPeriod> begun =
+                periods.stream()
+                        .filter(each -> each.node().equals(node))
+                        .filter(each -> each.from().millis() <= millis)
+                        .reduce(
+                                (one, other) ->
+                                        other.from().compareTo(one.from()) >= 0 ? other : one);
+        if (begun.isEmpty()) {
+            return unknown(node, "nothing is told of it so early");
+        }
+        RevisionPeriod period = begun.get();
+        if (period.to().isPresent() && millis >= period.to().get().millis()) {
+            return unknown(node, "it had ended, by its trail");
+        }
+        return new RevisionInForce(
+                node, Optional.of(period.revision()), evidence(period, node, millis));
+    }
+
+    private static RevisionInForce unknown(String node, String why) {
+        return new RevisionInForce(node, Optional.empty(), why);
+    }
+
+    private String evidence(RevisionPeriod period, String node, long millis) {
+        boolean isPastLastKnown = period.to().isEmpty() && millis > period.lastKnown().millis();
+        if (!isPastLastKnown) {
+            return period.isComplete()
+                    ? "by its trail"
+                    : "by its trail, entries are missing about then";
+        }
+        long latest = latestIncarnations.getOrDefault(node, period.incarnation());
+        return latest <= period.incarnation()
+                ? "last known; nothing is told since " + period.lastKnown().millis()
+                : "last known of incarnation "
+                        + period.incarnation()
+                        + "; a later one has its name";
+    }
+
+    /** Returns who acted on a revision. */
+    public RevisionUsers usersOf(long revision) {
+        List<RevisionPeriod> used =
+                periods.stream().filter(each -> each.revision() == revision).toList();
+        Map<String, String> mayHaveUsed = new TreeMap<>();
+        List<String> neverUsed = new ArrayList<>();
+        for (String node : nodes()) {
+            if (used.stream().noneMatch(each -> each.node().equals(node))) {
+                whyMayHaveUsed(node, revision)
+                        .ifPresentOrElse(
+                                why -> mayHaveUsed.put(node, why), () -> neverUsed.add(node));
+            }
+        }
+        return new RevisionUsers(used, mayHaveUsed, neverUsed);
+    }
+
+    private Optional<String> whyMayHaveUsed(String node, long revision) {
+        List<RevisionPeriod> own =
+                periods.stream().filter(each -> each.node().equals(node)).toList();
+        if (own.isEmpty()) {
+            return Optional.of("nothing is told of it");
+        }
+        if (own.stream().anyMatch(each -> !each.isComplete())) {
+            return Optional.of("entries are missing");
+        }
+        RevisionPeriod last = own.get(own.size() - 1);
+        return last.revision() < revision && last.to().isEmpty()
+                ? Optional.of("nothing is told since " + last.lastKnown().millis())
+                : Optional.empty();
+    }
+
+    /** Returns the entries about a host: who was told when that it is out, and who used it then. */
+    public List<NodeEntry> entriesAbout(String host) {
+        return entriesBetween(0, Long.MAX_VALUE).stream()
+                .filter(
+                        each -> {
+                            Map<String, String> fields = each.entry().fields();
+                            return fields.containsKey("out." + host)
+                                    || fields.containsKey("back." + host)
+                                    || fields.containsKey("to." + host);
+                        })
+                .toList();
+    }
+
+    /** Returns what does not fit, each in one line: see {@link LogVerifier}. */
+    public List<String> problems() {
+        return problems;
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/embershift/fleet/digest/Digest.java
@@ -0,0 +1,48 @@
+package embershift.fleet.digest;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.Map;
+import java.util.SortedMap;
+
+/**
+ * Digests by which two sides can tell that they hold the same: SHA-256, its first 16 bytes in hex.
+ */
+public final class Digest {
+
+    private static final int DIGEST_BYTES = 16;
+
+    private Digest() {}
+
+    /** Returns the digest of some texts; how they are divided counts too. */
+    public static String of(String... parts) {
+        MessageDigest digest = sha256();
+        for (String part : parts) {
+            byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
+            digest.update((bytes.length + ":").getBytes(StandardCharsets.US_ASCII));
+            digest.update(bytes);
+        }
+        return HexFormat.of().formatHex(digest.digest(), 0, DIGEST_BYTES);
+    }
+
+    /** Returns the digest of names and values. */
+    public static String of(SortedMap<String, String> fields) {
+        String[] parts = new String[2 * fields.size()];
+        int next = 0;
+        for (Map.Entry<String, String> field : fields.entrySet()) {
+            parts[next++] = field.getKey();
+            parts[next++] = field.getValue();
+        }
+        return of(parts);
+    }
+
+    private static MessageDigest sha256() {
+        try {
+            return MessageDigest.getInstance("SHA-256");
+        } catch (NoSuchAlgorithmException e) {
+            throw new IllegalStateException("each Java has SHA-256", e);
+        }
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/embershift/fleet/rollout/RevisionDigests.java
@@ -0,0 +1,34 @@
+package embershift.fleet.rollout;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * The digests of all known revisions, computed once: nodes are compared with them many times a
+ * second.
+ */
+final class RevisionDigests {
+
+    private record Digests(String chain, String content) {}
+
+    private final Map<Long, Digests> byNumber = new HashMap<>();
+
+    void add(ConfigRevision revision) {
+        byNumber.put(
+                revision.number(), new Digests(revision.chainDigest(), revision.contentDigest()));
+    }
+
+    /** Whether a node says that it has another revision of that number than the store has. */
+    boolean hasOtherChain(NodeReport report) {
+        Digests known = byNumber.get(report.revision());
+        return known != null && !known.chain.equals(report.chainDigest());
+    }
+
+    /** Whether what a node acts on is not what its revision says. */
+    boolean hasOtherContent(NodeReport report) {
+        Digests known = byNumber.get(report.revision());
+        return report.revision() > 0
+                && known != null
+                && !known.content.equals(report.contentDigest());
+    }
+}
--- /dev/null
+++ b/fleet/src/main/java/embershift/fleet/store/LinearizableReads.java
@@ -0,0 +1,56 @@
+package embershift.fleet.store;
+
+import embershift.raft.Raft;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import java.util.function.LongConsumer;
+
+/**
+ * Reads that wait until the leader is confirmed, and until the state they are answered by is
+ * applied.
+ */
+final class LinearizableReads {
+
+    private record PendingRead(long call, Consumer<KeyValueStore> action) {}
+
+    private record ReadyRead(long index, Consumer<KeyValueStore> action) {}
+
+    private final Map<Long, PendingRead> pendingByTicket = new HashMap<>();
+    private final List<ReadyRead> ready = new ArrayList<>();
+    private long lastTicket;
+
+    /** Begins a read: {@code action} gets a state that is no older than this call. */
+    void begin(Raft raft, long call, Consumer<KeyValueStore> action) {
+        long ticket = ++lastTicket;
+        pendingByTicket.put(ticket, new PendingRead(call, action));
+        raft.read(ticket);
+    }
+
+    /** The read may be answered once the entry at that index is applied. */
+    void confirmed(long ticket, long index) {
+        PendingRead read = pendingByTicket.remove(ticket);
+        if (read != null) {
+            ready.add(new ReadyRead(index, read.action));
+        }
+    }
+
+    /** The read can't be answered here; {@code reject} gets its call. */
+    void rejected(long ticket, LongConsumer reject) {
+        PendingRead read = pendingByTicket.remove(ticket);
+        if (read != null) {
+            reject.accept(read.call);
+        }
+    }
+
+    void answerReady(KeyValueStore store) {
+        if (!ready.isEmpty()) {
+            List<ReadyRead> applied =
+                    ready.stream().filter(each -> each.index <= store.appliedIndex()).toList();
+            ready.removeAll(applied);
+            applied.forEach(each -> each.action.accept(store));
+        }
+    }
+}
--- a/hosted/src/main/java/embershift/hosted/AuditCommand.java
+++ b/hosted/src/main/java/embershift/hosted/AuditCommand.java
@@ -7,9 +7,10 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Words;
-import embershift.fleet.Audit;
-import embershift.fleet.Folding;
-import embershift.fleet.Trace;
+import embershift.fleet.audit.AuditCheckpoint;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.audit.AuditReport;
+import embershift.fleet.audit.RevisionPeriod;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -86,7 +87,8 @@
         }
         long at = atTime.isEmpty() ? System.currentTimeMillis() : millis(atTime);
         RecordClient.Outcome nodes = list(client, Nodes.NODE);
-        RecordClient.Outcome folded = nodes.done() ? list(client, Folding.KEY) : nodes;
+        RecordClient.Outcome folded =
+                nodes.done() ? list(client, AuditCheckpoint.KEY_PREFIX) : nodes;
         if (!folded.done()) {
             return folded;
         }
@@ -112,12 +114,12 @@
             }
             trail.answer().path("items").forEach(item -> texts.add(item.path("value").asText()));
         }
-        Audit audit = new Audit(texts, registered, begins);
+        AuditReport audit = new AuditReport(texts, registered, begins);
         ObjectNode answer = Words.node();
         ArrayNode rows = answer.putArray("rows");
         if (verify) {
             heads = List.of("PROBLEM");
-            audit.verify().forEach(problem -> rows.addArray().add(problem));
+            audit.problems().forEach(problem -> rows.addArray().add(problem));
         } else if (revision >= 0) {
             heads =
                     List.of(
@@ -132,18 +134,18 @@
             who(audit, rows);
         } else if (!between.isEmpty()) {
             heads = List.of("TIME", "NODE", "WHAT");
-            entries(audit.between(millis(times[0]), millis(times[1])), rows);
+            entries(audit.entriesBetween(millis(times[0]), millis(times[1])), rows);
         } else if (!host.isEmpty()) {
             heads = List.of("TIME", "NODE", "WHAT");
-            entries(audit.host(host), rows);
+            entries(audit.entriesAbout(host), rows);
         } else {
             heads = List.of("NODE", "REVISION", "HOW THAT IS KNOWN");
             for (String each : node.isEmpty() ? audit.nodes() : List.of(node)) {
-                Audit.At then = audit.at(each, at);
+                AuditReport.RevisionInForce then = audit.revisionAt(each, at);
                 rows.addArray()
                         .add(each)
-                        .add(then.revision() < 0 ? "?" : String.valueOf(then.revision()))
-                        .add(then.how());
+                        .add(then.revision().map(String::valueOf).orElse("?"))
+                        .add(then.evidence());
             }
         }
         if (!picture.isEmpty()) {
@@ -156,23 +158,20 @@
         return new RecordClient.Outcome("done", answer);
     }
 
-    private void who(Audit audit, ArrayNode rows) {
-        Audit.Who who = audit.revision(revision);
-        for (Audit.Spell spell : who.did()) {
+    private void who(AuditReport audit, ArrayNode rows) {
+        AuditReport.RevisionUsers who = audit.usersOf(revision);
+        for (RevisionPeriod spell : who.used()) {
             rows.addArray()
                     .add(spell.node())
                     .add(String.valueOf(spell.incarnation()))
                     .add(time(spell.from().millis()))
-                    .add(
-                            spell.to() == null
-                                    ? "at least " + time(spell.known().millis())
-                                    : time(spell.to().millis()))
+                    .add((spell.to().isPresent() ? "" : "at least ") + time(spell.end().millis()))
                     .add(String.valueOf(spell.opened()))
                     .add(String.valueOf(spell.declined()))
                     .add(String.valueOf(spell.failed()))
-                    .add(spell.surely() ? "" : "entries are missing");
+                    .add(spell.isComplete() ? "" : "entries are missing");
         }
-        who.mayHave()
+        who.mayHaveUsed()
                 .forEach(
                         (name, why) ->
                                 rows.addArray()
@@ -184,7 +183,7 @@
                                         .add("")
                                         .add("")
                                         .add("may have: " + why));
-        who.never()
+        who.neverUsed()
                 .forEach(
                         name ->
                                 rows.addArray()
@@ -198,18 +197,15 @@
                                         .add("never"));
     }
 
-    private static void entries(List<Map.Entry<String, Trace>> entries, ArrayNode rows) {
-        entries.forEach(
-                entry ->
-                        rows.addArray()
-                                .add(time(entry.getValue().at().millis()))
-                                .add(entry.getKey())
-                                .add(
-                                        entry.getValue().kind()
-                                                + entry.getValue()
-                                                        .line()
-                                                        .split(entry.getValue().kind().name(), 2)[
-                                                        1]));
+    private static void entries(List<AuditReport.NodeEntry> entries, ArrayNode rows) {
+        for (AuditReport.NodeEntry each : entries) {
+            AuditEntry entry = each.entry();
+            String kind = entry.kind().name();
+            rows.addArray()
+                    .add(time(entry.at().millis()))
+                    .add(each.node())
+                    .add(kind + entry.encode().split(kind, 2)[1]);
+        }
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/AuditPicture.java
+++ b/hosted/src/main/java/embershift/hosted/AuditPicture.java
@@ -1,11 +1,10 @@
 package embershift.hosted;
 
-import embershift.fleet.Audit;
-import embershift.fleet.Trace;
+import embershift.fleet.audit.AuditReport;
+import embershift.fleet.audit.RevisionPeriod;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import java.util.Map;
 
 /**
  * An audit as a picture: time across, nodes down, one colour a revision, what is not known hatched,
@@ -19,12 +18,12 @@
 
     private AuditPicture() {}
 
-    static String of(Audit audit) {
+    static String of(AuditReport audit) {
         long from = Long.MAX_VALUE;
         long to = Long.MIN_VALUE;
-        for (Audit.Spell spell : audit.spells()) {
+        for (RevisionPeriod spell : audit.periods()) {
             from = Math.min(from, spell.from().millis());
-            to = Math.max(to, (spell.to() == null ? spell.known() : spell.to()).millis());
+            to = Math.max(to, spell.end().millis());
         }
         List<String> nodes = new ArrayList<>(audit.nodes());
         long begin = from;
@@ -46,16 +45,12 @@
                             "<text x=\"4\" y=\"%d\">%s</text>%n",
                             y + 14,
                             nodes.get(i)));
-            for (Audit.Spell spell : audit.spells()) {
+            for (RevisionPeriod spell : audit.periods()) {
                 if (!spell.node().equals(nodes.get(i))) {
                     continue;
                 }
                 double x = LEFT + (spell.from().millis() - begin) * scale;
-                double end =
-                        LEFT
-                                + ((spell.to() == null ? spell.known() : spell.to()).millis()
-                                                - begin)
-                                        * scale;
+                double end = LEFT + (spell.end().millis() - begin) * scale;
                 String title =
                         "revision "
                                 + spell.revision()
@@ -68,17 +63,17 @@
                                 + ", failed "
                                 + spell.failed();
                 out.append(rect(x, end, y, colour(spell.revision()), title));
-                if (!spell.surely()) {
+                if (!spell.isComplete()) {
                     out.append(rect(x, end, y, "url(#gap)", title + ", entries are missing"));
                 }
-                if (spell.to() == null && end < WIDTH - 11) {
+                if (spell.to().isEmpty() && end < WIDTH - 11) {
                     out.append(rect(end, WIDTH - 10, y, "url(#gap)", "nothing is told"));
                 }
             }
         }
-        for (Map.Entry<String, Trace> each : audit.between(0, Long.MAX_VALUE)) {
+        for (AuditReport.NodeEntry each : audit.entriesBetween(0, Long.MAX_VALUE)) {
             String mark =
-                    switch (each.getValue().kind()) {
+                    switch (each.entry().kind()) {
                         case STARTED -> "#0a0";
                         case ENDS -> "#888";
                         case OUT -> "#c00";
@@ -86,15 +81,15 @@
                         default -> null;
                     };
             if (mark != null) {
-                int y = ROW * (nodes.indexOf(each.getKey()) + 1);
+                int y = ROW * (nodes.indexOf(each.node()) + 1);
                 out.append(
                         String.format(
                                 Locale.ROOT,
                                 "<circle cx=\"%.1f\" cy=\"%d\" r=\"4\" fill=\"%s\"><title>%s</title></circle>%n",
-                                LEFT + (each.getValue().at().millis() - begin) * scale,
+                                LEFT + (each.entry().at().millis() - begin) * scale,
                                 y + 10,
                                 mark,
-                                escaped(each.getValue().line())));
+                                escaped(each.entry().encode())));
             }
         }
         if (to > from) {
--- a/hosted/src/main/java/embershift/hosted/Calls.java
+++ b/hosted/src/main/java/embershift/hosted/Calls.java
@@ -6,19 +6,20 @@
 import embershift.door.Frames;
 import embershift.door.Toml;
 import embershift.door.Words;
-import embershift.fleet.Answer;
-import embershift.fleet.Command;
-import embershift.fleet.Condition;
-import embershift.fleet.Event;
-import embershift.fleet.Item;
-import embershift.fleet.Replica;
-import embershift.fleet.SessionId;
-import embershift.fleet.Write;
+import embershift.fleet.store.CallResult;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
+import embershift.fleet.store.ReplicatedStore;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.StoreCommand;
+import embershift.fleet.store.WatchEvent;
 import embershift.raft.Member;
 import embershift.raft.Raft;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Optional;
 
 /** What callers may ask of an instance, as JSON, and what they are answered. */
 final class Calls {
@@ -27,7 +28,7 @@
 
     /** Whoever waits for an answer. */
     interface Waiter {
-        void hears(long call, Answer answer);
+        void hears(long call, CallResult answer);
     }
 
     private Calls() {}
@@ -45,12 +46,12 @@
         if (call.path("version").asInt(VERSION) != VERSION) {
             waiter.hears(
                     0,
-                    new Answer.Refused(
-                            Answer.Reason.UNREADABLE,
+                    new CallResult.Rejected(
+                            CallResult.Reason.MALFORMED,
                             "calls of version " + VERSION + " are known here"));
             return;
         }
-        Replica replica = instance.replica();
+        ReplicatedStore replica = instance.replica();
         double now = instance.now();
         String name = call.path("call").asText();
         switch (name) {
@@ -60,23 +61,25 @@
                 waiter.hears(
                         0,
                         no == null
-                                ? new Answer.Done(0)
-                                : new Answer.Refused(Answer.Reason.MEMBERS, no));
+                                ? new CallResult.Done(0)
+                                : new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, no));
             }
             case "open" ->
-                    replica.change(
+                    replica.submit(
                             now,
                             entrance.waits(waiter),
-                            new Command.Open(
+                            new StoreCommand.OpenSession(
                                     call.path("client").asText(), call.path("seconds").asDouble()));
             case "end" ->
-                    replica.change(now, entrance.waits(waiter), new Command.End(session(call)));
-            case "renew" -> replica.renew(now, entrance.waits(waiter), session(call));
-            case "change" -> replica.change(now, entrance.waits(waiter), change(call));
-            case "get" ->
-                    replica.read(now, entrance.waits(waiter), call.path("key").asText(), false);
+                    replica.submit(
+                            now,
+                            entrance.waits(waiter),
+                            new StoreCommand.EndSession(session(call)));
+            case "renew" -> replica.renewSession(now, entrance.waits(waiter), session(call));
+            case "change" -> replica.submit(now, entrance.waits(waiter), change(call));
+            case "get" -> replica.read(now, entrance.waits(waiter), call.path("key").asText());
             case "list" ->
-                    replica.read(now, entrance.waits(waiter), call.path("prefix").asText(), true);
+                    replica.readPrefix(now, entrance.waits(waiter), call.path("prefix").asText());
             case "watch" ->
                     replica.watch(
                             now,
@@ -84,9 +87,9 @@
                             call.path("prefix").asText(),
                             call.path("from").asLong());
             case "add", "remove", "transfer" -> {
-                if (!replica.leads()) {
+                if (!replica.isLeader()) {
                     // What this instance knows of the members may be old, or nothing.
-                    replica.read(now, entrance.waits(waiter), "", false);
+                    replica.read(now, entrance.waits(waiter), "");
                     return;
                 }
                 if (name.equals("add")) {
@@ -101,20 +104,20 @@
                 if (member == null) {
                     waiter.hears(
                             0,
-                            new Answer.Refused(
-                                    Answer.Reason.MEMBERS,
+                            new CallResult.Rejected(
+                                    CallResult.Reason.MEMBERSHIP,
                                     "there is no " + call.path("name").asText()));
                 } else if (name.equals("remove")) {
-                    replica.remove(now, entrance.waits(waiter), member.id());
+                    replica.removeMember(now, entrance.waits(waiter), member.id());
                 } else {
-                    replica.transfer(now, entrance.waits(waiter), member.id());
+                    replica.transferLeadership(now, entrance.waits(waiter), member.id());
                 }
             }
             default ->
                     waiter.hears(
                             0,
-                            new Answer.Refused(
-                                    Answer.Reason.UNREADABLE, "there is no call " + name));
+                            new CallResult.Rejected(
+                                    CallResult.Reason.MALFORMED, "there is no call " + name));
         }
     }
 
@@ -122,7 +125,9 @@
             Instance instance, Instance.Entrance entrance, Waiter waiter, ObjectNode call) {
         if (!Toml.isAddress(call.path("address").asText())) {
             waiter.hears(
-                    0, new Answer.Refused(Answer.Reason.UNREADABLE, "an address is HOST:PORT"));
+                    0,
+                    new CallResult.Rejected(
+                            CallResult.Reason.MALFORMED, "an address is HOST:PORT"));
         } else {
             instance.add(
                     entrance.waits(waiter),
@@ -135,22 +140,24 @@
         return new SessionId(call.path("session").asLong());
     }
 
-    private static Command.Change change(ObjectNode call) {
-        List<Condition> conditions = new ArrayList<>();
+    private static StoreCommand.Transaction change(ObjectNode call) {
+        List<Precondition> conditions = new ArrayList<>();
         for (JsonNode condition : call.path("conditions")) {
             conditions.add(
-                    new Condition(
+                    new Precondition(
                             condition.path("key").asText(), condition.path("revision").asLong()));
         }
-        List<Write> writes = new ArrayList<>();
+        List<Mutation> writes = new ArrayList<>();
         for (JsonNode write : call.path("writes")) {
             writes.add(
-                    new Write(
+                    new Mutation(
                             write.path("key").asText(),
-                            write.path("value").isTextual() ? write.path("value").asText() : null,
+                            Optional.of(write.path("value"))
+                                    .filter(JsonNode::isTextual)
+                                    .map(JsonNode::asText),
                             write.path("bound").asBoolean()));
         }
-        return new Command.Change(
+        return new StoreCommand.Transaction(
                 session(call),
                 call.path("number").asLong(),
                 call.path("open").asLong(),
@@ -158,38 +165,36 @@
                 writes);
     }
 
-    private static ObjectNode written(long id, Answer answer) {
+    private static ObjectNode written(long id, CallResult answer) {
         ObjectNode node = Words.node().put("id", id);
-        if (answer instanceof Answer.Done done) {
+        if (answer instanceof CallResult.Done done) {
             node.put("end", "done").put("number", done.number());
-        } else if (answer instanceof Answer.Found found) {
+        } else if (answer instanceof CallResult.Found found) {
             node.put("end", "done").put("revision", found.revision());
             ArrayNode items = node.putArray("items");
-            for (Item item : found.items()) {
+            for (KeyValue item : found.keyValues()) {
                 items.addObject()
                         .put("key", item.key())
                         .put("value", item.value())
                         .put("revision", item.revision())
-                        .put("created", item.created())
+                        .put("created", item.createRevision())
                         .put("session", item.session().number());
             }
-        } else if (answer instanceof Answer.Seen seen) {
-            node.put("end", "done").put("next", seen.next());
+        } else if (answer instanceof CallResult.Changed seen) {
+            node.put("end", "done").put("next", seen.nextRevision());
             ArrayNode events = node.putArray("events");
-            for (Event event : seen.events()) {
+            for (WatchEvent event : seen.events()) {
                 events.addObject()
                         .put("key", event.key())
-                        .put("value", event.value())
+                        .put("value", event.value().orElse(null))
                         .put("revision", event.revision());
             }
-        } else if (answer instanceof Answer.Refused refused) {
+        } else if (answer instanceof CallResult.Rejected refused) {
             node.put("end", "refused")
-                    .put(
-                            "reason",
-                            refused.reason().name().toLowerCase(Locale.ROOT).replace('_', '-'))
-                    .put("text", refused.text());
-        } else if (answer instanceof Answer.Unknown unknown) {
-            node.put("end", "unknown").put("text", unknown.text());
+                    .put("reason", refused.reason().wireName())
+                    .put("text", refused.message());
+        } else if (answer instanceof CallResult.Unknown unknown) {
+            node.put("end", "unknown").put("text", unknown.message());
         }
         return node;
     }
@@ -219,8 +224,8 @@
                         .put("leader", leader)
                         .put("last", raft.lastIndex())
                         .put("agreed", raft.commitIndex())
-                        .put("applied", instance.replica().record().applied())
-                        .put("revision", instance.replica().record().revision())
+                        .put("applied", instance.replica().store().appliedIndex())
+                        .put("revision", instance.replica().store().revision())
                         .put("doubt", raft.isUntrusted())
                         .put("log-files", instance.logFiles());
         ArrayNode members = node.putArray("members");
--- a/hosted/src/main/java/embershift/hosted/Duties.java
+++ b/hosted/src/main/java/embershift/hosted/Duties.java
@@ -1,6 +1,6 @@
 package embershift.hosted;
 
-import embershift.fleet.KeyValueStore;
+import embershift.fleet.store.KeyValueStore;
 import embershift.transport.Loop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -85,9 +85,9 @@
         for (Duty duty : duties) {
             if (duty.owner() != null) {
                 if (!leaving) {
-                    duty.owner().leaves(now(), true);
+                    duty.owner().setLeaving(now(), true);
                 }
-                any |= duty.owner().has();
+                any |= duty.owner().isHeldOrReleasing();
             }
         }
         leaving = true;
--- a/hosted/src/main/java/embershift/hosted/Duty.java
+++ b/hosted/src/main/java/embershift/hosted/Duty.java
@@ -3,38 +3,40 @@
 import static net.logstash.logback.argument.StructuredArguments.kv;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.fleet.Command;
-import embershift.fleet.Condition;
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Item;
-import embershift.fleet.Owner;
-import embershift.fleet.Plan;
-import embershift.fleet.SessionId;
-import embershift.fleet.Write;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.LeaseHolder;
+import embershift.fleet.lease.LeaseSettings;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.lease.TaskPlan;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.StoreCommand;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One duty at this instance: an {@link Owner} with its calls to the record. Those that extend it do
- * the work, while it holds, by its fence. On the loop.
+ * One duty at this instance: an {@link LeaseHolder} with its calls to the record. Those that extend
+ * it do the work, while it holds, by its fence. On the loop.
  */
-abstract class Duty implements Owner.Hands {
+abstract class Duty implements LeaseHolder.Environment {
 
     private static final Logger LOG = LoggerFactory.getLogger(Duty.class);
     private static final double CALL = 1.5;
     private static final double AGAIN = 0.2;
 
-    private record Writing(List<Write> some, Runnable done) {}
+    private record Writing(List<Mutation> some, Runnable done) {}
 
     final Duties all;
-    final DutyId id;
-    private Owner owner;
-    private Fence begun = Fence.NONE;
+    final TaskId id;
+    private LeaseHolder owner;
+    private FencingToken begun = FencingToken.NONE;
     private final Deque<Writing> writes = new ArrayDeque<>();
     private boolean writing;
 
@@ -43,20 +45,20 @@
 
     Duty(Duties all, String name) {
         this.all = all;
-        id = new DutyId(name);
+        id = new TaskId(name);
     }
 
     /** The number at the beginning of what the record holds there; 0 for nothing. */
-    static long number(Item item) {
+    static long number(KeyValue item) {
         String first = item == null ? "" : item.value().split(" ", 2)[0];
         return first.matches("\\d{1,18}") ? Long.parseLong(first) : 0;
     }
 
-    final void own(Plan plan, Owner.Terms terms) {
-        owner = new Owner(all.name(), id, plan, terms, this);
+    final void own(TaskPlan plan, LeaseSettings terms) {
+        owner = new LeaseHolder(all.name(), id, plan, terms, this);
     }
 
-    final Owner owner() {
+    final LeaseHolder owner() {
         return owner;
     }
 
@@ -65,11 +67,11 @@
     }
 
     final boolean holds() {
-        return owner != null && owner.holds(now());
+        return owner != null && owner.isHeld(now());
     }
 
-    final Fence fence() {
-        return owner.fence();
+    final FencingToken fence() {
+        return owner.token();
     }
 
     /** The duty is this instance's, by this fence. */
@@ -90,26 +92,27 @@
             return;
         }
         double now = now();
-        Item wanted = all.record().get("duty/" + id.name() + "/wanted");
+        KeyValue wanted = all.record().find("duty/" + id.name() + "/wanted").orElse(null);
         boolean mine = wanted != null && wanted.value().equals(all.name());
-        if (wanted != null && !mine && owner.has() && wanted.revision() != followed) {
+        if (wanted != null && !mine && owner.isHeldOrReleasing() && wanted.revision() != followed) {
             followed = wanted.revision();
-            told(id.name() + " is handed over to " + wanted.value());
-            owner.giveBack(now);
+            notifyOperator(id.name() + " is handed over to " + wanted.value());
+            owner.release(now);
         }
-        owner.reluctance(mine ? 0 : wanted != null ? reluctance + Duties.HANDED_OVER : reluctance);
-        owner.taken(now, all.record().get(id.ownerKey()) != null);
+        owner.setAcquireDelay(
+                mine ? 0 : wanted != null ? reluctance + Duties.HANDED_OVER : reluctance);
+        owner.setHeldByAnother(now, all.record().find(id.holderKey()).isPresent());
         if (mine) {
-            owner.wanted(now);
+            owner.acquireSoon(now);
         }
         owner.tick(now);
-        if (holds() && !begun.equals(owner.fence())) {
+        if (holds() && !begun.equals(owner.token())) {
             finish();
-            begun = owner.fence();
+            begun = owner.token();
             LOG.info("duty", kv("duty", id.name()), kv("fence", begun.number()));
             all.counted("duties begun");
             if (mine) {
-                write(List.of(new Write(wanted.key(), null, false)));
+                write(List.of(Mutation.delete(wanted.key())));
             } else if (wanted != null) {
                 // The one that it is to go to has not come for it.
                 followed = wanted.revision();
@@ -124,8 +127,8 @@
     }
 
     private void finish() {
-        if (!begun.equals(Fence.NONE)) {
-            begun = Fence.NONE;
+        if (!begun.equals(FencingToken.NONE)) {
+            begun = FencingToken.NONE;
             writes.clear();
             LOG.info("duty over", kv("duty", id.name()));
             end();
@@ -136,12 +139,12 @@
      * Writes under this owner's fence, in this order; nothing of it is written once another was
      * granted the duty.
      */
-    final void write(List<Write> some) {
+    final void write(List<Mutation> some) {
         write(some, () -> {});
     }
 
     /** {@code done} runs once it is in the record, while this owner still has the duty. */
-    final void write(List<Write> some, Runnable done) {
+    final void write(List<Mutation> some, Runnable done) {
         writes.add(new Writing(some, done));
         writeNext();
     }
@@ -151,12 +154,12 @@
             return;
         }
         writing = true;
-        List<Write> some = writes.peek().some;
-        Fence by = fence();
+        List<Mutation> some = writes.peek().some;
+        FencingToken by = fence();
         all.commands()
                 .ask(
                         RecordCaller.changes(
-                                List.of(new Condition(id.fenceKey(), by.number())), some),
+                                List.of(new Precondition(id.tokenKey(), by.number())), some),
                         CALL,
                         outcome -> {
                             writing = false;
@@ -167,7 +170,7 @@
                                 writes.poll().done.run();
                                 writeNext();
                             } else if (outcome.reason().equals("condition")) {
-                                owner.knows(now(), new Fence(by.number() + 1));
+                                owner.learnedToken(now(), new FencingToken(by.number() + 1));
                             } else {
                                 all.after(AGAIN, this::writeNext);
                             }
@@ -185,7 +188,7 @@
                 verdict -> {
                     if (verdict != null && verdict.path("verdict").asText().equals("OLD")) {
                         all.counted("orders refused as old");
-                        owner.knows(now(), new Fence(verdict.path("known").asLong()));
+                        owner.learnedToken(now(), new FencingToken(verdict.path("known").asLong()));
                     }
                     heard.accept(verdict);
                 });
@@ -194,27 +197,27 @@
     // The owner's hands.
 
     @Override
-    public final void ask(Command command) {
-        all.commands().ask(command, CALL, answer -> owner.answered(now(), command, answer));
+    public final void submit(StoreCommand command) {
+        all.commands().ask(command, CALL, answer -> owner.commandCompleted(now(), command, answer));
     }
 
     @Override
-    public final void renew(SessionId session, double asked) {
+    public final void renewSession(SessionId session, double asked) {
         all.words()
                 .ask(
                         RecordClient.call("renew").put("session", session.number()),
                         CALL,
                         outcome -> {
                             if (outcome.done()) {
-                                owner.renewed(now(), asked);
+                                owner.sessionRenewed(now(), asked);
                             } else if (outcome.reason().equals("no-session")) {
-                                owner.sessionOver(now());
+                                owner.sessionEnded(now());
                             }
                         });
     }
 
     @Override
-    public final void look(DutyId duty) {
+    public final void readProgress(TaskId duty) {
         all.words()
                 .ask(
                         RecordClient.call("get").put("key", duty.progressKey()),
@@ -222,20 +225,22 @@
                         outcome -> {
                             if (outcome.done()) {
                                 var item = outcome.answer().path("items").path(0);
-                                owner.found(
+                                owner.progressRead(
                                         now(),
-                                        item.isMissingNode() ? null : item.path("value").asText());
+                                        item.isMissingNode()
+                                                ? Optional.empty()
+                                                : Optional.of(item.path("value").asText()));
                             }
                         });
     }
 
     @Override
-    public void act(DutyId duty, Plan plan, int step, Fence fence) {
+    public void runStep(TaskId duty, TaskPlan plan, int step, FencingToken fence) {
         // A duty without steps begins its work at the next tick.
     }
 
     @Override
-    public final void told(String what) {
+    public final void notifyOperator(String what) {
         LOG.info("told", kv("duty", id.name()), kv("what", what));
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Installation.java
+++ b/hosted/src/main/java/embershift/hosted/Installation.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 import embershift.door.Toml;
-import embershift.fleet.Owner;
-import embershift.fleet.Rollout;
+import embershift.fleet.lease.LeaseSettings;
+import embershift.fleet.rollout.RolloutSettings;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -30,7 +30,7 @@
     /**
      * What the duties go by; absent: this instance owns none. {@code discovery}: asked for all
      * nodes; {@code manager}: who starts hosts and nodes anew; {@code session}: seconds without a
-     * word after which a duty goes to another. Others: see {@link Rollout.Terms}.
+     * word after which a duty goes to another. Others: see {@link RolloutSettings}.
      */
     public record Fleet(
             String discovery,
@@ -47,35 +47,36 @@
         private static final double STUCK = 5;
 
         public Fleet {
-            Rollout.Terms usual = Rollout.Terms.USUAL;
-            session = session == null ? Owner.Terms.USUAL.session() : session;
-            settle = settle == null ? usual.settle() : settle;
-            patience = patience == null ? usual.patience() : patience;
-            silent = silent == null ? usual.silent() : silent;
-            share = share == null ? usual.share() : share;
-            tries = tries == null ? usual.tries() : tries;
-            flight = flight == null ? usual.flight() : flight;
-            service = service == null ? usual.service() : service;
+            RolloutSettings usual = RolloutSettings.DEFAULTS;
+            session = session == null ? LeaseSettings.DEFAULTS.sessionSeconds() : session;
+            settle = settle == null ? usual.settleSeconds() : settle;
+            patience = patience == null ? usual.patienceSeconds() : patience;
+            silent = silent == null ? usual.silentSeconds() : silent;
+            share = share == null ? usual.canaryShare() : share;
+            tries = tries == null ? usual.maxAttempts() : tries;
+            flight = flight == null ? usual.maxInFlight() : flight;
+            service = service == null ? usual.minServiceRate() : service;
         }
 
         /**
          * Of a duty that is never done: one that hears no node, or can't ask what it should, lets
          * others try.
          */
-        Owner.Terms standing() {
-            return terms(STUCK * session, Owner.Terms.USUAL.owners());
+        LeaseSettings standing() {
+            return terms(STUCK * session, LeaseSettings.DEFAULTS.maxStepAttempts());
         }
 
-        Owner.Terms terms(double stuck, int owners) {
-            Owner.Terms usual = Owner.Terms.USUAL;
-            return new Owner.Terms(session, usual.again(), stuck, owners, usual.longestPause());
+        LeaseSettings terms(double stuck, int owners) {
+            LeaseSettings usual = LeaseSettings.DEFAULTS;
+            return new LeaseSettings(
+                    session, usual.retrySeconds(), stuck, owners, usual.maxBackoffSeconds());
         }
 
-        Rollout.Terms rollout() {
-            return new Rollout.Terms(
+        RolloutSettings rollout() {
+            return new RolloutSettings(
                     settle,
                     patience,
-                    Rollout.Terms.USUAL.again(),
+                    RolloutSettings.DEFAULTS.retrySeconds(),
                     flight,
                     tries,
                     silent,
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -6,8 +6,9 @@
 import embershift.door.Frames;
 import embershift.door.Toml;
 import embershift.door.Words;
-import embershift.fleet.Answer;
-import embershift.fleet.Replica;
+import embershift.fleet.store.CallResult;
+import embershift.fleet.store.ReplicatedStore;
+import embershift.fleet.store.SnapshotPolicy;
 import embershift.raft.MalformedBytesException;
 import embershift.raft.Member;
 import embershift.raft.MemberId;
@@ -43,10 +44,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One instance: sockets, timers and the disk round a {@link Replica}. All on one loop; what waits
- * for the disk is done aside, and what was ordered meanwhile goes there together.
+ * One instance: sockets, timers and the disk round a {@link ReplicatedStore}. All on one loop; what
+ * waits for the disk is done aside, and what was ordered meanwhile goes there together.
  */
-final class Instance implements Replica.Port {
+final class Instance implements ReplicatedStore.Environment {
 
     private static final Logger LOG = LoggerFactory.getLogger(Instance.class);
     private static final int STOPPED = 3;
@@ -67,7 +68,7 @@
     private final Loop loop;
     private final Disk disk;
     private final RaftPersistence keeper;
-    private final Replica replica;
+    private final ReplicatedStore replica;
     private final double tick;
     private final int mostTicks;
     private Identity identity;
@@ -111,14 +112,14 @@
                     kv("doubt", restored.isUntrusted()));
         }
         replica =
-                new Replica(
+                new ReplicatedStore(
                         identity.id(),
                         pace,
                         installation.bounds().ofRaft(),
-                        new Replica.Habits(
+                        new SnapshotPolicy(
                                 installation.bounds().snapshotEntries(),
                                 installation.bounds().snapshotLogBytes(),
-                                Replica.Habits.USUAL.sums()),
+                                SnapshotPolicy.DEFAULTS.checksumInterval()),
                         restored,
                         Identity.number(),
                         Identity.number(),
@@ -155,7 +156,7 @@
                                         loop,
                                         installation.name(),
                                         installation.fleet(),
-                                        instance.replica::record,
+                                        instance.replica::store,
                                         () -> instance.instances,
                                         (what, many) ->
                                                 instance.counts.merge(what, many, Long::sum),
@@ -185,7 +186,7 @@
             what.run();
         } catch (RuntimeException e) {
             LOG.error("fault", e);
-            stop("a fault of the program: " + e);
+            halt("a fault of the program: " + e);
         }
     }
 
@@ -258,7 +259,7 @@
                         writing = false;
                         guarded(
                                 () ->
-                                        replica.durable(
+                                        replica.writesCompleted(
                                                 loop.now(), batch.get(batch.size() - 1).number()));
                         write();
                     });
@@ -275,12 +276,12 @@
                         loop.after(ROOM_AGAIN, () -> loop.aside(() -> keep(batch)));
                     });
         } catch (IOException | RuntimeException e) {
-            stop("the disk failed, and what is on it can't be told: " + e);
+            halt("the disk failed, and what is on it can't be told: " + e);
         }
     }
 
     @Override
-    public void sure() {
+    public void stateTrusted() {
         LOG.info("has all again that it was in doubt of");
         loop.aside(
                 () -> {
@@ -295,7 +296,7 @@
     }
 
     @Override
-    public void stop(String why) {
+    public void halt(String why) {
         LOG.error("stops", kv("why", why));
         System.err.println("stops: " + why);
         Runtime.getRuntime().halt(STOPPED);
@@ -656,7 +657,7 @@
             waiting.forEach(
                     call -> {
                         calls.remove(call);
-                        replica.forget(call);
+                        replica.abandon(call);
                     });
             waiting.clear();
             link.close();
@@ -691,7 +692,7 @@
 
     // Calls.
 
-    Replica replica() {
+    ReplicatedStore replica() {
         return replica;
     }
 
@@ -725,7 +726,7 @@
         if (!belong(Identity.number())) {
             return "the disk takes nothing";
         }
-        replica.found(
+        replica.bootstrap(
                 loop.now(),
                 new Member(
                         identity.id(),
@@ -744,7 +745,7 @@
                 why -> {
                     timer[0].cancel();
                     link[0].close();
-                    answer(call, new Answer.Refused(Answer.Reason.MEMBERS, why));
+                    complete(call, new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, why));
                 };
         timer[0] = loop.after(2, () -> no.accept("nobody answers at " + address));
         link[0] =
@@ -797,7 +798,7 @@
                                 }
                                 timer[0].cancel();
                                 link[0].close();
-                                replica.add(
+                                replica.addMember(
                                         loop.now(),
                                         call,
                                         new Member(other.from(), other.name(), address, role));
@@ -816,7 +817,7 @@
     }
 
     @Override
-    public void answer(long call, Answer answer) {
+    public void complete(long call, CallResult answer) {
         Calls.Waiter waiter = calls.remove(call);
         if (waiter != null) {
             waiter.hears(call, answer);
@@ -824,7 +825,7 @@
     }
 
     @Override
-    public void role(boolean leads, long term, Optional<MemberId> leader) {
+    public void roleChanged(boolean leads, long term, Optional<MemberId> leader) {
         // Called while the replica is made, too.
         String leaderName =
                 replica == null
@@ -861,18 +862,18 @@
             return;
         }
         Optional<MemberId> heir =
-                replica.leads() ? replica.raft().bestTransferTarget() : Optional.empty();
+                replica.isLeader() ? replica.raft().bestTransferTarget() : Optional.empty();
         if (heir.isEmpty()) {
             ended.countDown();
             return;
         }
-        replica.transfer(loop.now(), ++lastCall, heir.get());
+        replica.transferLeadership(loop.now(), ++lastCall, heir.get());
         awaitFollower(loop.now() + HAND_OVER);
     }
 
     private void awaitFollower(double until) {
-        if (!replica.leads() || loop.now() > until) {
-            LOG.info("ended", kv("led", replica.leads()));
+        if (!replica.isLeader() || loop.now() > until) {
+            LOG.info("ended", kv("led", replica.isLeader()));
             ended.countDown();
         } else {
             loop.after(LOOK, () -> awaitFollower(until));
--- a/hosted/src/main/java/embershift/hosted/ListsDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ListsDuty.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Toml;
 import embershift.door.Words;
-import embershift.fleet.HostsChange;
-import embershift.fleet.HostsTold;
-import embershift.fleet.Plan;
+import embershift.fleet.endpoints.EndpointUpdate;
+import embershift.fleet.endpoints.PublishedEndpoints;
+import embershift.fleet.lease.TaskPlan;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -36,20 +36,20 @@
         private double next = Double.NEGATIVE_INFINITY;
     }
 
-    private HostsTold told = new HostsTold();
+    private PublishedEndpoints told = new PublishedEndpoints();
     private Discovery discovery;
     private final Map<String, Told> nodes = new HashMap<>();
 
     ListsDuty(Duties all) {
         super(all, "lists");
-        own(new Plan("lists", 0, 0), all.fleet().standing());
+        own(new TaskPlan("lists", 0, 0), all.fleet().standing());
     }
 
     @Override
     void begin() {
-        told = new HostsTold();
+        told = new PublishedEndpoints();
         nodes.clear();
-        HostsTold mine = told;
+        PublishedEndpoints mine = told;
         discovery =
                 new Discovery(
                         all.loop(),
@@ -57,9 +57,9 @@
                         (generation, whole, anew) -> {
                             all.counted("discovery answers");
                             if (anew) {
-                                mine.discoveryBeganAnew();
+                                mine.discoveryRestarted();
                             }
-                            if (mine.heard(generation, whole)) {
+                            if (mine.update(generation, whole)) {
                                 all.counted("lists made");
                                 nodes.values()
                                         .forEach(node -> node.next = Double.NEGATIVE_INFINITY);
@@ -79,8 +79,8 @@
         double now = now();
         if (now - discovery.heardAt() < DEAF
                 && (all.nodes().linked().size() > 0
-                        || all.record().beginning(Nodes.NODE).isEmpty())) {
-            owner().progressed(now);
+                        || all.record().findByPrefix(Nodes.NODE).isEmpty())) {
+            owner().madeProgress(now);
         }
         if (told.number() == 0) {
             return;
@@ -101,16 +101,16 @@
     }
 
     private void tell(Nodes.NodeLink link, Told node) {
-        HostsChange change = told.since(node.has);
+        EndpointUpdate change = told.updateSince(node.has);
         ObjectNode order =
                 Words.node()
                         .put("number", change.number())
-                        .put("base", change.base())
+                        .put("base", change.baseNumber())
                         .put("generation", change.generation());
         Words.texts(order.putObject("changed"), change.changed());
-        Words.list(order.putArray("gone"), change.gone());
+        Words.list(order.putArray("gone"), change.removed());
         node.out = true;
-        all.counted(change.base() == 0 ? "lists told whole" : "lists told by difference");
+        all.counted(change.baseNumber() == 0 ? "lists told whole" : "lists told by difference");
         long incarnation = node.incarnation;
         order(
                 link,
--- a/hosted/src/main/java/embershift/hosted/Manager.java
+++ b/hosted/src/main/java/embershift/hosted/Manager.java
@@ -1,6 +1,6 @@
 package embershift.hosted;
 
-import embershift.fleet.Release;
+import embershift.fleet.restart.RollingRestart;
 import embershift.protocol.Line;
 import embershift.protocol.Unreadable;
 import embershift.transport.Link;
@@ -28,12 +28,12 @@
     }
 
     /** Hears {@code UNKNOWN} where no answer came: it may have been done, or may be. */
-    void call(String line, Consumer<Release.Managed> heard) {
+    void call(String line, Consumer<RollingRestart.RestartState> heard) {
         Link[] link = new Link[1];
         boolean[] over = new boolean[1];
         Loop.Timer[] timer = new Loop.Timer[1];
         Line lines = new Line();
-        Consumer<Release.Managed> end =
+        Consumer<RollingRestart.RestartState> end =
                 what -> {
                     if (!over[0]) {
                         over[0] = true;
@@ -42,7 +42,7 @@
                         heard.accept(what);
                     }
                 };
-        timer[0] = loop.after(PATIENCE, () -> end.accept(Release.Managed.UNKNOWN));
+        timer[0] = loop.after(PATIENCE, () -> end.accept(RollingRestart.RestartState.UNKNOWN));
         link[0] =
                 loop.connect(
                         address,
@@ -54,7 +54,7 @@
 
                             @Override
                             public void notConnected() {
-                                end.accept(Release.Managed.UNKNOWN);
+                                end.accept(RollingRestart.RestartState.UNKNOWN);
                             }
 
                             @Override
@@ -65,28 +65,28 @@
                                         end.accept(read(Line.text(answer)));
                                     }
                                 } catch (Unreadable e) {
-                                    end.accept(Release.Managed.UNKNOWN);
+                                    end.accept(RollingRestart.RestartState.UNKNOWN);
                                 }
                             }
 
                             @Override
                             public void ended() {
-                                end.accept(Release.Managed.UNKNOWN);
+                                end.accept(RollingRestart.RestartState.UNKNOWN);
                             }
 
                             @Override
                             public void broken() {
-                                end.accept(Release.Managed.UNKNOWN);
+                                end.accept(RollingRestart.RestartState.UNKNOWN);
                             }
                         });
     }
 
-    private static Release.Managed read(String answer) {
+    private static RollingRestart.RestartState read(String answer) {
         return switch (answer.split(" ")[0].toUpperCase(Locale.ROOT)) {
-            case "GOING" -> Release.Managed.GOING;
-            case "DONE" -> Release.Managed.DONE;
-            case "VOID" -> Release.Managed.VOID;
-            default -> Release.Managed.UNKNOWN;
+            case "GOING" -> RollingRestart.RestartState.IN_PROGRESS;
+            case "DONE" -> RollingRestart.RestartState.DONE;
+            case "VOID" -> RollingRestart.RestartState.CANCELLED;
+            default -> RollingRestart.RestartState.UNKNOWN;
         };
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Nodes.java
+++ b/hosted/src/main/java/embershift/hosted/Nodes.java
@@ -5,12 +5,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Words;
-import embershift.fleet.Condition;
-import embershift.fleet.Hybrid;
-import embershift.fleet.Item;
-import embershift.fleet.KeyValueStore;
-import embershift.fleet.Segment;
-import embershift.fleet.Write;
+import embershift.fleet.audit.AuditSegment;
+import embershift.fleet.audit.HybridLogicalClock;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
 import embershift.transport.Loop;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -132,7 +132,7 @@
     private final RecordCaller trails;
     private final Listener listener;
     private final Map<String, NodeLink> links = new TreeMap<>();
-    private Hybrid time = Hybrid.START;
+    private HybridLogicalClock time = HybridLogicalClock.START;
     private long lastOrder;
 
     Nodes(
@@ -157,7 +157,7 @@
     }
 
     private long floor() {
-        return Duty.number(record.get().get(RolloutDuty.FLOOR));
+        return Duty.number(record.get().find(RolloutDuty.FLOOR).orElse(null));
     }
 
     /** Whoever may not be here any more is told so. To be called several times a second. */
@@ -186,11 +186,11 @@
         if (incarnation == 0) {
             return null;
         }
-        Item out = record.get().get(OUT + name);
+        KeyValue out = record.get().find(OUT + name).orElse(null);
         if (out != null && Duty.number(out) >= incarnation) {
             return "shut out: " + out.value().replaceFirst("^\\d+ ?", "");
         }
-        Item item = record.get().get(NODE + name);
+        KeyValue item = record.get().find(NODE + name).orElse(null);
         return item != null && !item.value().equals(boot) && item.revision() > incarnation
                 ? "another process has the name " + name + " since"
                 : null;
@@ -224,7 +224,7 @@
             link.out(why);
             return link;
         }
-        Item item = record.get().get(NODE + name);
+        KeyValue item = record.get().find(NODE + name).orElse(null);
         if (link.incarnation > 0 || (item != null && item.value().equals(boot))) {
             welcome(link, link.incarnation > 0 ? link.incarnation : item.revision());
         } else {
@@ -280,10 +280,8 @@
     }
 
     void heard(NodeLink link, ObjectNode words) {
-        Hybrid told = Hybrid.read(words.path("time").asText(""));
-        if (told != null) {
-            time = time.heard(told, System.currentTimeMillis());
-        }
+        HybridLogicalClock.decode(words.path("time").asText(""))
+                .ifPresent(told -> time = time.merge(told, System.currentTimeMillis()));
         if (!link.welcome) {
             return;
         }
@@ -313,7 +311,7 @@
      * often it came.
      */
     private void keep(NodeLink link, ObjectNode words) {
-        Segment segment = Segment.read(words.path("text").asText());
+        AuditSegment segment = AuditSegment.decode(words.path("text").asText()).orElse(null);
         if (segment == null
                 || !segment.node().equals(link.name)
                 || segment.incarnation() != link.incarnation) {
@@ -322,8 +320,8 @@
         }
         trails.ask(
                 RecordCaller.changes(
-                        List.of(new Condition(segment.key(), 0)),
-                        List.of(new Write(segment.key(), segment.text(), false))),
+                        List.of(new Precondition(segment.key(), 0)),
+                        List.of(Mutation.put(segment.key(), segment.encode()))),
                 CALL,
                 outcome -> {
                     if (outcome.done() || outcome.reason().equals("condition")) {
--- a/hosted/src/main/java/embershift/hosted/OrderCommands.java
+++ b/hosted/src/main/java/embershift/hosted/OrderCommands.java
@@ -6,15 +6,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Words;
-import embershift.fleet.Condition;
-import embershift.fleet.DutyId;
-import embershift.fleet.ReleasePlan;
-import embershift.fleet.Revision;
-import embershift.fleet.Write;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.restart.RollingRestartPlan;
+import embershift.fleet.rollout.ConfigRevision;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 
 /** The administrator's commands on nodes, duties, revisions and releases. */
@@ -44,7 +45,10 @@
     }
 
     private static RecordClient.Outcome change(
-            RecordClient client, List<Condition> conditions, List<Write> writes, double within) {
+            RecordClient client,
+            List<Precondition> conditions,
+            List<Mutation> writes,
+            double within) {
         return client.ask(RecordCaller.changes(conditions, writes), within);
     }
 
@@ -158,8 +162,8 @@
         @Override
         RecordClient.Outcome run(RecordClient client) {
             words(2, "duty-transfer DUTY INSTANCE");
-            DutyId duty = new DutyId(words.get(0));
-            RecordClient.Outcome fence = get(client, duty.fenceKey());
+            TaskId duty = new TaskId(words.get(0));
+            RecordClient.Outcome fence = get(client, duty.tokenKey());
             if (fence.done() && item(fence).isMissingNode()) {
                 return refused("no-duty", "nobody has ever owned " + duty.name());
             }
@@ -194,46 +198,50 @@
                 return latest;
             }
             long number = item(latest).path("value").asLong();
-            RecordClient.Outcome last = get(client, Revision.key(number));
+            RecordClient.Outcome last = get(client, ConfigRevision.key(number));
             RecordClient.Outcome from =
-                    backTo >= 0 && last.done() ? get(client, Revision.key(backTo)) : last;
+                    backTo >= 0 && last.done() ? get(client, ConfigRevision.key(backTo)) : last;
             if (!from.done()) {
                 return from;
             }
-            Revision before =
-                    number == 0 ? Revision.NONE : Revision.read(item(last).path("value").asText());
-            Revision content =
+            ConfigRevision before =
+                    number == 0
+                            ? ConfigRevision.NONE
+                            : ConfigRevision.decode(item(last).path("value").asText()).orElse(null);
+            ConfigRevision content =
                     backTo == 0 || (backTo < 0 && number == 0)
-                            ? Revision.NONE
-                            : Revision.read(item(from).path("value").asText());
+                            ? ConfigRevision.NONE
+                            : ConfigRevision.decode(item(from).path("value").asText()).orElse(null);
             if (before == null || content == null) {
                 return refused(
                         "no-revision",
                         "the record has no revision " + (before == null ? number : backTo));
             }
-            Map<String, String> all = new TreeMap<>(content.differenceFrom(before));
-            all.putAll(changes);
-            Revision next = before.next(all);
-            if (next.wrong() != null) {
-                return refused("wrong", next.wrong());
+            Map<String, Optional<String>> all = new TreeMap<>(content.differenceFrom(before));
+            changes.forEach((field, value) -> all.put(field, Optional.ofNullable(value)));
+            ConfigRevision next = before.next(all);
+            if (next.findError().isPresent()) {
+                return refused("wrong", next.findError().get());
             }
-            if (next.content().equals(before.content())) {
+            if (next.contentDigest().equals(before.contentDigest())) {
                 return refused("nothing-new", "revision " + number + " says so already");
             }
-            List<Write> writes =
+            List<Mutation> writes =
                     new ArrayList<>(
                             List.of(
-                                    new Write(LATEST, String.valueOf(next.number()), false),
-                                    new Write(Revision.key(next.number()), next.text(), false)));
+                                    Mutation.put(LATEST, String.valueOf(next.number())),
+                                    Mutation.put(
+                                            ConfigRevision.key(next.number()), next.encode())));
             if (atOnce) {
-                writes.add(new Write(RolloutDuty.NOW + next.number(), "1", false));
+                writes.add(Mutation.put(RolloutDuty.NOW + next.number(), "1"));
             }
             RecordClient.Outcome made =
                     change(
                             client,
                             List.of(
-                                    new Condition(LATEST, item(latest).path("revision").asLong()),
-                                    new Condition(Revision.key(next.number()), 0)),
+                                    new Precondition(
+                                            LATEST, item(latest).path("revision").asLong()),
+                                    new Precondition(ConfigRevision.key(next.number()), 0)),
                             writes,
                             within);
             return made.done()
@@ -280,13 +288,14 @@
             }
             ObjectNode answer = Words.node();
             for (JsonNode item : all.answer().path("items")) {
-                Revision revision = Revision.read(item.path("value").asText());
+                ConfigRevision revision =
+                        ConfigRevision.decode(item.path("value").asText()).orElse(null);
                 if (revision != null) {
                     ObjectNode row =
                             answer.withArray("revisions")
                                     .addObject()
                                     .put("number", revision.number())
-                                    .put("chain", revision.chain());
+                                    .put("chain", revision.chainDigest());
                     Words.texts(row.putObject("fields"), revision.fields());
                 }
             }
@@ -399,13 +408,13 @@
                     : change(
                             client,
                             List.of(
-                                    new Condition(
+                                    new Precondition(
                                             Nodes.NODE + name,
                                             item(node).path("revision").asLong())),
                             List.of(
-                                    new Write(Nodes.NODE + name, null, false),
-                                    new Write(Nodes.OUT + name, null, false),
-                                    new Write(RolloutDuty.STATE + name, null, false)),
+                                    Mutation.delete(Nodes.NODE + name),
+                                    Mutation.delete(Nodes.OUT + name),
+                                    Mutation.delete(RolloutDuty.STATE + name)),
                             within);
         }
     }
@@ -439,7 +448,8 @@
                 case "start" -> start(client);
                 case "show" -> list(client, "release/");
                 case "go", "pause", "abort" ->
-                        client.ask(RecordClient.put(ReleasePlan.WISH, what, -1), within);
+                        client.ask(
+                                RecordClient.put(RollingRestartPlan.INTENT_KEY, what, -1), within);
                 default ->
                         throw new ParameterException(
                                 "wanted: release start NAME host:H|node:N ..., show, go, pause or abort");
@@ -447,23 +457,24 @@
         }
 
         private RecordClient.Outcome start(RecordClient client) {
-            List<ReleasePlan.Part> parts = new ArrayList<>();
+            List<RollingRestartPlan.Target> parts = new ArrayList<>();
             for (String word : words.subList(Math.min(2, words.size()), words.size())) {
                 if (!word.matches("(host|node):.+")) {
                     throw new ParameterException("a part is host:NAME or node:NAME, not " + word);
                 }
-                parts.add(new ReleasePlan.Part(word.startsWith("node:"), word.substring(5)));
+                parts.add(
+                        new RollingRestartPlan.Target(word.startsWith("node:"), word.substring(5)));
             }
-            ReleasePlan plan =
-                    new ReleasePlan(
+            RollingRestartPlan plan =
+                    new RollingRestartPlan(
                             words.size() > 1 ? words.get(1) : "",
                             size,
                             service,
                             warm,
                             patience,
                             parts);
-            if (plan.wrong() != null) {
-                throw new ParameterException(plan.wrong());
+            if (plan.findError().isPresent()) {
+                throw new ParameterException(plan.findError().get());
             }
             RecordClient.Outcome before = list(client, "release/");
             if (!before.done()) {
@@ -472,9 +483,9 @@
             long revision = 0;
             for (JsonNode item : before.answer().path("items")) {
                 String value = item.path("value").asText();
-                if (item.path("key").asText().equals(ReleasePlan.KEY)) {
+                if (item.path("key").asText().equals(RollingRestartPlan.KEY)) {
                     revision = item.path("revision").asLong();
-                    ReleasePlan old = ReleasePlan.read(value);
+                    RollingRestartPlan old = RollingRestartPlan.decode(value).orElse(null);
                     if (old != null && old.name().equals(plan.name())) {
                         return refused(
                                 "name",
@@ -486,12 +497,13 @@
             }
             return change(
                     client,
-                    List.of(new Condition(ReleasePlan.KEY, revision)),
+                    List.of(new Precondition(RollingRestartPlan.KEY, revision)),
                     List.of(
-                            new Write(ReleasePlan.KEY, plan.text(), false),
-                            new Write(ReleasePlan.WISH, null, false),
-                            new Write(
-                                    ReleasePlan.STATE, plan.name() + " waits for an owner", false)),
+                            Mutation.put(RollingRestartPlan.KEY, plan.encode()),
+                            Mutation.delete(RollingRestartPlan.INTENT_KEY),
+                            Mutation.put(
+                                    RollingRestartPlan.STATE_KEY,
+                                    plan.name() + " waits for an owner")),
                     within);
         }
 
--- a/hosted/src/main/java/embershift/hosted/RecordCaller.java
+++ b/hosted/src/main/java/embershift/hosted/RecordCaller.java
@@ -2,13 +2,12 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.fleet.Answer;
-import embershift.fleet.Command;
-import embershift.fleet.Condition;
-import embershift.fleet.Write;
+import embershift.fleet.store.CallResult;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
+import embershift.fleet.store.StoreCommand;
 import java.net.InetSocketAddress;
 import java.util.List;
-import java.util.Locale;
 import java.util.concurrent.Executor;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -51,57 +50,59 @@
         }
     }
 
-    public void ask(Command command, double within, Consumer<Answer> heard) {
+    public void ask(StoreCommand command, double within, Consumer<CallResult> heard) {
         ask(
                 json(command),
                 within,
                 outcome ->
                         heard.accept(
                                 outcome.done()
-                                        ? new Answer.Done(outcome.answer().path("number").asLong())
+                                        ? new CallResult.Done(
+                                                outcome.answer().path("number").asLong())
                                         : outcome.unknown()
-                                                ? new Answer.Unknown(outcome.text())
-                                                : new Answer.Refused(
+                                                ? new CallResult.Unknown(outcome.text())
+                                                : new CallResult.Rejected(
                                                         reason(outcome.reason()), outcome.text())));
     }
 
-    private static Answer.Reason reason(String written) {
-        try {
-            return Answer.Reason.valueOf(written.toUpperCase(Locale.ROOT).replace('-', '_'));
-        } catch (IllegalArgumentException e) {
-            return Answer.Reason.BUSY;
+    private static CallResult.Reason reason(String written) {
+        for (CallResult.Reason reason : CallResult.Reason.values()) {
+            if (reason.wireName().equals(written)) {
+                return reason;
+            }
         }
+        return CallResult.Reason.BUSY;
     }
 
-    private static ObjectNode json(Command command) {
-        if (command instanceof Command.Open open) {
+    private static ObjectNode json(StoreCommand command) {
+        if (command instanceof StoreCommand.OpenSession open) {
             return RecordClient.call("open")
                     .put("client", open.client())
-                    .put("seconds", open.seconds());
+                    .put("seconds", open.timeoutSeconds());
         }
-        if (command instanceof Command.End end) {
+        if (command instanceof StoreCommand.EndSession end) {
             return RecordClient.call("end").put("session", end.session().number());
         }
-        Command.Change change = (Command.Change) command;
-        return changes(change.conditions(), change.writes())
+        StoreCommand.Transaction change = (StoreCommand.Transaction) command;
+        return changes(change.preconditions(), change.mutations())
                 .put("session", change.session().number())
-                .put("number", change.number())
-                .put("open", change.open());
+                .put("number", change.sequenceNumber())
+                .put("open", change.oldestOpenNumber());
     }
 
     /** A change that the client gives a session and a number. */
-    public static ObjectNode changes(List<Condition> conditions, List<Write> all) {
+    public static ObjectNode changes(List<Precondition> conditions, List<Mutation> all) {
         ObjectNode call = RecordClient.call("change");
         ArrayNode asked = call.putArray("conditions");
-        for (Condition condition : conditions) {
+        for (Precondition condition : conditions) {
             asked.addObject().put("key", condition.key()).put("revision", condition.revision());
         }
         ArrayNode writes = call.putArray("writes");
-        for (Write write : all) {
+        for (Mutation write : all) {
             writes.addObject()
                     .put("key", write.key())
-                    .put("value", write.value())
-                    .put("bound", write.bound());
+                    .put("value", write.value().orElse(null))
+                    .put("bound", write.sessionBound());
         }
         return call;
     }
--- a/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
@@ -3,27 +3,29 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Toml;
 import embershift.door.Words;
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Item;
-import embershift.fleet.Owner;
-import embershift.fleet.Plan;
-import embershift.fleet.Release;
-import embershift.fleet.ReleasePlan;
-import embershift.fleet.Write;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.LeaseHolder;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.lease.TaskPlan;
+import embershift.fleet.restart.RollingRestart;
+import embershift.fleet.restart.RollingRestartPlan;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.Mutation;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.TreeMap;
 
 /**
- * Starts hosts and nodes anew, step by step, as {@link Release} decides, while the record holds a
- * plan.
+ * Starts hosts and nodes anew, step by step, as {@link RollingRestart} decides, while the record
+ * holds a plan.
  */
-final class ReleaseDuty extends Duty implements Nodes.Listener, Release.View, Release.Hands {
+final class ReleaseDuty extends Duty
+        implements Nodes.Listener, RollingRestart.FleetView, RollingRestart.Environment {
 
     private static final double SILENT = 2;
     private static final double TELL = 1;
@@ -38,9 +40,9 @@
 
     private Discovery discovery;
     private Manager manager;
-    private ReleasePlan plan;
+    private RollingRestartPlan plan;
     private long planRevision = -1;
-    private Release step;
+    private RollingRestart step;
     private int stepNumber;
     private Set<String> out = Set.of();
     private final Map<String, Double> toldAt = new HashMap<>();
@@ -59,14 +61,14 @@
     /** A plan that the record has, and that is not at its end, is this instance's to claim. */
     @Override
     void prepare() {
-        Item item = all.record().get(ReleasePlan.KEY);
+        KeyValue item = all.record().find(RollingRestartPlan.KEY).orElse(null);
         long revision = item == null ? 0 : item.revision();
-        if (revision != planRevision && (owner() == null || !owner().has())) {
+        if (revision != planRevision && (owner() == null || !owner().isHeldOrReleasing())) {
             planRevision = revision;
-            plan = item == null ? null : ReleasePlan.read(item.value());
+            plan = item == null ? null : RollingRestartPlan.decode(item.value()).orElse(null);
             if (plan != null) {
                 own(
-                        new Plan(plan.name() + "-" + revision, plan.steps(), LONGEST),
+                        new TaskPlan(plan.name() + "-" + revision, plan.steps(), LONGEST),
                         all.fleet().terms(3600, OWNERS));
             }
         }
@@ -95,23 +97,24 @@
             step = null;
             // Its time may only have lapsed: should it come back under the same grant, the step is
             // begun again.
-            owner().acted(now(), stepNumber, owner().fence(), Owner.Effect.UNKNOWN);
+            owner().stepCompleted(
+                            now(), stepNumber, owner().token(), LeaseHolder.StepOutcome.UNKNOWN);
         }
     }
 
     @Override
-    public void act(DutyId duty, Plan whole, int number, Fence fence) {
+    public void runStep(TaskId duty, TaskPlan whole, int number, FencingToken fence) {
         stepNumber = number;
-        step = new Release(now(), plan, number, !endedHere, this, this);
+        step = new RollingRestart(now(), plan, number, !endedHere, this, this);
     }
 
     @Override
     void work() {
         double now = now();
         if (step != null) {
-            Item wish = all.record().get(ReleasePlan.WISH);
+            KeyValue wish = all.record().find(RollingRestartPlan.INTENT_KEY).orElse(null);
             // Of a wish for an earlier release nothing holds.
-            step.wish(
+            step.setOperatorIntent(
                     now,
                     wish == null || wish.revision() < planRevision
                             ? "go"
@@ -120,7 +123,7 @@
         }
         if (step != null) {
             tellOut(now);
-            String waits = step.waitsFor();
+            String waits = step.waitReason();
             state(
                     "step "
                             + (stepNumber + 1)
@@ -133,7 +136,7 @@
     private void state(String text) {
         if (!text.equals(state)) {
             state = text;
-            write(List.of(new Write(ReleasePlan.STATE, plan.name() + " " + text, false)));
+            write(List.of(Mutation.put(RollingRestartPlan.STATE_KEY, plan.name() + " " + text)));
         }
     }
 
@@ -166,21 +169,21 @@
     // What the step sees.
 
     @Override
-    public Map<String, Release.NodeView> nodes() {
-        Map<String, Release.NodeView> views = new TreeMap<>();
+    public Map<String, RollingRestart.NodeView> nodes() {
+        Map<String, RollingRestart.NodeView> views = new TreeMap<>();
         double now = now();
-        for (Item item : all.record().beginning(Nodes.NODE)) {
+        for (KeyValue item : all.record().findByPrefix(Nodes.NODE)) {
             String name = item.key().substring(Nodes.NODE.length());
             Nodes.NodeLink link = all.nodes().get(name);
-            Item shut = all.record().get(Nodes.OUT + name);
+            KeyValue shut = all.record().find(Nodes.OUT + name).orElse(null);
             if (link == null && shut != null && number(shut) >= item.revision()) {
                 continue;
             }
             views.put(
                     name,
                     link == null
-                            ? new Release.NodeView(false, false, Set.of())
-                            : new Release.NodeView(
+                            ? new RollingRestart.NodeView(false, false, Set.of())
+                            : new RollingRestart.NodeView(
                                     now - link.heardAt() < SILENT,
                                     link.report().path("ready").asBoolean(),
                                     Words.list(link.report().path("out"))));
@@ -189,14 +192,14 @@
     }
 
     @Override
-    public boolean inService(String host) {
+    public boolean isInService(String host) {
         String entry = discovery.entries().get(host);
         ObjectNode read = entry == null ? null : Words.read(entry);
         return read != null && read.path("lifecycle").asText().equals("in_service");
     }
 
     @Override
-    public double service() {
+    public OptionalDouble serviceRate() {
         double now = now();
         long opened = 0;
         long failed = 0;
@@ -207,7 +210,9 @@
             opened += some.peekLast().opened - some.peekFirst().opened;
             failed += some.peekLast().failed - some.peekFirst().failed;
         }
-        return opened + failed == 0 ? Double.NaN : (double) opened / (opened + failed);
+        return opened + failed == 0
+                ? OptionalDouble.empty()
+                : OptionalDouble.of((double) opened / (opened + failed));
     }
 
     @Override
@@ -230,36 +235,36 @@
     // What the step has done.
 
     @Override
-    public void out(Set<String> hosts) {
+    public void ejectHosts(Set<String> hosts) {
         out = hosts;
         toldAt.clear();
     }
 
     @Override
-    public void startAnew(ReleasePlan.Part part, String partId) {
+    public void restart(RollingRestartPlan.Target part, String partId) {
         call("RESTART " + part + " " + partId, partId);
     }
 
     @Override
-    public void makeVoid(String partId) {
+    public void cancel(String partId) {
         call("VOID " + partId, partId);
     }
 
     private void call(String line, String partId) {
         if (owner().mayAct(now())) {
-            Release mine = step;
+            RollingRestart mine = step;
             manager.call(
                     line,
                     what -> {
                         if (step == mine && mine != null) {
-                            mine.managed(now(), partId, what);
+                            mine.restartReported(now(), partId, what);
                         }
                     });
         }
     }
 
     @Override
-    public void ended(boolean aborted) {
+    public void completed(boolean aborted) {
         step = null;
         endedHere = true;
         state(
@@ -268,18 +273,18 @@
                         : stepNumber + 1 == plan.steps()
                                 ? "done"
                                 : "step " + (stepNumber + 1) + " is done");
-        owner().acted(now(), stepNumber, fence(), Owner.Effect.DONE);
+        owner().stepCompleted(now(), stepNumber, fence(), LeaseHolder.StepOutcome.DONE);
     }
 
     @Override
     public void halted(String why) {
-        told("the release halts: " + why);
+        notifyOperator("the release halts: " + why);
         write(
                 List.of(
-                        new Write(
-                                ReleasePlan.WISH,
-                                "pause the release halted by itself: " + why,
-                                false),
-                        new Write(ReleasePlan.STATE, plan.name() + " halted: " + why, false)));
+                        Mutation.put(
+                                RollingRestartPlan.INTENT_KEY,
+                                "pause the release halted by itself: " + why),
+                        Mutation.put(
+                                RollingRestartPlan.STATE_KEY, plan.name() + " halted: " + why)));
     }
 }
--- a/hosted/src/main/java/embershift/hosted/RolloutDuty.java
+++ b/hosted/src/main/java/embershift/hosted/RolloutDuty.java
@@ -3,24 +3,27 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Words;
-import embershift.fleet.Folding;
-import embershift.fleet.Item;
-import embershift.fleet.KeyValueStore;
-import embershift.fleet.Plan;
-import embershift.fleet.Revision;
-import embershift.fleet.Rollout;
-import embershift.fleet.Write;
+import embershift.fleet.audit.AuditCheckpoint;
+import embershift.fleet.audit.AuditRetention;
+import embershift.fleet.lease.TaskPlan;
+import embershift.fleet.rollout.ConfigRevision;
+import embershift.fleet.rollout.ConfigRollout;
+import embershift.fleet.rollout.NodeReport;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.Mutation;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Brings each node to the revision that it should go by, as {@link Rollout} decides. */
-final class RolloutDuty extends Duty implements Nodes.Listener, Rollout.Hands {
+/** Brings each node to the revision that it should go by, as {@link ConfigRollout} decides. */
+final class RolloutDuty extends Duty implements Nodes.Listener, ConfigRollout.Environment {
 
     static final String REVISION = "revision/";
     static final String STAGE = "rollout/stage";
@@ -41,12 +44,12 @@
     /** Revisions that are kept, beside those that some node may still go by. */
     private static final int KEPT = 500;
 
-    private Rollout rollout;
+    private ConfigRollout rollout;
 
     /** While the record is read: what this owner must know before it does anything. */
     private int toRead;
 
-    private final Map<String, Item> read = new TreeMap<>();
+    private final Map<String, KeyValue> read = new TreeMap<>();
     private final Map<String, String> statesTold = new HashMap<>();
     private double statesAt;
     private double foldedAt;
@@ -55,7 +58,7 @@
 
     RolloutDuty(Duties all) {
         super(all, "rollout");
-        own(new Plan("rollout", 0, 0), all.fleet().standing());
+        own(new TaskPlan("rollout", 0, 0), all.fleet().standing());
     }
 
     @Override
@@ -84,8 +87,8 @@
                                 return;
                             }
                             for (JsonNode each : outcome.answer().path("items")) {
-                                Item item =
-                                        new Item(
+                                KeyValue item =
+                                        new KeyValue(
                                                 each.path("key").asText(),
                                                 each.path("value").asText(),
                                                 each.path("created").asLong(),
@@ -94,31 +97,34 @@
                                 read.put(item.key(), item);
                             }
                             if (--toRead == 0) {
-                                rollout = new Rollout(all.fleet().rollout(), this);
-                                Item stage = read.get(STAGE);
-                                rollout.found(now(), stage == null ? null : stage.value());
+                                rollout = new ConfigRollout(all.fleet().rollout(), this);
+                                KeyValue stage = read.get(STAGE);
+                                rollout.restore(
+                                        now(), Optional.ofNullable(stage).map(KeyValue::value));
                                 learn(read.values());
                                 all.nodes().linked().forEach(this::reported);
                             }
                         });
     }
 
-    private void learn(Collection<Item> items) {
-        for (Item item : items) {
+    private void learn(Collection<KeyValue> items) {
+        for (KeyValue item : items) {
             if (item.key().startsWith(REVISION)) {
-                Revision revision =
-                        known.contains(keyNumber(item.key())) ? null : Revision.read(item.value());
+                ConfigRevision revision =
+                        known.contains(keyNumber(item.key()))
+                                ? null
+                                : ConfigRevision.decode(item.value()).orElse(null);
                 if (revision != null) {
                     known.add(revision.number());
-                    rollout.known(
+                    rollout.addRevision(
                             revision,
                             read.containsKey(NOW + revision.number())
-                                    || all.record().get(NOW + revision.number()) != null);
+                                    || all.record().find(NOW + revision.number()).isPresent());
                 }
             } else if (item.key().equals(FLOOR)) {
-                rollout.floorIs(number(item));
+                rollout.raiseFloorTo(number(item));
             } else if (item.key().startsWith(Nodes.NODE)) {
-                rollout.named(item.key().substring(Nodes.NODE.length()));
+                rollout.addNode(item.key().substring(Nodes.NODE.length()));
             }
         }
     }
@@ -135,23 +141,26 @@
             return;
         }
         seen = now;
-        learn(all.record().beginning(REVISION));
-        Item floor = all.record().get(FLOOR);
+        learn(all.record().findByPrefix(REVISION));
+        KeyValue floor = all.record().find(FLOOR).orElse(null);
         if (floor != null) {
-            rollout.floorIs(number(floor));
+            rollout.raiseFloorTo(number(floor));
         }
         Set<String> names = new HashSet<>();
-        for (Item item : all.record().beginning(Nodes.NODE)) {
+        for (KeyValue item : all.record().findByPrefix(Nodes.NODE)) {
             String name = item.key().substring(Nodes.NODE.length());
             names.add(name);
-            rollout.named(name);
-            Item out = all.record().get(Nodes.OUT + name);
-            rollout.outIs(
-                    name, number(out), out != null && out.value().contains(" " + BY_DUTY + " "));
+            rollout.addNode(name);
+            KeyValue out = all.record().find(Nodes.OUT + name).orElse(null);
+            if (number(out) == 0) {
+                rollout.setAdmitted(name);
+            } else {
+                rollout.setShutOut(name, number(out), out.value().contains(" " + BY_DUTY + " "));
+            }
         }
-        for (String name : List.copyOf(rollout.names())) {
+        for (String name : List.copyOf(rollout.nodeNames())) {
             if (!names.contains(name) && all.nodes().get(name) == null) {
-                rollout.forgotten(name);
+                rollout.removeNode(name);
             }
         }
     }
@@ -164,11 +173,11 @@
     @Override
     void work() {
         double now = now();
-        boolean nodesThere = !all.record().beginning(Nodes.NODE).isEmpty();
+        boolean nodesThere = !all.record().findByPrefix(Nodes.NODE).isEmpty();
         if (!nodesThere
                 || all.nodes().linked().stream()
                         .anyMatch(link -> now - link.heardAt() < READ_WITHIN)) {
-            owner().progressed(now);
+            owner().madeProgress(now);
         }
         if (rollout == null) {
             return;
@@ -186,24 +195,24 @@
     }
 
     private void tellStates() {
-        List<Write> writes = new ArrayList<>();
-        for (String name : rollout.names()) {
-            String state = rollout.state(name) + " " + rollout.why(name);
+        List<Mutation> writes = new ArrayList<>();
+        for (String name : rollout.nodeNames()) {
+            String state = rollout.stateOf(name) + " " + rollout.reasonFor(name);
             if (!state.equals(statesTold.get(name)) && writes.size() < MOST_STATES) {
                 statesTold.put(name, state);
-                writes.add(new Write(STATE + name, state.strip(), false));
+                writes.add(Mutation.put(STATE + name, state.strip()));
             }
         }
-        for (Item item : all.record().beginning(STATE)) {
+        for (KeyValue item : all.record().findByPrefix(STATE)) {
             String name = item.key().substring(STATE.length());
-            if (!rollout.names().contains(name) && writes.size() < MOST_STATES) {
-                writes.add(new Write(item.key(), null, false));
+            if (!rollout.nodeNames().contains(name) && writes.size() < MOST_STATES) {
+                writes.add(Mutation.delete(item.key()));
             }
         }
-        List<Item> revisions = List.copyOf(all.record().beginning(REVISION));
+        List<KeyValue> revisions = List.copyOf(all.record().findByPrefix(REVISION));
         for (int i = 0; i < revisions.size() - KEPT && writes.size() < MOST_STATES; i++) {
             if (keyNumber(revisions.get(i).key()) < rollout.floor()) {
-                writes.add(new Write(revisions.get(i).key(), null, false));
+                writes.add(Mutation.delete(revisions.get(i).key()));
             }
         }
         if (!writes.isEmpty()) {
@@ -216,13 +225,15 @@
      */
     private void fold() {
         Map<String, String> begins = new TreeMap<>();
-        all.record().beginning(Folding.KEY).forEach(item -> begins.put(item.key(), item.value()));
-        List<Write> writes =
-                Folding.fold(
-                        all.record().beginning("trail/"),
+        all.record()
+                .findByPrefix(AuditCheckpoint.KEY_PREFIX)
+                .forEach(item -> begins.put(item.key(), item.value()));
+        List<Mutation> writes =
+                AuditRetention.compact(
+                        all.record().findByPrefix("trail/"),
                         begins,
-                        KeyValueStore.ALL / 2,
-                        KeyValueStore.ALL / 16);
+                        KeyValueStore.MAX_TOTAL_CHARS / 2,
+                        KeyValueStore.MAX_TOTAL_CHARS / 16);
         if (!writes.isEmpty()) {
             all.counted("trails folded");
             write(writes);
@@ -234,9 +245,9 @@
         if (rollout != null) {
             JsonNode report = link.report();
             if (report.has("clock")) {
-                rollout.heard(
+                rollout.reported(
                         link.heardAt(),
-                        new Rollout.Report(
+                        new NodeReport(
                                 link.name,
                                 link.incarnation,
                                 report.path("revision").asLong(),
@@ -254,14 +265,14 @@
     @Override
     public void unlinked(Nodes.NodeLink link) {
         if (rollout != null) {
-            rollout.unlinked(link.name);
+            rollout.disconnected(link.name);
         }
     }
 
     // The rollout's hands.
 
     @Override
-    public void order(String node, Revision revision, long base) {
+    public void order(String node, ConfigRevision revision, long base) {
         Nodes.NodeLink link = all.nodes().get(node);
         if (link == null) {
             return;
@@ -270,58 +281,62 @@
                 Words.node()
                         .put("number", revision.number())
                         .put("base", base)
-                        .put("chain", revision.chain())
-                        .put("content", revision.content());
-        Revision from =
+                        .put("chain", revision.chainDigest())
+                        .put("content", revision.contentDigest());
+        ConfigRevision from =
                 base == 0
                         ? null
-                        : Revision.read(
-                                all.record().get(Revision.key(base)) == null
-                                        ? ""
-                                        : all.record().get(Revision.key(base)).value());
+                        : all.record()
+                                .find(ConfigRevision.key(base))
+                                .flatMap(item -> ConfigRevision.decode(item.value()))
+                                .orElse(null);
         if (from == null) {
             order.put("base", 0);
+            Words.texts(order.putObject("fields"), revision.fields());
+        } else {
+            Words.changes(order.putObject("fields"), revision.differenceFrom(from));
         }
-        Words.texts(
-                order.putObject("fields"),
-                from == null ? revision.fields() : revision.differenceFrom(from));
         all.counted(from == null ? "revisions told whole" : "revisions told by difference");
-        Rollout mine = rollout;
+        ConfigRollout mine = rollout;
         order(
                 link,
                 "revision",
                 order,
                 verdict -> {
                     if (mine == rollout && verdict != null) {
-                        mine.answered(
-                                now(),
-                                node,
-                                verdict.path("end").asText().equals("TAKEN"),
-                                verdict.path("end").asText().equals("WHOLE"));
+                        mine.orderCompleted(now(), node, answer(verdict));
                     }
                 });
     }
 
+    private static ConfigRollout.OrderAnswer answer(ObjectNode verdict) {
+        return switch (verdict.path("end").asText()) {
+            case "TAKEN" -> ConfigRollout.OrderAnswer.TAKEN;
+            case "WHOLE" -> ConfigRollout.OrderAnswer.FULL_REVISION_NEEDED;
+            default -> ConfigRollout.OrderAnswer.NOT_TAKEN;
+        };
+    }
+
     @Override
-    public void note(String text) {
-        Rollout mine = rollout;
-        write(List.of(new Write(STAGE, text, false)), mine::noted);
+    public void recordProgress(String text) {
+        ConfigRollout mine = rollout;
+        write(List.of(Mutation.put(STAGE, text)), mine::progressRecorded);
     }
 
     @Override
-    public void floor(long revision) {
-        write(List.of(new Write(FLOOR, String.valueOf(revision), false)));
+    public void raiseFloor(long revision) {
+        write(List.of(Mutation.put(FLOOR, String.valueOf(revision))));
     }
 
     @Override
     public void shutOut(String node, long incarnation, String why) {
-        told(node + " is shut out: " + why);
-        write(List.of(new Write(Nodes.OUT + node, incarnation + " " + BY_DUTY + " " + why, false)));
+        notifyOperator(node + " is shut out: " + why);
+        write(List.of(Mutation.put(Nodes.OUT + node, incarnation + " " + BY_DUTY + " " + why)));
     }
 
     @Override
-    public void replace(String node, String why) {
-        told(node + " is to be started anew: " + why);
-        write(List.of(new Write(WANTED + node, why, false)));
+    public void requestRestart(String node, String why) {
+        notifyOperator(node + " is to be started anew: " + why);
+        write(List.of(Mutation.put(WANTED + node, why)));
     }
 }
--- a/node/src/main/java/embershift/protocol/HttpRequest.java
+++ b/node/src/main/java/embershift/protocol/HttpRequest.java
@@ -8,8 +8,8 @@
 
 /**
  * One request of an HTTP/1.1 client, read from bytes that come in any split. A body is read and
- * dropped: no call needs one. A request that can't be taken fails with {@link Refused}, which holds
- * the status to answer with.
+ * dropped: no call needs one. A request that can't be taken fails with {@link Rejected}, which
+ * holds the status to answer with.
  */
 public final class HttpRequest extends HttpMessage {
 
--- a/rig/src/main/java/embershift/rig/process/FleetMeasure.java
+++ b/rig/src/main/java/embershift/rig/process/FleetMeasure.java
@@ -1,7 +1,7 @@
 package embershift.rig.process;
 
-import embershift.fleet.Segment;
-import embershift.fleet.Trace;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.audit.AuditSegment;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -131,10 +131,11 @@
         long entries = 0;
         for (String text : site.list("trail/").values()) {
             bytes += text.length();
-            for (Trace entry : Segment.read(text).entries()) {
+            for (AuditEntry entry : AuditSegment.decode(text).orElseThrow().entries()) {
                 entries++;
-                if (entry.kind() == Trace.Kind.TOOK && made.containsKey(entry.value("revision"))) {
-                    took.add((entry.at().millis() - made.get(entry.value("revision"))) / 1000.0);
+                if (entry.kind() == AuditEntry.Kind.TOOK
+                        && made.containsKey(entry.numberOf("revision"))) {
+                    took.add((entry.at().millis() - made.get(entry.numberOf("revision"))) / 1000.0);
                 }
             }
         }
--- a/rig/src/main/java/embershift/rig/process/FleetPlay.java
+++ b/rig/src/main/java/embershift/rig/process/FleetPlay.java
@@ -1,9 +1,9 @@
 package embershift.rig.process;
 
-import embershift.fleet.Audit;
-import embershift.fleet.Revision;
-import embershift.fleet.Segment;
-import embershift.fleet.Trace;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.audit.AuditReport;
+import embershift.fleet.audit.AuditSegment;
+import embershift.fleet.rollout.ConfigRevision;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -301,15 +301,16 @@
 
     private String judge() {
         Map<String, String> trails = site.list("trail/");
-        Map<Long, Revision> revisions = new HashMap<>();
+        Map<Long, ConfigRevision> revisions = new HashMap<>();
         site.list("revision/")
                 .values()
                 .forEach(
                         text -> {
-                            Revision revision = Revision.read(text);
+                            ConfigRevision revision = ConfigRevision.decode(text).orElseThrow();
                             revisions.put(revision.number(), revision);
                         });
-        for (String problem : new Audit(trails.values(), Map.of(), site.list("folded/")).verify()) {
+        for (String problem :
+                new AuditReport(trails.values(), Map.of(), site.list("folded/")).problems()) {
             if (!problem.contains("missing")) {
                 return problem;
             }
@@ -318,9 +319,9 @@
         List<Took> took = new ArrayList<>();
         Map<String, Took> latest = new TreeMap<>();
         for (String text : trails.values()) {
-            Segment segment = Segment.read(text);
-            for (Trace entry : segment.entries()) {
-                if (entry.kind() == Trace.Kind.ORDER) {
+            AuditSegment segment = AuditSegment.decode(text).orElseThrow();
+            for (AuditEntry entry : segment.entries()) {
+                if (entry.kind() == AuditEntry.Kind.ORDER) {
                     count("orders " + entry.fields().getOrDefault("verdict", "for releases"));
                 }
                 String key = segment.node() + "/" + segment.incarnation();
@@ -336,16 +337,16 @@
                                     before.at,
                                     entry.at().millis()));
                 }
-                if (entry.kind() != Trace.Kind.TOOK) {
+                if (entry.kind() != AuditEntry.Kind.TOOK) {
                     continue;
                 }
                 count("revisions taken");
-                long number = entry.value("revision");
+                long number = entry.numberOf("revision");
                 if (before != null && number < before.revision) {
                     return key + " goes back from " + before.revision + " to " + number;
                 }
-                Revision meant = revisions.get(number);
-                if (meant == null || !meant.content().equals(entry.fields().get("content"))) {
+                ConfigRevision meant = revisions.get(number);
+                if (meant == null || !meant.contentDigest().equals(entry.fields().get("content"))) {
                     return key + " acts on what revision " + number + " does not say";
                 }
                 if (before != null) {
@@ -369,7 +370,7 @@
      * Whether a host had a setup of a node that went, by its own trail, by a revision in which that
      * host is out.
      */
-    private String throughBans(List<Took> took, Map<Long, Revision> revisions) {
+    private String throughBans(List<Took> took, Map<Long, ConfigRevision> revisions) {
         for (HostsStand.Setup setup : site.hosts.setups()) {
             long wall = (setup.at() + wallOverNano) / 1_000_000;
             String node = setup.tunnel().replaceAll("-.*", "");
@@ -380,7 +381,7 @@
                         && revisions
                                 .get(each.revision)
                                 .fields()
-                                .containsKey(Revision.OUT + setup.host())) {
+                                .containsKey(ConfigRevision.EJECTED_PREFIX + setup.host())) {
                     return String.format(
                             Locale.ROOT,
                             "%s sent %s to %s %d ms after it went by revision %d, in which that is out",
--- a/rig/src/main/java/embershift/rig/process/OwnerStand.java
+++ b/rig/src/main/java/embershift/rig/process/OwnerStand.java
@@ -1,11 +1,12 @@
 package embershift.rig.process;
 
-import embershift.fleet.Command;
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Owner;
-import embershift.fleet.Plan;
-import embershift.fleet.SessionId;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.LeaseHolder;
+import embershift.fleet.lease.LeaseSettings;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.lease.TaskPlan;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.StoreCommand;
 import embershift.hosted.RecordCaller;
 import embershift.hosted.RecordClient;
 import java.io.BufferedReader;
@@ -15,6 +16,7 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -22,12 +24,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One who would own a duty, as a process: an {@link Owner} whose steps are orders to receivers, in
- * turn. Arguments: name, duty, steps, instances and receivers, each as HOST:PORT,HOST:PORT.
+ * One who would own a duty, as a process: an {@link LeaseHolder} whose steps are orders to
+ * receivers, in turn. Arguments: name, duty, steps, instances and receivers, each as
+ * HOST:PORT,HOST:PORT.
  */
-public final class OwnerStand implements Owner.Hands {
+public final class OwnerStand implements LeaseHolder.Environment {
 
-    private static final Owner.Terms TERMS = new Owner.Terms(2, 0.1, 20, 1000, 2);
+    private static final LeaseSettings TERMS = new LeaseSettings(2, 0.1, 20, 1000, 2);
     private static final double LONGEST = 0.5;
     private static final double CALL = 1.5;
     private static final int TICK_MS = 20;
@@ -38,11 +41,11 @@
     private final RecordCaller words;
     private final List<InetSocketAddress> receivers;
     private final String name;
-    private final Owner owner;
+    private final LeaseHolder owner;
 
     private OwnerStand(
             String name,
-            DutyId duty,
+            TaskId duty,
             int steps,
             List<InetSocketAddress> instances,
             List<InetSocketAddress> receivers) {
@@ -50,14 +53,14 @@
         this.receivers = receivers;
         commands = new RecordCaller(() -> instances, name, this::heard);
         words = new RecordCaller(() -> instances, name, this::heard);
-        owner = new Owner(name, duty, new Plan("plan", steps, LONGEST), TERMS, this);
+        owner = new LeaseHolder(name, duty, new TaskPlan("plan", steps, LONGEST), TERMS, this);
     }
 
     public static void main(String[] args) {
         OwnerStand stand =
                 new OwnerStand(
                         args[0],
-                        new DutyId(args[1]),
+                        new TaskId(args[1]),
                         Integer.parseInt(args[2]),
                         ReceiverStand.addresses(args[3]),
                         ReceiverStand.addresses(args[4]));
@@ -88,43 +91,46 @@
     }
 
     @Override
-    public void ask(Command command) {
-        commands.ask(command, CALL, answer -> owner.answered(now(), command, answer));
+    public void submit(StoreCommand command) {
+        commands.ask(command, CALL, answer -> owner.commandCompleted(now(), command, answer));
     }
 
     @Override
-    public void renew(SessionId session, double asked) {
+    public void renewSession(SessionId session, double asked) {
         words.ask(
                 RecordClient.call("renew").put("session", session.number()),
                 CALL,
                 outcome -> {
                     if (outcome.done()) {
-                        owner.renewed(now(), asked);
+                        owner.sessionRenewed(now(), asked);
                     } else if (outcome.reason().equals("no-session")) {
-                        owner.sessionOver(now());
+                        owner.sessionEnded(now());
                     }
                 });
     }
 
     @Override
-    public void look(DutyId duty) {
+    public void readProgress(TaskId duty) {
         words.ask(
                 RecordClient.call("get").put("key", duty.progressKey()),
                 CALL,
                 outcome -> {
                     if (outcome.done()) {
                         var item = outcome.answer().path("items").path(0);
-                        owner.found(
-                                now(), item.isMissingNode() ? null : item.path("value").asText());
+                        owner.progressRead(
+                                now(),
+                                item.isMissingNode()
+                                        ? Optional.empty()
+                                        : Optional.of(item.path("value").asText()));
                     }
                 });
     }
 
     @Override
-    public void act(DutyId duty, Plan plan, int step, Fence fence) {
+    public void runStep(TaskId duty, TaskPlan plan, int step, FencingToken fence) {
         orders.execute(
                 () -> {
-                    Owner.Effect effect = Owner.Effect.UNKNOWN;
+                    LeaseHolder.StepOutcome effect = LeaseHolder.StepOutcome.UNKNOWN;
                     try (Socket socket = new Socket()) {
                         socket.connect(
                                 receivers.get(step % receivers.size()), (int) (LONGEST * 1000));
@@ -140,21 +146,21 @@
                                                         StandardCharsets.US_ASCII))
                                         .readLine();
                         effect =
-                                "TAKEN".equals(answer)
-                                        ? Owner.Effect.DONE
-                                        : "OLD".equals(answer)
-                                                ? Owner.Effect.OLD
-                                                : Owner.Effect.UNKNOWN;
+                                ReceiverStand.TAKEN.equals(answer)
+                                        ? LeaseHolder.StepOutcome.DONE
+                                        : ReceiverStand.OLD.equals(answer)
+                                                ? LeaseHolder.StepOutcome.STALE_TOKEN
+                                                : LeaseHolder.StepOutcome.UNKNOWN;
                     } catch (IOException e) {
                         // Nobody can tell.
                     }
-                    Owner.Effect end = effect;
-                    heard(() -> owner.acted(now(), step, fence, end));
+                    LeaseHolder.StepOutcome end = effect;
+                    heard(() -> owner.stepCompleted(now(), step, fence, end));
                 });
     }
 
     @Override
-    public void told(String what) {
+    public void notifyOperator(String what) {
         System.out.println("told: " + what);
     }
 }
--- a/rig/src/main/java/embershift/rig/process/ReceiverStand.java
+++ b/rig/src/main/java/embershift/rig/process/ReceiverStand.java
@@ -1,8 +1,8 @@
 package embershift.rig.process;
 
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Gate;
+import embershift.fleet.lease.FencingGuard;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.TaskId;
 import embershift.hosted.RecordClient;
 import java.io.BufferedReader;
 import java.io.FileWriter;
@@ -25,20 +25,25 @@
  */
 public final class ReceiverStand {
 
+    /** What a receiver answers to an order that it takes, and to one with a stale token. */
+    static final String TAKEN = "TAKEN";
+
+    static final String OLD = "OLD";
+
     /** Seconds that an effect takes. */
     private static final double EFFECT = 0.05;
 
-    private final DutyId duty;
+    private final TaskId duty;
     private final Writer history;
-    private final Gate gate = new Gate();
+    private final FencingGuard gate = new FencingGuard();
 
-    private ReceiverStand(DutyId duty, Writer history) {
+    private ReceiverStand(TaskId duty, Writer history) {
         this.duty = duty;
         this.history = history;
     }
 
     public static void main(String[] args) throws IOException {
-        DutyId duty = new DutyId(args[1]);
+        TaskId duty = new TaskId(args[1]);
         ReceiverStand receiver =
                 new ReceiverStand(duty, new FileWriter(args[2], StandardCharsets.UTF_8, true));
         receiver.note("started", "", 0, 0);
@@ -70,12 +75,12 @@
         try (RecordClient client = new RecordClient(instances, "receiver")) {
             while (true) {
                 RecordClient.Outcome outcome =
-                        client.ask(RecordClient.call("get").put("key", duty.fenceKey()), 5);
+                        client.ask(RecordClient.call("get").put("key", duty.tokenKey()), 5);
                 if (outcome.done()) {
                     synchronized (this) {
-                        gate.told(
+                        gate.learnLatest(
                                 duty,
-                                new Fence(
+                                new FencingToken(
                                         outcome.answer()
                                                 .path("items")
                                                 .path(0)
@@ -107,9 +112,15 @@
     }
 
     private synchronized String take(String owner, int step, long fence) {
-        Gate.Verdict verdict = gate.take(duty, new Fence(fence));
-        note(verdict.name(), owner, step, fence);
-        return verdict.name();
+        FencingGuard.Verdict verdict = gate.admit(duty, new FencingToken(fence));
+        String answer =
+                switch (verdict) {
+                    case ADMITTED -> TAKEN;
+                    case STALE -> OLD;
+                    case UNKNOWN -> "UNSURE";
+                };
+        note(answer, owner, step, fence);
+        return answer;
     }
 
     private void serve(Socket socket) {
--- a/rig/src/main/java/embershift/rig/scale/FleetCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/FleetCosts.java
@@ -1,7 +1,7 @@
 package embershift.rig.scale;
 
-import embershift.fleet.Segment;
-import embershift.fleet.Trace;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.audit.AuditSegment;
 import embershift.rig.process.FleetSite;
 import embershift.rig.process.Instances;
 import embershift.transport.Loop;
@@ -353,10 +353,10 @@
         Map<Long, Long> made = new HashMap<>(site.madeAt);
         for (String node : site.site.nodeNames()) {
             for (String text : site.site.list("trail/" + node + "/").values()) {
-                for (Trace entry : Segment.read(text).entries()) {
+                for (AuditEntry entry : AuditSegment.decode(text).orElseThrow().entries()) {
                     Long from =
-                            entry.kind() == Trace.Kind.TOOK
-                                    ? made.get(entry.value("revision"))
+                            entry.kind() == AuditEntry.Kind.TOOK
+                                    ? made.get(entry.numberOf("revision"))
                                     : null;
                     if (from != null) {
                         long took = Math.max(0, entry.at().millis() - from);
--- a/rig/src/main/java/embershift/rig/scale/ListCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/ListCosts.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.Words;
-import embershift.fleet.HostsChange;
-import embershift.fleet.HostsTold;
+import embershift.fleet.endpoints.EndpointUpdate;
+import embershift.fleet.endpoints.PublishedEndpoints;
 import embershift.protocol.RosterPage;
 import embershift.protocol.Unreadable;
 import java.util.ArrayList;
@@ -57,31 +57,31 @@
             throw new IllegalStateException(e);
         }
         double read = Cpu.since(from) / TIMES;
-        HostsTold told = new HostsTold();
-        told.heard(1, entries);
+        PublishedEndpoints told = new PublishedEndpoints();
+        told.update(1, entries);
         long base = told.number();
         Map<String, String> next = new LinkedHashMap<>(entries);
         next.put("h0", entries.get("h0").replace("in_service", "terminating"));
         from = Cpu.now();
-        told.heard(2, next);
+        told.update(2, next);
         double heard = Cpu.since(from);
         return new double[] {
             page.length() / KILO,
             read / MILLI,
-            order(told.since(0)).length / KILO,
+            order(told.updateSince(0)).length / KILO,
             heard / MILLI,
-            order(told.since(base)).length
+            order(told.updateSince(base)).length
         };
     }
 
-    private static byte[] order(HostsChange change) {
+    private static byte[] order(EndpointUpdate change) {
         ObjectNode order =
                 Words.node()
                         .put("number", change.number())
-                        .put("base", change.base())
+                        .put("base", change.baseNumber())
                         .put("generation", change.generation());
         Words.texts(order.putObject("changed"), change.changed());
-        Words.list(order.putArray("gone"), change.gone());
+        Words.list(order.putArray("gone"), change.removed());
         return Words.bytes(order);
     }
 
--- a/rig/src/main/java/embershift/rig/scale/RecordCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RecordCosts.java
@@ -1,9 +1,9 @@
 package embershift.rig.scale;
 
-import embershift.fleet.Command;
-import embershift.fleet.KeyValueStore;
-import embershift.fleet.SessionId;
-import embershift.fleet.Write;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.StoreCommand;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -22,17 +22,16 @@
 
     private RecordCosts() {}
 
-    private static Command.Change change(int key, int round) {
-        return new Command.Change(
+    private static StoreCommand.Transaction change(int key, int round) {
+        return new StoreCommand.Transaction(
                 SessionId.NONE,
                 0,
                 0,
                 List.of(),
                 List.of(
-                        new Write(
+                        Mutation.put(
                                 "state/n" + key,
-                                ("CURRENT " + round + "x".repeat(VALUE)).substring(0, VALUE),
-                                false)));
+                                ("CURRENT " + round + "x".repeat(VALUE)).substring(0, VALUE))));
     }
 
     /** A change, the whole as bytes (time and size), a read of all keys. */
@@ -48,10 +47,10 @@
         }
         double each = Cpu.since(from) / CHANGES;
         from = Cpu.now();
-        byte[] bytes = record.bytes();
+        byte[] bytes = record.encode();
         double whole = Cpu.since(from);
         from = Cpu.now();
-        int read = record.beginning("state/").size();
+        int read = record.findByPrefix("state/").size();
         double all = Cpu.since(from);
         if (read != keys) {
             throw new IllegalStateException(
--- a/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
@@ -1,11 +1,14 @@
 package embershift.rig.scale;
 
-import embershift.fleet.Revision;
-import embershift.fleet.Rollout;
+import embershift.fleet.rollout.ConfigRevision;
+import embershift.fleet.rollout.ConfigRollout;
+import embershift.fleet.rollout.NodeReport;
+import embershift.fleet.rollout.RolloutSettings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
@@ -35,10 +38,10 @@
         }
     }
 
-    private static final class Fleet implements Rollout.Hands {
-        private final Rollout rollout = new Rollout(Rollout.Terms.USUAL, this);
+    private static final class Fleet implements ConfigRollout.Environment {
+        private final ConfigRollout rollout = new ConfigRollout(RolloutSettings.DEFAULTS, this);
         private final PriorityQueue<Event> agenda = new PriorityQueue<>();
-        private final Map<String, Revision> goneBy = new HashMap<>();
+        private final Map<String, ConfigRevision> goneBy = new HashMap<>();
         private final List<String> names = new ArrayList<>();
         private double now;
         private long order;
@@ -49,11 +52,11 @@
             for (int i = 0; i < nodes; i++) {
                 String name = String.format("n%05d", i);
                 names.add(name);
-                goneBy.put(name, Revision.NONE);
-                rollout.named(name);
+                goneBy.put(name, ConfigRevision.NONE);
+                rollout.addNode(name);
                 at(REPORT * i / nodes, () -> reports(name));
             }
-            rollout.found(0, null);
+            rollout.restore(0, Optional.empty());
             at(0, this::tick);
         }
 
@@ -72,11 +75,20 @@
         }
 
         private void heard(String name) {
-            Revision by = goneBy.get(name);
-            Rollout.Report report =
-                    new Rollout.Report(
-                            name, 1, by.number(), by.chain(), by.content(), true, 0, "", 0, 0);
-            timed(() -> rollout.heard(now, report));
+            ConfigRevision by = goneBy.get(name);
+            NodeReport report =
+                    new NodeReport(
+                            name,
+                            1,
+                            by.number(),
+                            by.chainDigest(),
+                            by.contentDigest(),
+                            true,
+                            0,
+                            "",
+                            0,
+                            0);
+            timed(() -> rollout.reported(now, report));
         }
 
         private void timed(Runnable what) {
@@ -95,24 +107,27 @@
         }
 
         @Override
-        public void order(String node, Revision revision, long base) {
+        public void order(String node, ConfigRevision revision, long base) {
             orders++;
             at(
                     ANSWER,
                     () -> {
                         goneBy.put(node, revision);
-                        timed(() -> rollout.answered(now, node, true, false));
+                        timed(
+                                () ->
+                                        rollout.orderCompleted(
+                                                now, node, ConfigRollout.OrderAnswer.TAKEN));
                         heard(node);
                     });
         }
 
         @Override
-        public void note(String text) {
-            at(ANSWER, rollout::noted);
+        public void recordProgress(String text) {
+            at(ANSWER, rollout::progressRecorded);
         }
 
         @Override
-        public void floor(long revision) {
+        public void raiseFloor(long revision) {
             // Nobody is below it here.
         }
 
@@ -122,12 +137,12 @@
         }
 
         @Override
-        public void replace(String node, String why) {
+        public void requestRestart(String node, String why) {
             throw new IllegalStateException(node + " is to be replaced: " + why);
         }
 
         @Override
-        public void told(String what) {
+        public void notifyOperator(String what) {
             // For operators.
         }
     }
@@ -142,10 +157,10 @@
         double before = fleet.spent;
         fleet.run(2 * SETTLED);
         double idle = PERCENT * (fleet.spent - before) / SETTLED;
-        Revision change = Revision.NONE.next(Map.of("out/h7", "worn"));
+        ConfigRevision change = ConfigRevision.NONE.next(Map.of("out/h7", Optional.of("worn")));
         before = fleet.spent;
         double began = fleet.now;
-        fleet.rollout.known(change, true);
+        fleet.rollout.addRevision(change, true);
         while (fleet.goneBy.values().stream().anyMatch(by -> by.number() < 1)
                 && fleet.now < began + LONGEST) {
             fleet.run(fleet.now + TICK / 2);
--- a/rig/src/main/java/embershift/rig/scale/TrailCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/TrailCosts.java
@@ -1,14 +1,14 @@
 package embershift.rig.scale;
 
-import embershift.fleet.Audit;
-import embershift.fleet.Diary;
-import embershift.fleet.Folding;
-import embershift.fleet.Item;
-import embershift.fleet.KeyValueStore;
-import embershift.fleet.Segment;
-import embershift.fleet.SessionId;
-import embershift.fleet.Trace;
-import embershift.fleet.Write;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.audit.AuditLog;
+import embershift.fleet.audit.AuditReport;
+import embershift.fleet.audit.AuditRetention;
+import embershift.fleet.audit.AuditSegment;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.SessionId;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -36,16 +36,16 @@
     private TrailCosts() {}
 
     /** As a node has the record keep them: what waited since the last piece goes as one. */
-    private static List<Item> trails(int nodes) {
-        List<Item> items = new ArrayList<>();
+    private static List<KeyValue> trails(int nodes) {
+        List<KeyValue> items = new ArrayList<>();
         for (int n = 0; n < nodes; n++) {
-            Diary diary = new Diary(4096);
+            AuditLog diary = new AuditLog(4096);
             String name = String.format("n%05d", n);
             for (int s = 0; s < SEGMENTS; s++) {
                 long at = 1_790_000_000_000L + s * 15L * MILLIS + n;
-                diary.enter(
+                diary.append(
                         at,
-                        Trace.Kind.TOOK,
+                        AuditEntry.Kind.TOOK,
                         Map.of(
                                 "revision",
                                 String.valueOf(s + 1),
@@ -56,9 +56,9 @@
                                 "content",
                                 "0123456789abcdef0123456789abcdef"),
                         "");
-                diary.enter(
+                diary.append(
                         at + 1,
-                        Trace.Kind.TUNNELS,
+                        AuditEntry.Kind.TUNNELS,
                         Map.of(
                                 "opened",
                                 "1035",
@@ -67,15 +67,15 @@
                                 "revision",
                                 String.valueOf(s + 1)),
                         "");
-                Segment segment = diary.next(name, 5);
+                AuditSegment segment = diary.nextSegment(name, 5).orElseThrow();
                 items.add(
-                        new Item(
+                        new KeyValue(
                                 segment.key(),
-                                segment.text(),
+                                segment.encode(),
                                 (long) s * nodes + n,
                                 (long) s * nodes + n,
                                 SessionId.NONE));
-                diary.kept(segment.number());
+                diary.acknowledged(segment.number());
             }
         }
         return items;
@@ -86,16 +86,16 @@
      * half.
      */
     static double[] once(int nodes) {
-        List<Item> items = trails(nodes);
+        List<KeyValue> items = trails(nodes);
         long size = items.stream().mapToLong(item -> item.value().length()).sum();
         long entries = 2L * items.size();
         long from = Cpu.now();
-        List<Write> writes = Folding.fold(items, Map.of(), size - 1, size);
+        List<Mutation> writes = AuditRetention.compact(items, Map.of(), size - 1, size);
         double fold = Cpu.since(from);
         from = Cpu.now();
-        Audit audit =
-                new Audit(
-                        items.stream().map(Item::value).toList(),
+        AuditReport audit =
+                new AuditReport(
+                        items.stream().map(KeyValue::value).toList(),
                         items.stream()
                                 .collect(
                                         Collectors.toMap(
@@ -113,7 +113,7 @@
         return new double[] {
             fold / MILLI,
             question / MILLI,
-            KeyValueStore.ALL / 2.0 / (nodes * rate * perEntry) / 60,
+            KeyValueStore.MAX_TOTAL_CHARS / 2.0 / (nodes * rate * perEntry) / 60,
             perEntry,
             nodes * pieces
         };
--- a/rig/src/main/java/embershift/rig/world/DutyWorld.java
+++ b/rig/src/main/java/embershift/rig/world/DutyWorld.java
@@ -1,20 +1,22 @@
 package embershift.rig.world;
 
-import embershift.fleet.Answer;
-import embershift.fleet.Command;
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Gate;
-import embershift.fleet.Item;
-import embershift.fleet.KeyValueStore;
-import embershift.fleet.Owner;
-import embershift.fleet.Plan;
-import embershift.fleet.Result;
-import embershift.fleet.SessionId;
+import embershift.fleet.lease.FencingGuard;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.LeaseHolder;
+import embershift.fleet.lease.LeaseSettings;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.lease.TaskPlan;
+import embershift.fleet.store.CallResult;
+import embershift.fleet.store.CommandResult;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.StoreCommand;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 
 /**
@@ -24,7 +26,7 @@
  */
 public final class DutyWorld extends SeededWorld {
 
-    private static final DutyId DUTY = new DutyId("work");
+    private static final TaskId DUTY = new TaskId("work");
     private static final int OWNERS = 3;
     private static final int RECEIVERS = 2;
     private static final double FAULTS = 40;
@@ -33,8 +35,8 @@
     private static final double ACT = 0.4;
     private static final double LOOK = 0.05;
 
-    private final Plan plan;
-    private final Owner.Terms terms = new Owner.Terms(2, 0.1, 15, 1000, 4);
+    private final TaskPlan plan;
+    private final LeaseSettings terms = new LeaseSettings(2, 0.1, 15, 1000, 4);
     private final KeyValueStore record = new KeyValueStore();
     private final Map<SessionId, Double> ends = new HashMap<>();
     private final List<Station> stations = new ArrayList<>();
@@ -47,7 +49,7 @@
     private DutyWorld(long seed) {
         super(seed, FAULTS);
         clocksStray = chance.nextInt(3) == 0;
-        plan = new Plan("p", 3 + chance.nextInt(8), ACT);
+        plan = new TaskPlan("p", 3 + chance.nextInt(8), ACT);
     }
 
     public static Report play(long seed) {
@@ -72,7 +74,7 @@
 
     // The record.
 
-    private void command(Command command, Consumer<Answer> answer) {
+    private void command(StoreCommand command, Consumer<CallResult> answer) {
         if (lost()) {
             return;
         }
@@ -81,26 +83,15 @@
                 () ->
                         whenHere(
                                 () -> {
-                                    Result result = record.apply(++places, command);
-                                    if (command instanceof Command.Open && result.done()) {
-                                        renew(new SessionId(result.number()));
-                                    } else if (command instanceof Command.Change change) {
+                                    CommandResult result = record.apply(++places, command);
+                                    if (command instanceof StoreCommand.OpenSession
+                                            && result instanceof CommandResult.Done opened) {
+                                        renew(new SessionId(opened.number()));
+                                    } else if (command instanceof StoreCommand.Transaction change) {
                                         renew(change.session());
                                     }
                                     if (!lost()) {
-                                        time.in(
-                                                late(),
-                                                () ->
-                                                        answer.accept(
-                                                                result.done()
-                                                                        ? new Answer.Done(
-                                                                                result.number())
-                                                                        : new Answer.Refused(
-                                                                                Answer.Reason
-                                                                                        .valueOf(
-                                                                                                result.why()
-                                                                                                        .name()),
-                                                                                result.text())));
+                                        time.in(late(), () -> answer.accept(callResult(result)));
                                     }
                                 }));
     }
@@ -113,11 +104,17 @@
         }
     }
 
-    private void renew(SessionId session) {
-        double seconds = record.seconds(session);
-        if (seconds > 0) {
-            ends.put(session, time.now() + seconds);
+    private static CallResult callResult(CommandResult result) {
+        if (result instanceof CommandResult.Rejected rejected) {
+            return new CallResult.Rejected(
+                    CallResult.Reason.valueOf(rejected.reason().name()), rejected.message());
         }
+        return new CallResult.Done(((CommandResult.Done) result).number());
+    }
+
+    private void renew(SessionId session) {
+        record.sessionTimeout(session)
+                .ifPresent(seconds -> ends.put(session, time.now() + seconds));
     }
 
     private void endSessions() {
@@ -125,7 +122,7 @@
                 .removeIf(
                         end -> {
                             if (time.now() > end.getValue() && time.now() >= recordAway) {
-                                record.apply(++places, new Command.End(end.getKey()));
+                                record.apply(++places, new StoreCommand.EndSession(end.getKey()));
                                 count("sessions ended by the record");
                                 return true;
                             }
@@ -136,11 +133,11 @@
 
     // Owners.
 
-    private final class Station implements Owner.Hands {
+    private final class Station implements LeaseHolder.Environment {
         private final int number;
         private double rate;
         private int run;
-        private Owner owner;
+        private LeaseHolder owner;
         private boolean still;
         private final List<Runnable> held = new ArrayList<>();
 
@@ -156,7 +153,7 @@
                     clocksStray
                             ? 0.3 + 1.4 * chance.nextDouble()
                             : 0.985 + 0.03 * chance.nextDouble();
-            owner = new Owner("o" + number, DUTY, plan, terms, this);
+            owner = new LeaseHolder("o" + number, DUTY, plan, terms, this);
             int mine = run;
             tick(mine);
         }
@@ -199,7 +196,7 @@
         private void twoAtOnce() {
             long holding =
                     stations.stream()
-                            .filter(each -> !each.still && each.owner.holds(each.clock()))
+                            .filter(each -> !each.still && each.owner.isHeld(each.clock()))
                             .count();
             if (holding > 1 && !clocksStray) {
                 broken("two owners hold at once");
@@ -207,7 +204,7 @@
         }
 
         @Override
-        public void ask(Command command) {
+        public void submit(StoreCommand command) {
             int mine = run;
             boolean[] heard = new boolean[1];
             command(
@@ -217,7 +214,7 @@
                                     mine,
                                     () -> {
                                         heard[0] = true;
-                                        owner.answered(clock(), command, answer);
+                                        owner.commandCompleted(clock(), command, answer);
                                     }));
             time.in(
                     CALL,
@@ -227,14 +224,14 @@
                                     () -> {
                                         if (!heard[0]) {
                                             count("calls unknown");
-                                            owner.answered(
-                                                    clock(), command, new Answer.Unknown(""));
+                                            owner.commandCompleted(
+                                                    clock(), command, new CallResult.Unknown(""));
                                         }
                                     }));
         }
 
         @Override
-        public void renew(SessionId session, double asked) {
+        public void renewSession(SessionId session, double asked) {
             int mine = run;
             if (lost()) {
                 return;
@@ -244,7 +241,7 @@
                     () ->
                             whenHere(
                                     () -> {
-                                        boolean there = record.seconds(session) > 0;
+                                        boolean there = record.sessionTimeout(session).isPresent();
                                         DutyWorld.this.renew(session);
                                         if (!lost()) {
                                             time.in(
@@ -254,10 +251,10 @@
                                                                     mine,
                                                                     () -> {
                                                                         if (there) {
-                                                                            owner.renewed(
+                                                                            owner.sessionRenewed(
                                                                                     clock(), asked);
                                                                         } else {
-                                                                            owner.sessionOver(
+                                                                            owner.sessionEnded(
                                                                                     clock());
                                                                         }
                                                                     }));
@@ -266,7 +263,7 @@
         }
 
         @Override
-        public void look(DutyId duty) {
+        public void readProgress(TaskId duty) {
             int mine = run;
             if (!lost()) {
                 time.in(
@@ -274,28 +271,31 @@
                         () ->
                                 whenHere(
                                         () -> {
-                                            Item item = record.get(duty.progressKey());
+                                            KeyValue item =
+                                                    record.find(duty.progressKey()).orElse(null);
                                             time.in(
                                                     late(),
                                                     () ->
                                                             hear(
                                                                     mine,
                                                                     () ->
-                                                                            owner.found(
+                                                                            owner.progressRead(
                                                                                     clock(),
-                                                                                    item == null
-                                                                                            ? null
-                                                                                            : item
-                                                                                                    .value())));
+                                                                                    Optional
+                                                                                            .ofNullable(
+                                                                                                    item)
+                                                                                            .map(
+                                                                                                    KeyValue
+                                                                                                            ::value))));
                                         }));
             }
         }
 
         @Override
-        public void act(DutyId duty, Plan of, int step, Fence fence) {
+        public void runStep(TaskId duty, TaskPlan of, int step, FencingToken fence) {
             int mine = run;
             count("orders");
-            if (!owner.holds(clock())) {
+            if (!owner.isHeld(clock())) {
                 broken("o" + number + " acts though its time is over");
             }
             Receiver receiver = receivers.get(step % RECEIVERS);
@@ -314,7 +314,7 @@
                                                                 hear(
                                                                         mine,
                                                                         () ->
-                                                                                owner.acted(
+                                                                                owner.stepCompleted(
                                                                                         clock(),
                                                                                         step, fence,
                                                                                         verdict)));
@@ -326,11 +326,16 @@
                     () ->
                             hear(
                                     mine,
-                                    () -> owner.acted(clock(), step, fence, Owner.Effect.UNKNOWN)));
+                                    () ->
+                                            owner.stepCompleted(
+                                                    clock(),
+                                                    step,
+                                                    fence,
+                                                    LeaseHolder.StepOutcome.UNKNOWN)));
         }
 
         @Override
-        public void told(String what) {
+        public void notifyOperator(String what) {
             count(what.contains("is done") ? "plans done" : what.replaceAll("\\d+", "N"));
         }
     }
@@ -339,9 +344,9 @@
 
     private final class Receiver {
         private final int number;
-        private Gate gate = new Gate();
+        private FencingGuard gate = new FencingGuard();
         private int run;
-        private Fence highest = Fence.NONE;
+        private FencingToken highest = FencingToken.NONE;
 
         Receiver(int number) {
             this.number = number;
@@ -355,13 +360,14 @@
                     () ->
                             whenHere(
                                     () -> {
-                                        Item item = record.get(DUTY.fenceKey());
+                                        KeyValue item = record.find(DUTY.tokenKey()).orElse(null);
                                         long fence = item == null ? 0 : item.revision();
                                         time.in(
                                                 late(),
                                                 () -> {
                                                     if (run == mine) {
-                                                        gate.told(DUTY, new Fence(fence));
+                                                        gate.learnLatest(
+                                                                DUTY, new FencingToken(fence));
                                                     }
                                                 });
                                     }));
@@ -369,15 +375,15 @@
 
         void restart() {
             run++;
-            gate = new Gate();
+            gate = new FencingGuard();
             count("receivers started anew");
             askRecord();
         }
 
-        void order(int step, Fence fence, Consumer<Owner.Effect> answer) {
-            Gate.Verdict verdict = gate.take(DUTY, fence);
+        void order(int step, FencingToken fence, Consumer<LeaseHolder.StepOutcome> answer) {
+            FencingGuard.Verdict verdict = gate.admit(DUTY, fence);
             count("orders " + verdict);
-            if (verdict == Gate.Verdict.TAKEN) {
+            if (verdict == FencingGuard.Verdict.ADMITTED) {
                 if (fence.compareTo(highest) < 0) {
                     broken(
                             "r"
@@ -391,11 +397,11 @@
                 took(step);
             }
             answer.accept(
-                    verdict == Gate.Verdict.TAKEN
-                            ? Owner.Effect.DONE
-                            : verdict == Gate.Verdict.OLD
-                                    ? Owner.Effect.OLD
-                                    : Owner.Effect.UNKNOWN);
+                    verdict == FencingGuard.Verdict.ADMITTED
+                            ? LeaseHolder.StepOutcome.DONE
+                            : verdict == FencingGuard.Verdict.STALE
+                                    ? LeaseHolder.StepOutcome.STALE_TOKEN
+                                    : LeaseHolder.StepOutcome.UNKNOWN);
         }
     }
 
@@ -412,7 +418,7 @@
         } else {
             count("steps done again");
         }
-        Item progress = record.get(DUTY.progressKey());
+        KeyValue progress = record.find(DUTY.progressKey()).orElse(null);
         String[] words =
                 progress == null ? new String[] {"", "", "-1"} : progress.value().split(" ");
         if (Integer.parseInt(words[2]) < step) {
@@ -447,7 +453,10 @@
                         lasts / 2,
                         () ->
                                 ends.replaceAll(
-                                        (session, end) -> time.now() + record.seconds(session)));
+                                        (session, end) ->
+                                                time.now()
+                                                        + record.sessionTimeout(session)
+                                                                .orElse(-1.0)));
             }
         }
         time.in(3 * chance.nextDouble(), this::fault);
@@ -464,7 +473,7 @@
         fault();
         time.runWhile(() -> !isBroken(), END);
         if (firstNotBegun < plan.steps()
-                || stations.stream().noneMatch(station -> station.owner.over())) {
+                || stations.stream().noneMatch(station -> station.owner.isFinished())) {
             broken("the plan is not done: step " + firstNotBegun + " of " + plan.steps());
         }
         return report();
--- a/rig/src/main/java/embershift/rig/world/FenceModel.java
+++ b/rig/src/main/java/embershift/rig/world/FenceModel.java
@@ -1,8 +1,8 @@
 package embershift.rig.world;
 
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Gate;
+import embershift.fleet.lease.FencingGuard;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.TaskId;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -14,7 +14,7 @@
 /**
  * Grants, orders and gates as a small model, explored to the end in all interleavings, breadth
  * first: two owners, two receivers, one restart of each, and so many grants. The receivers go by
- * the very {@link Gate} of the program.
+ * the very {@link FencingGuard} of the program.
  */
 public final class FenceModel {
 
@@ -42,7 +42,7 @@
      */
     public record Result(String broken, int states) {}
 
-    private static final DutyId DUTY = new DutyId("d");
+    private static final TaskId DUTY = new TaskId("d");
     private static final int FLIGHT = 2;
 
     /**
@@ -240,8 +240,8 @@
         }
         if (state.word[i] >= 0) {
             State told = state.copy();
-            Gate gate = gate(state.known[i]);
-            gate.told(DUTY, fence(state.word[i]));
+            FencingGuard gate = gate(state.known[i]);
+            gate.learnLatest(DUTY, fence(state.word[i]));
             told.known[i] = known(gate);
             told.word[i] = -1;
             reach(state, told, "r" + i + " hears the record");
@@ -261,21 +261,20 @@
         }
     }
 
-    private Fence fence(byte grant) {
-        return new Fence(mistake == Mistake.FENCE_FORGOTTEN ? Math.min(grant, 1) : grant);
+    private FencingToken fence(byte grant) {
+        return new FencingToken(mistake == Mistake.FENCE_FORGOTTEN ? Math.min(grant, 1) : grant);
     }
 
-    private static Gate gate(byte known) {
-        Gate gate = new Gate();
+    private static FencingGuard gate(byte known) {
+        FencingGuard gate = new FencingGuard();
         if (known >= 0) {
-            gate.told(DUTY, new Fence(known));
+            gate.learnLatest(DUTY, new FencingToken(known));
         }
         return gate;
     }
 
-    private static byte known(Gate gate) {
-        Fence highest = gate.highest(DUTY);
-        return highest == null ? -1 : (byte) highest.number();
+    private static byte known(FencingGuard gate) {
+        return gate.highestKnown(DUTY).map(token -> (byte) token.number()).orElse((byte) -1);
     }
 
     private void orders(State state) {
@@ -287,11 +286,11 @@
             int to = state.flight.get(i) % 2;
             State then = state.copy();
             then.flight.remove(i);
-            Gate gate = gate(state.known[to]);
-            Gate.Verdict verdict = gate.take(DUTY, fence(fence));
+            FencingGuard gate = gate(state.known[to]);
+            FencingGuard.Verdict verdict = gate.admit(DUTY, fence(fence));
             then.known[to] = known(gate);
             String step = "r" + to + " finds the order by " + fence + " " + verdict;
-            if (verdict == Gate.Verdict.TAKEN) {
+            if (verdict == FencingGuard.Verdict.ADMITTED) {
                 if (fence < state.taken[to]) {
                     broken =
                             script(
