--- a/rig/src/main/java/embershift/rig/world/FleetWorld.java
+++ b/rig/src/main/java/embershift/rig/world/FleetWorld.java
@@ -1,28 +1,33 @@
 package embershift.rig.world;
 
-import embershift.fleet.Admission;
-import embershift.fleet.Audit;
-import embershift.fleet.Diary;
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Folding;
-import embershift.fleet.Gate;
-import embershift.fleet.HostsChange;
-import embershift.fleet.HostsHeld;
-import embershift.fleet.HostsTold;
-import embershift.fleet.Hybrid;
-import embershift.fleet.Item;
-import embershift.fleet.Revision;
-import embershift.fleet.RevisionHeld;
-import embershift.fleet.Rollout;
-import embershift.fleet.Segment;
-import embershift.fleet.Trace;
-import embershift.fleet.Write;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.audit.AuditLog;
+import embershift.fleet.audit.AuditReport;
+import embershift.fleet.audit.AuditRetention;
+import embershift.fleet.audit.AuditSegment;
+import embershift.fleet.audit.HybridLogicalClock;
+import embershift.fleet.audit.RevisionPeriod;
+import embershift.fleet.endpoints.AppliedEndpoints;
+import embershift.fleet.endpoints.EndpointUpdate;
+import embershift.fleet.endpoints.PublishedEndpoints;
+import embershift.fleet.lease.FencingGuard;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.OrderAdmission;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.rollout.AppliedRevision;
+import embershift.fleet.rollout.ConfigRevision;
+import embershift.fleet.rollout.ConfigRollout;
+import embershift.fleet.rollout.NodeReport;
+import embershift.fleet.rollout.RolloutSettings;
+import embershift.fleet.rollout.RolloutStage;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.Mutation;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SortedMap;
 import java.util.TreeMap;
@@ -34,8 +39,8 @@
  */
 public final class FleetWorld extends SeededWorld {
 
-    private static final DutyId ROLLOUT = new DutyId("rollout");
-    private static final DutyId LISTS = new DutyId("lists");
+    private static final TaskId ROLLOUT = new TaskId("rollout");
+    private static final TaskId LISTS = new TaskId("lists");
     private static final double FAULTS = 40;
     private static final double END = 100;
     private static final double OLDEST = 2;
@@ -44,12 +49,13 @@
     private static final long MOST_TRAILS = 20_000;
     private static final String POISON = "poison";
     private static final String CRASH = "crash";
-    private static final Rollout.Terms TERMS = new Rollout.Terms(1, 4, 0.3, 3, 3, SILENT, 0.2, 0.8);
+    private static final RolloutSettings TERMS =
+            new RolloutSettings(1, 4, 0.3, 3, 3, SILENT, 0.2, 0.8);
 
     // What the record has.
     private long revisionOfRecord = 1;
-    private final Map<DutyId, Fence> fences = new HashMap<>();
-    private final TreeMap<Long, Revision> revisions = new TreeMap<>();
+    private final Map<TaskId, FencingToken> fences = new HashMap<>();
+    private final TreeMap<Long, ConfigRevision> revisions = new TreeMap<>();
     private final Set<Long> hurried = new HashSet<>();
     private final List<String> stages = new ArrayList<>();
     private final TreeMap<String, Long> registered = new TreeMap<>();
@@ -85,14 +91,14 @@
                 : 0.002 + 0.02 * chance.nextDouble();
     }
 
-    private Fence grant(DutyId duty) {
-        Fence fence = new Fence(++revisionOfRecord);
+    private FencingToken grant(TaskId duty) {
+        FencingToken fence = new FencingToken(++revisionOfRecord);
         fences.put(duty, fence);
         return fence;
     }
 
     /** A write under a fence, some time later, unless another was granted the duty by then. */
-    private double write(DutyId duty, Fence by, double after, Runnable what) {
+    private double write(TaskId duty, FencingToken by, double after, Runnable what) {
         double at = Math.max(after, time.now() + late());
         time.at(
                 at,
@@ -135,17 +141,17 @@
         private long incarnation;
         private double clockAhead;
         private long wallAhead;
-        private Gate gate;
-        private Admission admission;
-        private RevisionHeld held;
-        private HostsHeld hosts;
-        private Diary diary;
+        private FencingGuard gate;
+        private OrderAdmission admission;
+        private AppliedRevision held;
+        private AppliedEndpoints hosts;
+        private AuditLog diary;
         private double bornAt;
         private double stoppedUntil;
         private double deafUntil;
         private SortedMap<String, String> acting;
         private long generation;
-        private final Map<DutyId, Fence> taken = new HashMap<>();
+        private final Map<TaskId, FencingToken> taken = new HashMap<>();
         private final Map<Long, TreeMap<Long, Long>> truth = new HashMap<>();
         private long opened;
         private final Set<Long> dropping = new HashSet<>();
@@ -162,27 +168,27 @@
             bornAt = time.now();
             clockAhead = 1000 * chance.nextDouble();
             wallAhead = chance.nextInt(4) == 0 ? 3_600_000L * (chance.nextInt(3) - 1) : 0;
-            gate = new Gate();
-            admission = new Admission(gate, OLDEST);
-            held = new RevisionHeld();
-            hosts = new HostsHeld();
-            diary = new Diary(6);
+            gate = new FencingGuard();
+            admission = new OrderAdmission(gate, OLDEST);
+            held = new AppliedRevision();
+            hosts = new AppliedEndpoints();
+            diary = new AuditLog(6);
             acting = new TreeMap<>();
             generation = 0;
             taken.clear();
-            enter(Trace.Kind.STARTED, 0);
+            enter(AuditEntry.Kind.STARTED, 0);
             long mine = incarnation;
-            for (DutyId duty : List.of(ROLLOUT, LISTS)) {
+            for (TaskId duty : List.of(ROLLOUT, LISTS)) {
                 time.in(
                         late(),
                         () -> {
                             // A read that began after the start, answered later.
-                            Fence told = fences.getOrDefault(duty, Fence.NONE);
+                            FencingToken told = fences.getOrDefault(duty, FencingToken.NONE);
                             time.in(
                                     late(),
                                     () -> {
                                         if (incarnation == mine) {
-                                            whenOn(() -> gate.told(duty, told));
+                                            whenOn(() -> gate.learnLatest(duty, told));
                                         }
                                     });
                         });
@@ -193,8 +199,8 @@
             return (long) (1000 * (1_700_000_000.0 + time.now())) + wallAhead;
         }
 
-        private void enter(Trace.Kind kind, long revision) {
-            diary.enter(wall(), kind, Map.of("revision", String.valueOf(revision)), "");
+        private void enter(AuditEntry.Kind kind, long revision) {
+            diary.append(wall(), kind, Map.of("revision", String.valueOf(revision)), "");
             truth.computeIfAbsent(incarnation, none -> new TreeMap<>())
                     .put(diary.clock().millis() * 1000 + diary.clock().count(), revision);
         }
@@ -228,27 +234,27 @@
             return time.now() + clockAhead;
         }
 
-        private Rollout.Report report() {
-            return new Rollout.Report(
+        private NodeReport report() {
+            return new NodeReport(
                     name,
                     incarnation,
                     held.number(),
-                    held.chain(),
-                    Revision.content(acting),
+                    held.chainDigest(),
+                    ConfigRevision.contentDigest(acting),
                     true,
-                    held.refused(),
-                    held.why(),
+                    held.rejectedNumber(),
+                    held.rejectionReason(),
                     ++opened,
                     0);
         }
 
-        private boolean lets(DutyId duty, Fence fence, double seen, double sentAt) {
-            Admission.Verdict verdict = admission.take(clock(), duty, fence, seen).verdict();
-            count("orders " + verdict);
-            if (verdict != Admission.Verdict.TAKEN) {
+        private boolean lets(TaskId duty, FencingToken fence, double seen, double sentAt) {
+            OrderAdmission.Verdict verdict = admission.decide(clock(), duty, fence, seen).verdict();
+            count("orders " + verdict.wireName());
+            if (verdict != OrderAdmission.Verdict.ADMITTED) {
                 return false;
             }
-            if (fence.compareTo(taken.getOrDefault(duty, Fence.NONE)) < 0) {
+            if (fence.compareTo(taken.getOrDefault(duty, FencingToken.NONE)) < 0) {
                 broken(name + " takes an order by " + fence + " after one by " + taken.get(duty));
             }
             if (time.now() - sentAt > OLDEST + 0.001) {
@@ -258,41 +264,37 @@
             return true;
         }
 
-        private RevisionHeld.End revision(
+        private AppliedRevision.Outcome revision(
                 long number,
                 long base,
                 String chain,
                 String content,
-                SortedMap<String, String> fields) {
+                Map<String, Optional<String>> fields) {
             long before = held.number();
-            RevisionHeld.End end =
-                    held.take(
-                                    number,
-                                    base,
-                                    chain,
-                                    content,
-                                    fields,
+            AppliedRevision.Outcome end =
+                    held.apply(
+                                    new AppliedRevision.Order(number, base, chain, content, fields),
                                     wanted -> {
                                         if (wanted.containsKey(POISON)) {
-                                            return "poison is not known";
+                                            return Optional.of("poison is not known");
                                         }
                                         acting = new TreeMap<>(wanted);
-                                        return null;
+                                        return Optional.empty();
                                     })
-                            .end();
-            count("revisions " + end + (base == 0 ? " whole" : ""));
+                            .outcome();
+            count("revisions " + end.wireName() + (base == 0 ? " whole" : ""));
             if (held.number() < before) {
                 broken(name + " goes back from revision " + before + " to " + held.number());
             }
-            if (end != RevisionHeld.End.TAKEN) {
+            if (end != AppliedRevision.Outcome.APPLIED) {
                 return end;
             }
-            Revision meant = revisions.get(held.number());
+            ConfigRevision meant = revisions.get(held.number());
             if (meant == null || !meant.fields().equals(acting)) {
                 broken(name + " acts on a mixture: " + acting + " by " + held.number());
             }
             if (held.number() != before) {
-                enter(Trace.Kind.TOOK, held.number());
+                enter(AuditEntry.Kind.TOOK, held.number());
                 if (!hurried.contains(number)
                         && stages.stream()
                                 .noneMatch(
@@ -316,16 +318,17 @@
             return end;
         }
 
-        private HostsHeld.End list(Fence fence, HostsChange change) {
-            Fence fenceBefore = hosts.fence();
+        private AppliedEndpoints.Outcome list(FencingToken fence, EndpointUpdate change) {
+            FencingToken fenceBefore = hosts.token();
             long numberBefore = hosts.number();
-            HostsHeld.End end = hosts.take(fence, change);
-            count("lists " + end);
-            if (hosts.fence().compareTo(fenceBefore) < 0
-                    || (hosts.fence().equals(fenceBefore) && hosts.number() < numberBefore)) {
+            AppliedEndpoints.Outcome end = hosts.apply(fence, change);
+            count("lists " + end.wireName());
+            if (hosts.token().compareTo(fenceBefore) < 0
+                    || (hosts.token().equals(fenceBefore) && hosts.number() < numberBefore)) {
                 broken(name + " goes back in its list");
             }
-            if (end == HostsHeld.End.TAKEN || end == HostsHeld.End.SAME) {
+            if (end == AppliedEndpoints.Outcome.APPLIED
+                    || end == AppliedEndpoints.Outcome.UNCHANGED) {
                 if (change.generation() < generation) {
                     broken(
                             name
@@ -350,15 +353,15 @@
         /** It asks discovery itself, as one does that hears no list. */
         private void ask() {
             generation = discovery.lastKey();
-            hosts.discoverySaid(generation);
+            hosts.discoveryReported(generation);
         }
 
         private void tellTrail() {
             long mine = incarnation;
-            if (diary.dropped() > 0) {
+            if (diary.droppedEntries() > 0) {
                 dropping.add(incarnation);
             }
-            Segment segment = diary.next(name, incarnation);
+            AuditSegment segment = diary.nextSegment(name, incarnation).orElse(null);
             if (segment == null
                     || time.now() < trailsAwayUntil
                     || (faults() && chance.nextInt(4) == 0)) {
@@ -370,10 +373,10 @@
                         String before =
                                 created.containsKey(segment.key())
                                                 && !trails.containsKey(segment.key())
-                                        ? segment.text()
-                                        : trails.putIfAbsent(segment.key(), segment.text());
+                                        ? segment.encode()
+                                        : trails.putIfAbsent(segment.key(), segment.encode());
                         created.putIfAbsent(segment.key(), ++revisionOfRecord);
-                        if (before != null && !before.equals(segment.text())) {
+                        if (before != null && !before.equals(segment.encode())) {
                             broken(segment.key() + " is told otherwise");
                         }
                         if (!faults() || chance.nextInt(4) != 0) {
@@ -381,7 +384,7 @@
                                     late(),
                                     () -> {
                                         if (incarnation == mine) {
-                                            whenOn(() -> diary.kept(segment.number()));
+                                            whenOn(() -> diary.acknowledged(segment.number()));
                                         }
                                     });
                         }
@@ -391,11 +394,11 @@
 
     // An owner of both duties.
 
-    private final class Station implements Rollout.Hands {
-        private final Fence rolloutFence = grant(ROLLOUT);
-        private final Fence listsFence = grant(LISTS);
-        private final Rollout rollout = new Rollout(TERMS, this);
-        private final HostsTold told = new HostsTold();
+    private final class Station implements ConfigRollout.Environment {
+        private final FencingToken rolloutFence = grant(ROLLOUT);
+        private final FencingToken listsFence = grant(LISTS);
+        private final ConfigRollout rollout = new ConfigRollout(TERMS, this);
+        private final PublishedEndpoints told = new PublishedEndpoints();
         private final Map<Node, Line> to = new HashMap<>();
         private final Map<Node, Line> from = new HashMap<>();
         private final Map<Node, Double> seen = new HashMap<>();
@@ -416,7 +419,11 @@
                         to.put(node, new Line());
                         from.put(node, new Line());
                     });
-            rollout.found(time.now(), stages.isEmpty() ? null : stages.get(stages.size() - 1));
+            rollout.restore(
+                    time.now(),
+                    stages.isEmpty()
+                            ? Optional.empty()
+                            : Optional.of(stages.get(stages.size() - 1)));
             follow();
         }
 
@@ -429,10 +436,11 @@
                     .values()
                     .forEach(
                             revision ->
-                                    rollout.known(revision, hurried.contains(revision.number())));
-            rollout.floorIs(floor);
-            registered.keySet().forEach(rollout::named);
-            out.forEach((name, incarnation) -> rollout.outIs(name, incarnation, true));
+                                    rollout.addRevision(
+                                            revision, hurried.contains(revision.number())));
+            rollout.raiseFloorTo(floor);
+            registered.keySet().forEach(rollout::addNode);
+            out.forEach((name, incarnation) -> rollout.setShutOut(name, incarnation, true));
         }
 
         void tick() {
@@ -449,7 +457,7 @@
         }
 
         private void tellList(Node node) {
-            HostsChange change = told.since(has.getOrDefault(node, 0L));
+            EndpointUpdate change = told.updateSince(has.getOrDefault(node, 0L));
             if (chance.nextInt(50) == 0) {
                 // Once more, and past what was sent meanwhile.
                 double clock = seen.get(node);
@@ -470,20 +478,21 @@
                     LISTS,
                     listsFence,
                     () -> {
-                        HostsHeld.End end = node.list(listsFence, change);
+                        AppliedEndpoints.Outcome end = node.list(listsFence, change);
                         back(
                                 node,
                                 () -> {
-                                    if (end == HostsHeld.End.TAKEN || end == HostsHeld.End.SAME) {
+                                    if (end == AppliedEndpoints.Outcome.APPLIED
+                                            || end == AppliedEndpoints.Outcome.UNCHANGED) {
                                         has.put(node, change.number());
-                                    } else if (end == HostsHeld.End.WHOLE) {
+                                    } else if (end == AppliedEndpoints.Outcome.FULL_LIST_NEEDED) {
                                         has.remove(node);
                                     }
                                 });
                     });
         }
 
-        private void send(Node node, DutyId duty, Fence fence, Runnable what) {
+        private void send(Node node, TaskId duty, FencingToken fence, Runnable what) {
             double clock = seen.get(node);
             double sentAt = time.now();
             long incarnation = incarnations.get(node);
@@ -506,52 +515,53 @@
         }
 
         /** A node's word has come. */
-        void heard(Node node, Rollout.Report report, double clock) {
+        void heard(Node node, NodeReport report, double clock) {
             if (incarnations.getOrDefault(node, 0L) != report.incarnation()) {
                 incarnations.put(node, report.incarnation());
                 has.remove(node);
             }
             seen.put(node, clock);
-            rollout.heard(time.now(), report);
+            rollout.reported(time.now(), report);
         }
 
         void discoverySaid(long generation) {
-            told.heard(generation, discovery.get(generation));
+            told.update(generation, discovery.get(generation));
         }
 
         @Override
-        public void order(String name, Revision revision, long base) {
+        public void order(String name, ConfigRevision revision, long base) {
             Node node =
                     nodes.stream().filter(each -> each.name.equals(name)).findFirst().orElseThrow();
             // Now and then an owner takes another revision for the one that the node holds.
             long against = base > 1 && chance.nextInt(15) == 0 ? base - 1 : base;
-            SortedMap<String, String> fields =
-                    base == 0 ? revision.fields() : revision.differenceFrom(revisions.get(against));
+            ConfigRevision from = base == 0 ? ConfigRevision.NONE : revisions.get(against);
+            Map<String, Optional<String>> fields = revision.differenceFrom(from);
             send(
                     node,
                     ROLLOUT,
                     rolloutFence,
                     () -> {
-                        RevisionHeld.End end =
+                        AppliedRevision.Outcome end =
                                 node.revision(
                                         revision.number(),
                                         base,
-                                        revision.chain(),
-                                        revision.content(),
+                                        revision.chainDigest(),
+                                        revision.contentDigest(),
                                         fields);
-                        back(
-                                node,
-                                () ->
-                                        rollout.answered(
-                                                time.now(),
-                                                name,
-                                                end == RevisionHeld.End.TAKEN,
-                                                end == RevisionHeld.End.WHOLE));
+                        back(node, () -> rollout.orderCompleted(time.now(), name, answer(end)));
                     });
         }
 
+        private static ConfigRollout.OrderAnswer answer(AppliedRevision.Outcome outcome) {
+            return switch (outcome) {
+                case APPLIED -> ConfigRollout.OrderAnswer.TAKEN;
+                case FULL_REVISION_NEEDED -> ConfigRollout.OrderAnswer.FULL_REVISION_NEEDED;
+                default -> ConfigRollout.OrderAnswer.NOT_TAKEN;
+            };
+        }
+
         @Override
-        public void note(String text) {
+        public void recordProgress(String text) {
             count("stage " + text.split(" ")[1]);
             written =
                     write(
@@ -560,12 +570,12 @@
                             written,
                             () -> {
                                 stages.add(text);
-                                time.in(0.005, rollout::noted);
+                                time.in(0.005, rollout::progressRecorded);
                             });
         }
 
         @Override
-        public void floor(long revision) {
+        public void raiseFloor(long revision) {
             written =
                     write(
                             ROLLOUT,
@@ -613,14 +623,14 @@
                                                                 registered.get(each.getKey())
                                                                         <= each.getValue())
                                                 .count();
-                                if (now > Math.max(1, (int) (TERMS.share() * nodes.size()))) {
+                                if (now > Math.max(1, (int) (TERMS.canaryShare() * nodes.size()))) {
                                     broken(now + " of " + nodes.size() + " are shut out");
                                 }
                             });
         }
 
         @Override
-        public void replace(String name, String why) {
+        public void requestRestart(String name, String why) {
             count("to be replaced");
             if (chance.nextBoolean()) {
                 time.in(
@@ -633,7 +643,7 @@
         }
 
         @Override
-        public void told(String what) {
+        public void notifyOperator(String what) {
             // For operators.
         }
     }
@@ -642,8 +652,8 @@
 
     private Report play() {
         int many = 3 + chance.nextInt(6);
-        fences.put(ROLLOUT, Fence.NONE);
-        fences.put(LISTS, Fence.NONE);
+        fences.put(ROLLOUT, FencingToken.NONE);
+        fences.put(LISTS, FencingToken.NONE);
         discovery.put(1L, hosts(1));
         for (int i = 0; i < many; i++) {
             nodes.add(new Node("n" + i));
@@ -654,7 +664,7 @@
                     REPORT,
                     () -> {
                         if (node.on()) {
-                            Rollout.Report report = node.report();
+                            NodeReport report = node.report();
                             double clock = node.clock();
                             stations.forEach(
                                     station ->
@@ -673,9 +683,9 @@
                     1.5,
                     () -> {
                         if (node.on()) {
-                            node.diary.enter(
+                            node.diary.append(
                                     node.wall(),
-                                    Trace.Kind.TUNNELS,
+                                    AuditEntry.Kind.TUNNELS,
                                     Map.of(
                                             "revision",
                                             String.valueOf(node.held.number()),
@@ -738,7 +748,8 @@
     }
 
     private void reviseNow() {
-        Revision last = revisions.isEmpty() ? Revision.NONE : revisions.lastEntry().getValue();
+        ConfigRevision last =
+                revisions.isEmpty() ? ConfigRevision.NONE : revisions.lastEntry().getValue();
         Map<String, String> changes = new TreeMap<>();
         changes.put(POISON, null);
         changes.put(CRASH, null);
@@ -753,7 +764,9 @@
         }
         changes.put("out/h" + chance.nextInt(5), chance.nextBoolean() ? null : "x" + last.number());
         changes.put("sockets", String.valueOf(900 + last.number()));
-        Revision next = last.next(changes);
+        Map<String, Optional<String>> wanted = new TreeMap<>();
+        changes.forEach((field, value) -> wanted.put(field, Optional.ofNullable(value)));
+        ConfigRevision next = last.next(wanted);
         revisions.put(next.number(), next);
         revisionOfRecord++;
     }
@@ -815,7 +828,7 @@
     private void judge() {
         Station owner = stations.get(stations.size() - 1);
         long latest = revisions.lastKey();
-        if (owner.rollout.number() != latest || owner.rollout.stage() != Rollout.Stage.ALL) {
+        if (owner.rollout.revision() != latest || owner.rollout.stage() != RolloutStage.ALL) {
             broken(
                     "revision "
                             + latest
@@ -836,7 +849,9 @@
             }
             if (out.getOrDefault(node.name, 0L) < node.incarnation
                     && !node.acting.equals(
-                            revisions.getOrDefault(node.held.number(), Revision.NONE).fields())) {
+                            revisions
+                                    .getOrDefault(node.held.number(), ConfigRevision.NONE)
+                                    .fields())) {
                 broken(node.name + " acts on " + node.acting + " at the end");
             }
             if (!hosts(node)) {
@@ -844,9 +859,9 @@
             }
         }
         fold();
-        Audit audit = new Audit(trails.values(), registered, begins);
+        AuditReport audit = new AuditReport(trails.values(), registered, begins);
         long dropped = nodes.stream().mapToLong(node -> node.dropping.size()).sum();
-        for (String problem : audit.verify()) {
+        for (String problem : audit.problems()) {
             String incarnation = problem.replaceAll("(?s).*incarnation (\\d+):.*", "$1");
             boolean drops =
                     incarnation.matches("\\d+")
@@ -861,17 +876,20 @@
             count("gaps told");
         }
         count(dropped > 0 ? "worlds with entries dropped" : "worlds with whole trails");
-        for (Audit.Spell spell : audit.spells()) {
+        for (RevisionPeriod spell : audit.periods()) {
             Node node =
                     nodes.stream()
                             .filter(each -> each.name.equals(spell.node()))
                             .findFirst()
                             .orElseThrow();
             TreeMap<Long, Long> truth = node.truth.get(spell.incarnation());
-            for (Hybrid at : List.of(spell.from(), spell.known())) {
+            for (HybridLogicalClock at : List.of(spell.from(), spell.lastKnown())) {
                 // At the moment at which it ended the next revision holds.
-                long key = at.millis() * 1000 + at.count() - (at.equals(spell.to()) ? 1 : 0);
-                if (spell.surely() && truth.floorEntry(key).getValue() != spell.revision()) {
+                long key =
+                        at.millis() * 1000
+                                + at.count()
+                                - (Optional.of(at).equals(spell.to()) ? 1 : 0);
+                if (spell.isComplete() && truth.floorEntry(key).getValue() != spell.revision()) {
                     broken("the audit says that " + spell + ", in truth " + truth);
                 }
             }
@@ -886,17 +904,17 @@
         if (seed % 3 != 0) {
             return;
         }
-        List<Item> items = new ArrayList<>();
+        List<KeyValue> items = new ArrayList<>();
         trails.forEach(
                 (key, text) ->
-                        items.add(new Item(key, text, created.get(key), created.get(key), null)));
-        for (Write write : Folding.fold(items, begins, MOST_TRAILS, MOST_TRAILS / 4)) {
-            count(write.value() == null ? "segments folded" : "begins noted");
-            if (write.value() == null) {
-                trails.remove(write.key());
-            } else {
-                begins.put(write.key(), write.value());
-            }
+                        items.add(
+                                new KeyValue(key, text, created.get(key), created.get(key), null)));
+        for (Mutation write : AuditRetention.compact(items, begins, MOST_TRAILS, MOST_TRAILS / 4)) {
+            count(write.value().isEmpty() ? "segments folded" : "begins noted");
+            write.value()
+                    .ifPresentOrElse(
+                            value -> begins.put(write.key(), value),
+                            () -> trails.remove(write.key()));
         }
     }
 
--- a/rig/src/main/java/embershift/rig/world/ReleaseWorld.java
+++ b/rig/src/main/java/embershift/rig/world/ReleaseWorld.java
@@ -1,15 +1,17 @@
 package embershift.rig.world;
 
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Gate;
-import embershift.fleet.Release;
-import embershift.fleet.ReleasePlan;
+import embershift.fleet.lease.FencingGuard;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.restart.RollingRestart;
+import embershift.fleet.restart.RollingRestart.RestartState;
+import embershift.fleet.restart.RollingRestartPlan;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.TreeMap;
 
@@ -20,7 +22,7 @@
  */
 public final class ReleaseWorld extends SeededWorld {
 
-    private static final DutyId DUTY = new DutyId("release");
+    private static final TaskId DUTY = new TaskId("release");
     private static final double FAULTS = 60;
     private static final double END = 300;
     private static final double SILENT = 1;
@@ -28,22 +30,22 @@
     /** Seconds after which what is so must be known: an owner's call may be late on its way. */
     private static final double KNOWN = 11;
 
-    private final ReleasePlan plan;
+    private final RollingRestartPlan plan;
     private final TreeMap<String, Node> nodes = new TreeMap<>();
     private final TreeMap<String, Boolean> serving = new TreeMap<>();
     // What the record has.
-    private Fence latest = Fence.NONE;
+    private FencingToken latest = FencingToken.NONE;
     private int step;
     private boolean done;
     private String wish = "go";
     // The manager.
-    private final Map<String, String> states = new HashMap<>();
-    private final Map<String, ReleasePlan.Part> byId = new HashMap<>();
+    private final Map<String, RestartState> states = new HashMap<>();
+    private final Map<String, RollingRestartPlan.Target> byId = new HashMap<>();
     private final Map<String, Integer> stepOf = new HashMap<>();
     private final Set<String> away = new HashSet<>();
 
     private final class Node {
-        private final Gate gate = new Gate();
+        private final FencingGuard gate = new FencingGuard();
         private Set<String> out = Set.of();
         private double cutUntil;
         private double cutSince = Double.NEGATIVE_INFINITY;
@@ -57,19 +59,21 @@
 
     private ReleaseWorld(long seed) {
         super(seed, FAULTS);
-        List<ReleasePlan.Part> parts = new ArrayList<>();
+        List<RollingRestartPlan.Target> parts = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             nodes.put("n" + i, new Node());
             serving.put("h" + i, true);
             if (chance.nextInt(4) != 0) {
-                parts.add(new ReleasePlan.Part(true, "n" + i));
+                parts.add(new RollingRestartPlan.Target(true, "n" + i));
             }
-            parts.add(chance.nextInt(parts.size() + 1), new ReleasePlan.Part(false, "h" + i));
+            parts.add(
+                    chance.nextInt(parts.size() + 1),
+                    new RollingRestartPlan.Target(false, "h" + i));
         }
-        nodes.values().forEach(node -> node.gate.told(DUTY, Fence.NONE));
-        plan = new ReleasePlan("r", 1 + chance.nextInt(2), 0, 0.5, 8, parts);
+        nodes.values().forEach(node -> node.gate.learnLatest(DUTY, FencingToken.NONE));
+        plan = new RollingRestartPlan("r", 1 + chance.nextInt(2), 0, 0.5, 8, parts);
         for (int i = 0; i < plan.steps(); i++) {
-            for (ReleasePlan.Part part : plan.step(i)) {
+            for (RollingRestartPlan.Target part : plan.targetsOf(i)) {
                 byId.put(plan.id(i, part), part);
                 stepOf.put(plan.id(i, part), i);
             }
@@ -97,23 +101,23 @@
 
     // The manager: knows ids, no fences.
 
-    private String manage(String id, boolean restart) {
-        String state = states.get(id);
+    private RestartState manage(String id, boolean restart) {
+        RestartState state = states.get(id);
         if (state != null) {
             count("manager's ids called again");
             return state;
         }
         if (!restart) {
-            states.put(id, "VOID");
+            states.put(id, RestartState.CANCELLED);
             count("ids made void");
-            return "VOID";
+            return RestartState.CANCELLED;
         }
-        states.put(id, "GOING");
+        states.put(id, RestartState.IN_PROGRESS);
         begins(id, byId.get(id));
-        return "GOING";
+        return RestartState.IN_PROGRESS;
     }
 
-    private void begins(String id, ReleasePlan.Part part) {
+    private void begins(String id, RollingRestartPlan.Target part) {
         count("parts started anew");
         away.add(part.toString());
         Set<String> all = new HashSet<>(away);
@@ -136,9 +140,9 @@
                     }
                 });
         for (int i = 0; i < stepOf.get(id); i++) {
-            for (ReleasePlan.Part before : plan.step(i)) {
-                String state = states.getOrDefault(plan.id(i, before), "");
-                if (!state.equals("DONE") && !state.equals("VOID")) {
+            for (RollingRestartPlan.Target before : plan.targetsOf(i)) {
+                RestartState state = states.get(plan.id(i, before));
+                if (state != RestartState.DONE && state != RestartState.CANCELLED) {
                     broken(id + " is begun before " + plan.id(i, before) + " is done");
                 }
             }
@@ -146,7 +150,7 @@
         if (done) {
             broken(id + " is begun after the end");
         }
-        if (part.node()) {
+        if (part.isNode()) {
             nodes.get(part.name()).up = false;
         } else {
             List<String> using = new ArrayList<>();
@@ -171,9 +175,9 @@
         time.in(
                 0.5 + 4 * chance.nextDouble(),
                 () -> {
-                    states.put(id, "DONE");
+                    states.put(id, RestartState.DONE);
                     away.remove(part.toString());
-                    if (part.node()) {
+                    if (part.isNode()) {
                         Node node = nodes.get(part.name());
                         node.up = true;
                         node.upSince = time.now();
@@ -187,9 +191,9 @@
 
     // An owner.
 
-    private final class Station implements Release.View, Release.Hands {
-        private final Fence fence;
-        private Release release;
+    private final class Station implements RollingRestart.FleetView, RollingRestart.Environment {
+        private final FencingToken fence;
+        private RollingRestart release;
         private int at;
         private double actsUntil = Double.POSITIVE_INFINITY;
         private double stoppedUntil;
@@ -199,17 +203,17 @@
         private boolean mine;
 
         private Set<String> out = Set.of();
-        private final Map<String, Release.NodeView> known = new TreeMap<>();
+        private final Map<String, RollingRestart.NodeView> known = new TreeMap<>();
         private final Map<String, Double> heardAt = new HashMap<>();
         private final Map<String, Double> sent = new HashMap<>();
 
         Station() {
-            fence = new Fence(latest.number() + 1);
+            fence = new FencingToken(latest.number() + 1);
             latest = fence;
             at = step;
             nodes.forEach(
                     (name, node) -> {
-                        known.put(name, new Release.NodeView(false, false, Set.of()));
+                        known.put(name, new RollingRestart.NodeView(false, false, Set.of()));
                         heardAt.put(name, Double.NEGATIVE_INFINITY);
                     });
             time.in(0.5, this::begin);
@@ -219,7 +223,7 @@
             if (done) {
                 over = true;
             } else {
-                release = new Release(time.now(), plan, at, !mine, this, this);
+                release = new RollingRestart(time.now(), plan, at, !mine, this, this);
             }
         }
 
@@ -232,7 +236,7 @@
                 return;
             }
             if (release != null) {
-                release.wish(time.now(), wish);
+                release.setOperatorIntent(time.now(), wish);
                 release.tick(time.now());
             }
             nodes.forEach(
@@ -247,7 +251,9 @@
                                         // clock comes back in it.
                                         if (at > heardAt.get(name)) {
                                             heardAt.put(name, at);
-                                            known.put(name, new Release.NodeView(true, true, told));
+                                            known.put(
+                                                    name,
+                                                    new RollingRestart.NodeView(true, true, told));
                                         }
                                     });
                             if (release != null && !told.equals(out) && !lost()) {
@@ -261,8 +267,8 @@
                                         () -> {
                                             if (node.up
                                                     && !node.cut()
-                                                    && node.gate.take(DUTY, fence)
-                                                            == Gate.Verdict.TAKEN) {
+                                                    && node.gate.admit(DUTY, fence)
+                                                            == FencingGuard.Verdict.ADMITTED) {
                                                 node.out = wanted;
                                             } else {
                                                 count("orders refused");
@@ -274,40 +280,40 @@
         }
 
         @Override
-        public Map<String, Release.NodeView> nodes() {
-            Map<String, Release.NodeView> views = new TreeMap<>();
+        public Map<String, RollingRestart.NodeView> nodes() {
+            Map<String, RollingRestart.NodeView> views = new TreeMap<>();
             known.forEach(
                     (name, view) ->
                             views.put(
                                     name,
                                     time.now() - heardAt.get(name) < SILENT
                                             ? view
-                                            : new Release.NodeView(false, false, Set.of())));
+                                            : new RollingRestart.NodeView(false, false, Set.of())));
             return views;
         }
 
         @Override
-        public boolean inService(String host) {
+        public boolean isInService(String host) {
             return serving.get(host);
         }
 
         @Override
-        public double service() {
-            return Double.NaN;
+        public OptionalDouble serviceRate() {
+            return OptionalDouble.empty();
         }
 
         @Override
-        public void out(Set<String> hosts) {
+        public void ejectHosts(Set<String> hosts) {
             out = hosts;
         }
 
         @Override
-        public void startAnew(ReleasePlan.Part part, String id) {
+        public void restart(RollingRestartPlan.Target part, String id) {
             call(id, true);
         }
 
         @Override
-        public void makeVoid(String id) {
+        public void cancel(String id) {
             call(id, false);
         }
 
@@ -315,25 +321,19 @@
             if (lost()) {
                 return;
             }
-            Release mine = release;
+            RollingRestart mine = release;
             time.in(
                     late(),
                     () -> {
-                        String state = manage(id, restart);
+                        RestartState state = manage(id, restart);
                         if (!lost()) {
-                            time.in(
-                                    late(),
-                                    () ->
-                                            mine.managed(
-                                                    time.now(),
-                                                    id,
-                                                    Release.Managed.valueOf(state)));
+                            time.in(late(), () -> mine.restartReported(time.now(), id, state));
                         }
                     });
         }
 
         @Override
-        public void ended(boolean abort) {
+        public void completed(boolean abort) {
             release = null;
             int ended = at;
             time.in(
@@ -418,12 +418,13 @@
                     "it is not done: step "
                             + step
                             + ", "
-                            + (last.release == null ? "" : last.release.waitsFor()));
+                            + (last.release == null ? "" : last.release.waitReason()));
         }
         byId.forEach(
                 (id, part) -> {
-                    String state = states.getOrDefault(id, "never called");
-                    if (!state.equals("DONE") && !(wish.equals("abort") && state.equals("VOID"))) {
+                    RestartState state = states.get(id);
+                    if (state != RestartState.DONE
+                            && !(wish.equals("abort") && state == RestartState.CANCELLED)) {
                         broken(id + " is " + state + " at the end");
                     }
                 });
--- a/rig/src/main/java/embershift/rig/world/World.java
+++ b/rig/src/main/java/embershift/rig/world/World.java
@@ -1,13 +1,14 @@
 package embershift.rig.world;
 
-import embershift.fleet.Answer;
-import embershift.fleet.Command;
-import embershift.fleet.Condition;
-import embershift.fleet.Item;
-import embershift.fleet.KeyValueStore;
-import embershift.fleet.Replica;
-import embershift.fleet.SessionId;
-import embershift.fleet.Write;
+import embershift.fleet.store.CallResult;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
+import embershift.fleet.store.ReplicatedStore;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.SnapshotPolicy;
+import embershift.fleet.store.StoreCommand;
 import embershift.raft.LogEntry;
 import embershift.raft.Member;
 import embershift.raft.MemberId;
@@ -55,7 +56,7 @@
     public record Report(long seed, String broken, Map<String, Long> reached) {}
 
     private static final double TICK = 0.01;
-    private static final Replica.Habits HABITS = new Replica.Habits(25, 1 << 20, 16);
+    private static final SnapshotPolicy HABITS = new SnapshotPolicy(25, 1 << 20, 16);
     private static final long LOG_FILE = 1500;
 
     /** Seconds of faults, and seconds after them within which all must be in step again. */
@@ -170,13 +171,13 @@
     // Instances.
 
     /** One instance: what is on its disk outlasts its runs. */
-    private final class Station implements Replica.Port {
+    private final class Station implements ReplicatedStore.Environment {
         private final int number;
         private final double rate;
         private MemberId id;
         private MemoryDisk disk = new MemoryDisk();
         private RaftPersistence keeper;
-        private Replica replica;
+        private ReplicatedStore replica;
         private long run;
         private boolean up;
         private boolean still;
@@ -219,7 +220,7 @@
                 run++;
                 seen = restored.snapshot().map(Snapshot::index).orElse(0L);
                 replica =
-                        new Replica(
+                        new ReplicatedStore(
                                 id, pace, bounds, HABITS, restored, run, chance.nextLong(), this);
                 long mine = run;
                 in(TICK * chance.nextDouble(), () -> tick(mine));
@@ -446,7 +447,7 @@
                 keeper.write(batch);
                 orders.subList(0, batch.size()).clear();
                 long last = batch.get(batch.size() - 1).number();
-                reach(() -> replica.durable(time(), last));
+                reach(() -> replica.writesCompleted(time(), last));
             } catch (OutOfSpaceException e) {
                 count("writes without room");
             } catch (IOException e) {
@@ -458,7 +459,7 @@
         }
 
         @Override
-        public void sure() {
+        public void stateTrusted() {
             try {
                 keeper.markTrusted();
                 count("doubts cleared");
@@ -468,7 +469,7 @@
         }
 
         @Override
-        public void answer(long call, Answer answer) {
+        public void complete(long call, CallResult answer) {
             Client client = callers.remove(call);
             if (client != null) {
                 carry(null, null, () -> client.answered(call, answer));
@@ -476,7 +477,7 @@
         }
 
         @Override
-        public void role(boolean leads, long term, Optional<MemberId> leader) {
+        public void roleChanged(boolean leads, long term, Optional<MemberId> leader) {
             if (leads) {
                 count("elections won");
                 if (spiteful(winnerSpite)) {
@@ -505,7 +506,7 @@
         }
 
         @Override
-        public void stop(String why) {
+        public void halt(String why) {
             broken("i" + number + " stops: " + why);
         }
     }
@@ -529,7 +530,7 @@
 
     private Station leader() {
         return stations.stream()
-                .filter(each -> each.up && each.replica.leads())
+                .filter(each -> each.up && each.replica.isLeader())
                 .max(
                         (one, other) ->
                                 Long.compare(
@@ -587,7 +588,7 @@
         private double began;
         private Operation.Kind kind;
         private String key;
-        private Item expected;
+        private KeyValue expected;
         private String value;
         private long done;
 
@@ -631,20 +632,21 @@
             tries++;
             Station target = at;
             // As it is now: by the time that it arrives the client may be further.
-            Command command =
+            StoreCommand command =
                     session == null
-                            ? new Command.Open("c" + number, 1.5)
+                            ? new StoreCommand.OpenSession("c" + number, 1.5)
                             : kind == Operation.Kind.READ
                                     ? null
-                                    : new Command.Change(
+                                    : new StoreCommand.Transaction(
                                             session,
                                             last,
                                             last,
                                             kind == Operation.Kind.SWAP
                                                     ? List.of(
-                                                            new Condition(key, expected.revision()))
+                                                            new Precondition(
+                                                                    key, expected.revision()))
                                                     : List.of(),
-                                            List.of(new Write(key, value, false)));
+                                            List.of(Mutation.put(key, value)));
             String asked = key;
             carry(
                     null,
@@ -654,9 +656,9 @@
                                     () -> {
                                         target.callers.put(mine, this);
                                         if (command == null) {
-                                            target.replica.read(target.time(), mine, asked, false);
+                                            target.replica.read(target.time(), mine, asked);
                                         } else {
-                                            target.replica.change(target.time(), mine, command);
+                                            target.replica.submit(target.time(), mine, command);
                                         }
                                     }));
             in(
@@ -712,21 +714,21 @@
             }
         }
 
-        void answered(long of, Answer answer) {
+        void answered(long of, CallResult answer) {
             if (of != call || broken != null) {
                 return;
             }
-            if (answer instanceof Answer.Done opened && session == null) {
+            if (answer instanceof CallResult.Done opened && session == null) {
                 session = new SessionId(opened.number());
                 last = 0;
                 begin();
-            } else if (answer instanceof Answer.Done) {
+            } else if (answer instanceof CallResult.Done) {
                 end(Operation.End.DONE, null);
-            } else if (answer instanceof Answer.Found found) {
-                Item item = found.items().stream().findFirst().orElse(null);
+            } else if (answer instanceof CallResult.Found found) {
+                KeyValue item = found.keyValues().stream().findFirst().orElse(null);
                 expected = item == null ? expected : item;
                 end(Operation.End.DONE, item == null ? null : item.value());
-            } else if (answer instanceof Answer.Refused refused) {
+            } else if (answer instanceof CallResult.Rejected refused) {
                 refused(refused);
             } else {
                 mayHaveBeen = true;
@@ -734,10 +736,10 @@
             }
         }
 
-        private void refused(Answer.Refused refused) {
+        private void refused(CallResult.Rejected refused) {
             switch (refused.reason()) {
-                case CONDITION -> end(Operation.End.REFUSED, null);
-                case NO_SESSION, FORGOTTEN -> {
+                case PRECONDITION_FAILED -> end(Operation.End.REFUSED, null);
+                case UNKNOWN_SESSION, RESULT_FORGOTTEN -> {
                     count("sessions found ended");
                     if (mayHaveBeen) {
                         end(Operation.End.UNKNOWN, null);
@@ -778,7 +780,7 @@
                         then.run();
                         return true;
                     }
-                    leader.reach(() -> leader.replica.remove(leader.time(), ++calls, id));
+                    leader.reach(() -> leader.replica.removeMember(leader.time(), ++calls, id));
                     return false;
                 });
     }
@@ -801,7 +803,7 @@
                     if (member == null) {
                         leader.reach(
                                 () ->
-                                        leader.replica.add(
+                                        leader.replica.addMember(
                                                 leader.time(), ++calls, station.member(role)));
                     }
                     return false;
@@ -819,22 +821,20 @@
      */
     private void noise() {
         for (Station station : List.copyOf(stations)) {
-            if (station.up && !station.still && station.replica.leads()) {
+            if (station.up && !station.still && station.replica.isLeader()) {
                 station.reach(
                         () ->
-                                station.replica.change(
+                                station.replica.submit(
                                         station.time(),
                                         ++calls,
-                                        new Command.Change(
+                                        new StoreCommand.Transaction(
                                                 SessionId.NONE,
                                                 0,
                                                 0,
                                                 List.of(),
                                                 List.of(
-                                                        new Write(
-                                                                "noise",
-                                                                String.valueOf(calls),
-                                                                false)))));
+                                                        Mutation.put(
+                                                                "noise", String.valueOf(calls))))));
             }
         }
         if (now < faultsFrom + FAULTS) {
@@ -953,7 +953,8 @@
                 Station leader = leader();
                 if (leader != null) {
                     count("hand-overs asked for");
-                    leader.reach(() -> leader.replica.transfer(leader.time(), ++calls, a.id));
+                    leader.reach(
+                            () -> leader.replica.transferLeadership(leader.time(), ++calls, a.id));
                 }
             }
             default -> throw new IllegalStateException();
@@ -985,7 +986,7 @@
         }
         stations.forEach(Station::start);
         Station first = stations.get(0);
-        first.reach(() -> first.replica.found(first.time(), first.member(Member.Role.VOTER)));
+        first.reach(() -> first.replica.bootstrap(first.time(), first.member(Member.Role.VOTER)));
         for (int i = 1; i < size; i++) {
             takeIn(stations.get(i), Member.Role.JOINING, () -> {});
         }
@@ -1081,12 +1082,12 @@
         long least = leader.replica.raft().commitIndex() - 30;
         for (Member member : leader.replica.raft().membership().members()) {
             Station station = station(member.id());
-            if (station != null && station.up && station.replica.record().applied() < least) {
+            if (station != null && station.up && station.replica.store().appliedIndex() < least) {
                 broken(
                         "i"
                                 + station.number
                                 + " is at "
-                                + station.replica.record().applied()
+                                + station.replica.store().appliedIndex()
                                 + ", the leader at "
                                 + least);
             }
@@ -1094,11 +1095,11 @@
         Map<Long, Integer> states = new HashMap<>();
         for (Station station : stations) {
             if (station.up) {
-                KeyValueStore record = station.replica.record();
+                KeyValueStore record = station.replica.store();
                 Integer other =
-                        states.putIfAbsent(record.applied(), Arrays.hashCode(record.bytes()));
-                if (other != null && other != Arrays.hashCode(record.bytes())) {
-                    broken("two records after entry " + record.applied());
+                        states.putIfAbsent(record.appliedIndex(), Arrays.hashCode(record.encode()));
+                if (other != null && other != Arrays.hashCode(record.encode())) {
+                    broken("two records after entry " + record.appliedIndex());
                 }
             }
         }
--- a/rig/src/test/java/embershift/rig/FenceModelTest.java
+++ b/rig/src/test/java/embershift/rig/FenceModelTest.java
@@ -5,14 +5,15 @@
 import static org.testng.Assert.assertNull;
 import static org.testng.Assert.assertTrue;
 
-import embershift.fleet.Command;
-import embershift.fleet.DutyId;
-import embershift.fleet.Fence;
-import embershift.fleet.Gate;
-import embershift.fleet.Grants;
-import embershift.fleet.KeyValueStore;
-import embershift.fleet.SessionId;
-import embershift.fleet.Tenure;
+import embershift.fleet.lease.FencingGuard;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.Lease;
+import embershift.fleet.lease.LeaseCommands;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.store.CommandResult;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.StoreCommand;
 import embershift.rig.world.FenceModel;
 import embershift.rig.world.FenceModel.Mistake;
 import java.net.URLClassLoader;
@@ -57,18 +58,18 @@
     @DataProvider
     public Object[][] gateMistakes() {
         return new Object[][] {
-            {"if (fence.compareTo(known) < 0) {", "if (fence.compareTo(known) > 0) {"},
-            {"highest.put(duty, fence);", ""},
+            {"if (token.compareTo(known) < 0) {", "if (token.compareTo(known) > 0) {"},
+            {"highestByTask.put(task, token);", ""},
             {
-                "if (known == null) {\n            return Verdict.UNSURE;",
-                "if (known == null) {\n            return Verdict.TAKEN;"
+                "if (known == null) {\n            return Verdict.UNKNOWN;",
+                "if (known == null) {\n            return Verdict.ADMITTED;"
             },
         };
     }
 
     @Test(dataProvider = "gateMistakes")
     public void eachKnownMistakeOfTheGateIsFound(String from, String to) throws Exception {
-        Path gate = Path.of("..", "fleet/src/main/java/embershift/fleet/Gate.java");
+        Path gate = Path.of("..", "fleet/src/main/java/embershift/fleet/lease/FencingGuard.java");
         try (Mutation mutation = new Mutation(gate, from, to);
                 URLClassLoader loader = mutation.loader()) {
             assertNotNull(
@@ -82,50 +83,81 @@
     @Test
     public void dutyPassesOnOnlyWhenItsOwnersSessionEndsAndTheOldOwnerNotesNothingMore() {
         KeyValueStore record = new KeyValueStore();
-        DutyId duty = new DutyId("release");
-        SessionId one = new SessionId(record.apply(1, new Command.Open("i1", 2)).number());
-        SessionId other = new SessionId(record.apply(2, new Command.Open("i2", 2)).number());
-        Fence first = new Fence(record.apply(3, Grants.claim(one, 1, duty, "i1")).number());
-        assertTrue(!record.apply(4, Grants.claim(other, 1, duty, "i2")).done());
-        assertTrue(record.apply(5, Grants.note(one, 2, duty, first, "intended 1")).done());
-        record.apply(6, new Command.End(one));
-        Fence second = new Fence(record.apply(7, Grants.claim(other, 2, duty, "i2")).number());
+        TaskId duty = new TaskId("release");
+        SessionId one =
+                new SessionId(number(record.apply(1, new StoreCommand.OpenSession("i1", 2))));
+        SessionId other =
+                new SessionId(number(record.apply(2, new StoreCommand.OpenSession("i2", 2))));
+        FencingToken first =
+                new FencingToken(
+                        number(record.apply(3, LeaseCommands.acquire(one, 1, duty, "i1"))));
+        assertTrue(!isDone(record.apply(4, LeaseCommands.acquire(other, 1, duty, "i2"))));
+        assertTrue(
+                isDone(
+                        record.apply(
+                                5,
+                                LeaseCommands.recordProgress(one, 2, duty, first, "intended 1"))));
+        record.apply(6, new StoreCommand.EndSession(one));
+        FencingToken second =
+                new FencingToken(
+                        number(record.apply(7, LeaseCommands.acquire(other, 2, duty, "i2"))));
         assertTrue(second.compareTo(first) > 0);
-        SessionId again = new SessionId(record.apply(8, new Command.Open("i1", 2)).number());
-        assertTrue(!record.apply(9, Grants.note(again, 1, duty, first, "done 1")).done());
-        assertEquals(record.get(duty.progressKey()).value(), "intended 1");
-        Fence third =
-                new Fence(record.apply(10, Grants.takeOver(again, 2, duty, "i1", second)).number());
-        assertTrue(!record.apply(11, Grants.note(other, 3, duty, second, "done 1")).done());
-        assertTrue(!record.apply(12, Grants.giveBack(other, 4, duty, second)).done());
-        assertTrue(record.apply(13, Grants.giveBack(again, 3, duty, third)).done());
-        assertTrue(record.apply(14, Grants.claim(other, 5, duty, "i2")).number() > third.number());
+        SessionId again =
+                new SessionId(number(record.apply(8, new StoreCommand.OpenSession("i1", 2))));
+        assertTrue(
+                !isDone(
+                        record.apply(
+                                9, LeaseCommands.recordProgress(again, 1, duty, first, "done 1"))));
+        assertEquals(record.find(duty.progressKey()).orElseThrow().value(), "intended 1");
+        FencingToken third =
+                new FencingToken(
+                        number(
+                                record.apply(
+                                        10, LeaseCommands.takeOver(again, 2, duty, "i1", second))));
+        assertTrue(
+                !isDone(
+                        record.apply(
+                                11,
+                                LeaseCommands.recordProgress(other, 3, duty, second, "done 1"))));
+        assertTrue(!isDone(record.apply(12, LeaseCommands.release(other, 4, duty, second))));
+        assertTrue(isDone(record.apply(13, LeaseCommands.release(again, 3, duty, third))));
+        assertTrue(
+                number(record.apply(14, LeaseCommands.acquire(other, 5, duty, "i2")))
+                        > third.number());
     }
 
     @Test
     public void lateWordOfTheRecordDoesNotLowerWhatAGateKnows() {
-        DutyId duty = new DutyId("d");
-        Gate gate = new Gate();
-        assertEquals(gate.take(duty, new Fence(9)), Gate.Verdict.UNSURE);
-        gate.told(duty, new Fence(5));
-        gate.told(duty, new Fence(3));
-        assertEquals(gate.take(duty, new Fence(4)), Gate.Verdict.OLD);
-        assertEquals(gate.take(duty, new Fence(5)), Gate.Verdict.TAKEN);
+        TaskId duty = new TaskId("d");
+        FencingGuard gate = new FencingGuard();
+        assertEquals(gate.admit(duty, new FencingToken(9)), FencingGuard.Verdict.UNKNOWN);
+        gate.learnLatest(duty, new FencingToken(5));
+        gate.learnLatest(duty, new FencingToken(3));
+        assertEquals(gate.admit(duty, new FencingToken(4)), FencingGuard.Verdict.STALE);
+        assertEquals(gate.admit(duty, new FencingToken(5)), FencingGuard.Verdict.ADMITTED);
     }
 
     @Test
     public void ownerCountsItsTimeFromBeforeItAskedAndBeginsNothingThatOutlastsIt() {
-        Tenure tenure = new Tenure(10);
-        assertTrue(!tenure.holds(0));
-        tenure.granted(new Fence(5), 100);
-        assertTrue(tenure.holds(109.5) && !tenure.holds(109.7));
+        Lease tenure = new Lease(10);
+        assertTrue(!tenure.isHeld(0));
+        tenure.acquired(new FencingToken(5), 100);
+        assertTrue(tenure.isHeld(109.5) && !tenure.isHeld(109.7));
         assertTrue(tenure.mayBegin(105, 4) && !tenure.mayBegin(105, 5));
-        assertTrue(!tenure.wantsRenewal(102) && tenure.wantsRenewal(104));
+        assertTrue(!tenure.isRenewalDue(102) && tenure.isRenewalDue(104));
         tenure.renewed(104);
         tenure.renewed(101);
-        assertTrue(tenure.holds(113) && !tenure.holds(113.7));
-        tenure.over();
-        assertTrue(!tenure.holds(105));
-        assertEquals(tenure.fence(), new Fence(5));
+        assertTrue(tenure.isHeld(113) && !tenure.isHeld(113.7));
+        tenure.end();
+        assertTrue(!tenure.isHeld(105));
+        assertEquals(tenure.token(), new FencingToken(5));
+    }
+
+    private static long number(CommandResult result) {
+        return ((CommandResult.Done) result).number();
+    }
+
+    private static boolean isDone(CommandResult result) {
+        return result instanceof CommandResult.Done;
     }
 }
--- a/rig/src/test/java/embershift/rig/FleetWorldTest.java
+++ b/rig/src/test/java/embershift/rig/FleetWorldTest.java
@@ -65,56 +65,80 @@
     @DataProvider
     public Object[][] mistakes() {
         return new Object[][] {
-            {"Admission", "if (!(age >= 0 && age <= longest)) {", "if (false) {"},
-            {"Gate", "if (fence.compareTo(known) < 0) {", "if (fence.compareTo(known) <= -3) {"},
-            {"RevisionHeld", "if (number < held.number()) {", "if (false) {"},
-            {"RevisionHeld", "if (!Revision.content(fields).equals(content)) {", "if (false) {"},
+            {"lease/OrderAdmission", "if (!(age >= 0 && age <= maxAgeSeconds)) {", "if (false) {"},
             {
-                "RevisionHeld",
-                "base == 0 ? new TreeMap<>() : new TreeMap<>(held.fields())",
-                "new TreeMap<>(held.fields())"
+                "lease/FencingGuard",
+                "if (token.compareTo(known) < 0) {",
+                "if (token.compareTo(known) <= -3) {"
             },
-            {"HostsHeld", "if (change.generation() < generation) {", "if (false) {"},
-            {"HostsTold", "if (step.number > base) {", "if (step.number > base + 1) {"},
+            {"rollout/AppliedRevision", "if (order.number < applied.number()) {", "if (false) {"},
             {
-                "HostsTold",
-                "entries.remove(host);\n                touched.add(host);",
+                "rollout/AppliedRevision",
+                "if (!ConfigRevision.contentDigest(fields).equals(order.contentDigest)) {",
+                "if (false) {"
+            },
+            {
+                "rollout/AppliedRevision",
+                "order.baseNumber == 0 ? new TreeMap<>() : applied.fields();",
+                "applied.fields();"
+            },
+            {
+                "endpoints/AppliedEndpoints",
+                "if (update.generation() < generation) {",
+                "if (false) {"
+            },
+            {
+                "endpoints/PublishedEndpoints",
+                "if (delta.number > baseNumber) {",
+                "if (delta.number > baseNumber + 1) {"
+            },
+            {
+                "endpoints/PublishedEndpoints",
+                "entries.remove(host); changedHosts.add(host);",
                 "entries.remove(host);"
             },
             {
-                "Rollout",
-                "if (notes == 0) {\n            orders();",
-                "if (true) {\n            orders();"
+                "rollout/ConfigRollout",
+                "if (unrecordedProgress == 0) { orderNodes();",
+                "if (true) { orderNodes();"
             },
             {
-                "Rollout",
-                "return stage == Stage.ALL || (stage == Stage.FIRST && first.contains(name)) ? number : good;",
-                "return number;"
+                "rollout/ConfigRollout",
+                "return isForNode ? progress.revision() : progress.goodRevision();",
+                "return progress.revision();"
             },
-            {"Rollout", "if (outByDuty.size() >= most) {", "if (false) {"},
             {
-                "Rollout",
-                "if (report != null && node.toldIncarnation != 0 && report.incarnation() != node.toldIncarnation) {",
+                "rollout/ConfigRollout",
+                "if (shutOutNodes.countByRollout() >= limit) {",
                 "if (false) {"
             },
             {
-                "Rollout",
-                "boolean all = nodes.keySet().stream().allMatch(name -> state(name) == State.SHUT_OUT",
-                "boolean all = nodes.keySet().stream().allMatch(name -> state(name) == State.SHUT_OUT || state(name) == State.SILENT"
+                "rollout/ConfigRollout",
+                "if (node != null && node.wasRestartedAsCanary()) {",
+                "if (false) {"
+            },
+            {
+                "rollout/ConfigRollout",
+                "if (state == NodeState.SHUT_OUT) { return true;",
+                "if (state == NodeState.SHUT_OUT || state == NodeState.SILENT) { return true;"
+            },
+            {"audit/AuditLog", ".filter(segment -> segment.number() == segmentNumber)", ""},
+            {
+                "audit/AuditLog",
+                "pending.remove(); droppedEntries++;",
+                "pending.remove(); droppedEntries++; lastEntryNumber--;"
             },
-            {"Diary", "if (out != null && out.number() == segment) {", "if (out != null) {"},
             {
-                "Diary",
-                "waiting.remove();\n            dropped++;",
-                "waiting.remove();\n            dropped++;\n            entries--;"
+                "audit/AuditCheckpoint",
+                "segment.number(), segment.lastNumber(),",
+                "segment.number(), segment.firstNumber(),"
             },
             {
-                "Folding",
-                "new Begin(segment.number(), segment.to(),",
-                "new Begin(segment.number(), segment.from(),"
+                "audit/HybridLogicalClock",
+                "wallClockMillis > millis ? new HybridLogicalClock(wallClockMillis, 0)",
+                "true ? new HybridLogicalClock(wallClockMillis, 0)"
             },
-            {"Hybrid", "clock > millis ? new Hybrid(clock, 0)", "true ? new Hybrid(clock, 0)"},
-            {"Audit", "if (entry.number() != number + 1) {", "if (false) {"},
+            {"audit/RevisionPeriods", "if (entry.number() != number + 1) {", "if (false) {"},
         };
     }
 
--- a/rig/src/test/java/embershift/rig/ReleaseWorldTest.java
+++ b/rig/src/test/java/embershift/rig/ReleaseWorldTest.java
@@ -52,20 +52,20 @@
     @DataProvider
     public Object[][] mistakes() {
         return new Object[][] {
-            {"if (!work.called && away.size() > plan.size()) {", "if (false) {"},
-            {"if (!node.reached() || !node.ready()) {", "if (false) {"},
+            {"if (!progress.isRequested && away.size() > plan.size()) {", "if (false) {"},
+            {"if (!node.isReachable() || !node.isReady()) {", "if (false) {"},
             {
-                "if (work.voided) {\n                become(now, work, Phase.BACK);",
-                "if (true) {\n                become(now, work, Phase.BACK);"
+                "if (progress.isCancelled) { enter(now, progress, Phase.BACK);",
+                "if (true) { enter(now, progress, Phase.BACK);"
             },
-            {"return part.node() ? List.of() : view", "return true ? List.of() : view"},
+            {"if (target.isNode()) { return List.of();", "if (true) { return List.of();"},
             {
-                "if (work.managed == Managed.DONE) {",
-                "if (work.managed == Managed.DONE || work.managed == Managed.GOING) {"
+                "if (progress.reported == RestartState.DONE) {",
+                "if (progress.reported == RestartState.DONE || progress.reported == RestartState.IN_PROGRESS) {"
             },
             {
-                "works.values().stream().allMatch(work -> work.phase == Phase.BACK)",
-                "works.values().stream().anyMatch(work -> work.phase == Phase.BACK)"
+                "targets.values().stream().allMatch(progress -> progress.phase == Phase.BACK)",
+                "targets.values().stream().anyMatch(progress -> progress.phase == Phase.BACK)"
             },
             {
                 "return name + \"/\" + step + \"/\"",
@@ -79,8 +79,10 @@
         Path source =
                 Path.of(
                         "..",
-                        "fleet/src/main/java/embershift/fleet",
-                        from.startsWith("return name") ? "ReleasePlan.java" : "Release.java");
+                        "fleet/src/main/java/embershift/fleet/restart",
+                        from.startsWith("return name")
+                                ? "RollingRestartPlan.java"
+                                : "RollingRestart.java");
         try (Mutation mutation = new Mutation(source, from, to)) {
             Object broken;
             try {
--- a/rig/src/test/java/embershift/rig/ScaleTest.java
+++ b/rig/src/test/java/embershift/rig/ScaleTest.java
@@ -63,10 +63,10 @@
             },
             {
                 "rollout",
-                "fleet/src/main/java/embershift/fleet/Rollout.java",
-                "Node node = each.getValue();\n            State state = state(name);",
-                "Node node = each.getValue();\n            State state = nodes.keySet().stream().filter(other -> state(other) == null).count() > 0 ? null "
-                        + ": state(name);"
+                "fleet/src/main/java/embershift/fleet/rollout/ConfigRollout.java",
+                "ManagedNode node = each.getValue(); NodeState state = stateOf(name);",
+                "ManagedNode node = each.getValue(); NodeState state = nodes.keySet().stream().filter(other -> stateOf(other) == null).count() > 0 ? null "
+                        + ": stateOf(name);"
             },
             {
                 "lists",
@@ -76,9 +76,9 @@
             },
             {
                 "record",
-                "fleet/src/main/java/embershift/fleet/KeyValueStore.java",
-                "long then = size;",
-                "long then = items.values().stream().mapToLong(item -> cost(item.key(), item.value())).sum();"
+                "fleet/src/main/java/embershift/fleet/store/KeyValueStore.java",
+                "long total = totalChars;",
+                "long total = keyValues.values().stream().mapToLong(KeyValueStore::size).sum();"
             }
         };
     }
--- a/rig/src/test/java/embershift/rig/WorldsTest.java
+++ b/rig/src/test/java/embershift/rig/WorldsTest.java
@@ -91,8 +91,9 @@
                     Map.entry("command carried out again", 1813L),
                     Map.entry("torn write not cut", 876L));
 
-    private static Path source(String module, String name) {
-        return Path.of("..", module, "src/main/java/embershift", module, name + ".java");
+    private static Path source(String where) {
+        String module = where.substring(0, where.indexOf('/'));
+        return Path.of("..", module, "src/main/java/embershift", where + ".java");
     }
 
     @DataProvider
@@ -215,13 +216,13 @@
             },
             {
                 "snapshot that forgets sessions",
-                "fleet/KeyValueStore",
-                "return RecordCodec.bytes(revision, applied, items.values(), sessions.values());",
-                "return RecordCodec.bytes(revision, applied, items.values(), List.of());"
+                "fleet/store/KeyValueStore",
+                "return StoreCodec.encodeSnapshot( revision, appliedIndex, keyValues.values(), sessions.values());",
+                "return StoreCodec.encodeSnapshot( revision, appliedIndex, keyValues.values(), List.of());"
             },
             {
                 "command carried out again",
-                "fleet/KeyValueStore",
+                "fleet/store/KeyValueStore",
                 "if (before != null) { return before;",
                 "if (false) { return before;"
             },
@@ -232,8 +233,7 @@
     @Test(dataProvider = "mistakes")
     public void knownMistakeShows(String name, String where, String from, String to)
             throws Exception {
-        String[] parts = where.split("/");
-        try (Mutation mutation = new Mutation(source(parts[0], parts[1]), from, to)) {
+        try (Mutation mutation = new Mutation(source(where), from, to)) {
             Object broken =
                     SHOWN.containsKey(name)
                             ? mutation.firstBroken("Worlds", SHOWN.get(name), 1)
