--- /dev/null
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -0,0 +1,158 @@
+package embershift.door;
+
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.endpoints.AppliedEndpoints;
+import embershift.fleet.endpoints.EndpointUpdate;
+import embershift.fleet.lease.FencingToken;
+import embershift.model.HostId;
+import embershift.model.Listing;
+import embershift.program.Companion;
+import embershift.protocol.RosterPage;
+import embershift.protocol.Unreadable;
+import embershift.routing.Router;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+
+/**
+ * Hands the published list of endpoints to the node's router in place of discovery, and the node
+ * back to discovery when no list comes for some time.
+ */
+final class EndpointFeed implements Router.Lists {
+
+    private final Companion.Node node;
+    private final AgentSettings settings;
+    private final AuditUploader auditLog;
+    private final Random random;
+    private final AppliedEndpoints endpoints = new AppliedEndpoints();
+    private double lastUpdateAt = Double.NEGATIVE_INFINITY;
+    private boolean isPublished;
+    private boolean isFallbackDue;
+
+    EndpointFeed(
+            Companion.Node node, AgentSettings settings, AuditUploader auditLog, Random random) {
+        this.node = node;
+        this.settings = settings;
+        this.auditLog = auditLog;
+        this.random = random;
+    }
+
+    /** Whether the node goes by published lists, and doesn't poll discovery. */
+    boolean isPublished() {
+        return isPublished;
+    }
+
+    FencingToken token() {
+        return endpoints.token();
+    }
+
+    long number() {
+        return endpoints.number();
+    }
+
+    void tick(double now) {
+        if (!isPublished || now - lastUpdateAt <= settings.listTimeoutSeconds()) {
+            return;
+        }
+        isPublished = false;
+        isFallbackDue = true;
+        // Not all at once: the holder of the task may have ended for everybody.
+        node.loop()
+                .after(
+                        settings.listTimeoutJitterSeconds() * random.nextDouble(),
+                        this::fallBackToDiscovery);
+    }
+
+    private void fallBackToDiscovery() {
+        if (!isFallbackDue || isPublished) {
+            return;
+        }
+        isFallbackDue = false;
+        node.router().tally().count("lists missed, discovery asked");
+        auditLog.append(
+                AuditEntry.Kind.LED,
+                Map.of("by", "discovery"),
+                "no list for " + settings.listTimeoutSeconds() + " s");
+        node.router().led(false);
+    }
+
+    /** Takes a change of the list, if it fits; the router has it when this returns. */
+    AppliedEndpoints.Outcome apply(FencingToken token, EndpointUpdate update) {
+        AppliedEndpoints.Outcome outcome = endpoints.apply(token, update);
+        if (outcome != AppliedEndpoints.Outcome.APPLIED
+                && outcome != AppliedEndpoints.Outcome.UNCHANGED) {
+            return outcome;
+        }
+        lastUpdateAt = node.loop().now();
+        isFallbackDue = false;
+        if (!isPublished) {
+            isPublished = true;
+            replaceDiscovery(token, update);
+        } else if (outcome == AppliedEndpoints.Outcome.APPLIED) {
+            node.router().tally().count("lists taken");
+            node.router().listed(update.isFullList() ? whole() : difference(update));
+        }
+        return outcome;
+    }
+
+    private void replaceDiscovery(FencingToken token, EndpointUpdate update) {
+        Map<String, String> fields =
+                Map.of(
+                        "by", "list",
+                        "fence", String.valueOf(token.number()),
+                        "number", String.valueOf(update.number()));
+        auditLog.append(AuditEntry.Kind.LED, fields, "");
+        node.router().led(true);
+        node.router().listed(whole());
+    }
+
+    /** Discovery itself has moved: whatever generation it tells is news. */
+    void discoveryMoved() {
+        endpoints.discoveryReported(Long.MIN_VALUE);
+    }
+
+    @Override
+    public void discoverySaid(long generation) {
+        endpoints.discoveryReported(generation);
+    }
+
+    @Override
+    public RosterPage whole() {
+        return page(true, endpoints.entries());
+    }
+
+    private RosterPage difference(EndpointUpdate update) {
+        RosterPage page = page(false, update.changed());
+        if (update.removed().isEmpty()) {
+            return page;
+        }
+        List<Listing> listings = new ArrayList<>(page.listings());
+        update.removed().forEach(host -> listings.add(gone(host)));
+        return new RosterPage(
+                page.generation(), false, listings, page.addresses(), page.unreadable());
+    }
+
+    private static Listing gone(String host) {
+        return new Listing(new HostId(host), Listing.State.GONE, null, 1, 0, 0);
+    }
+
+    private RosterPage page(boolean isFull, Map<String, String> entries) {
+        String text =
+                "{\"generation\":"
+                        + endpoints.number()
+                        + ",\"reset\":"
+                        + isFull
+                        + ",\"instances\":["
+                        + String.join(",", entries.values())
+                        + "]}";
+        try {
+            return RosterPage.read(text);
+        } catch (Unreadable e) {
+            // Entries are objects, or they would not have been published; an empty page changes
+            // nothing.
+            node.log("a list that can't be read: " + e.getMessage());
+            return new RosterPage(0, false, List.of(), Map.of(), 1);
+        }
+    }
+}
--- a/door/src/main/java/embershift/door/Words.java
+++ b/door/src/main/java/embershift/door/JsonMessages.java
@@ -15,24 +15,26 @@
 import java.util.Set;
 
 /**
- * What a node and an instance say to each other, as JSON in a piece. A node says {@code here},
- * {@code report}, {@code verdict} and {@code trail}; an instance {@code welcome}, {@code order},
- * {@code kept} and {@code out}. What one does not know it leaves alone.
+ * JSON in frames: messages between nodes and instances, calls and their answers. A receiver ignores
+ * fields that it doesn't know.
  */
-public final class Words {
+public final class JsonMessages {
 
     private static final JsonMapper JSON = new JsonMapper();
 
-    private Words() {}
+    private JsonMessages() {}
 
+    /** Creates an empty object. */
     public static ObjectNode node() {
         return JSON.createObjectNode();
     }
 
+    /** Creates a message of a kind. */
     public static ObjectNode node(String kind) {
         return JSON.createObjectNode().put("kind", kind);
     }
 
+    /** Encodes an object. */
     public static byte[] bytes(ObjectNode node) {
         try {
             return JSON.writeValueAsBytes(node);
@@ -41,32 +43,35 @@
         }
     }
 
-    public static ByteBuffer piece(byte kind, ObjectNode node) {
-        return Frames.piece(kind, bytes(node));
+    /** Encodes an object as the content of a frame. */
+    public static ByteBuffer frame(byte type, ObjectNode node) {
+        return FrameCodec.encode(type, bytes(node));
     }
 
-    /** A piece's JSON behind its first byte. */
-    public static ObjectNode read(byte[] piece) throws Frames.Unreadable {
+    /** Decodes the object that follows a frame's type. */
+    public static ObjectNode read(byte[] frame) throws FrameCodec.MalformedFrameException {
         try {
-            if (JSON.readTree(piece, 1, piece.length - 1) instanceof ObjectNode node) {
-                return node;
+            if (JSON.readTree(frame, 1, frame.length - 1) instanceof ObjectNode object) {
+                return object;
             }
-            throw new Frames.Unreadable("no object");
+            throw new FrameCodec.MalformedFrameException("no object");
         } catch (IOException e) {
-            throw new Frames.Unreadable("no JSON: " + e.getMessage());
+            throw new FrameCodec.MalformedFrameException("no JSON: " + e.getMessage());
         }
     }
 
-    /** Null where this is no JSON object. */
-    public static ObjectNode read(String text) {
+    /** Decodes a text; empty if it is no JSON object. */
+    public static Optional<ObjectNode> parse(String text) {
         try {
-            return JSON.readTree(text) instanceof ObjectNode node ? node : null;
+            return JSON.readTree(text) instanceof ObjectNode object
+                    ? Optional.of(object)
+                    : Optional.empty();
         } catch (JacksonException e) {
-            return null;
+            return Optional.empty();
         }
     }
 
-    /** The texts of an object by their names; null for those that are null. */
+    /** Returns the texts of an object by their names; null for those that are null. */
     public static Map<String, String> texts(JsonNode object) {
         Map<String, String> texts = new LinkedHashMap<>();
         object.properties()
@@ -80,11 +85,12 @@
         return texts;
     }
 
+    /** Writes texts by their names. */
     public static void texts(ObjectNode object, Map<String, String> texts) {
         texts.forEach(object::put);
     }
 
-    /** The values of an object by their names; empty for those that are null. */
+    /** Returns the values of an object by their names; empty for those that are null. */
     public static Map<String, Optional<String>> changes(JsonNode object) {
         Map<String, Optional<String>> changes = new LinkedHashMap<>();
         texts(object).forEach((name, value) -> changes.put(name, Optional.ofNullable(value)));
@@ -96,12 +102,14 @@
         changes.forEach((name, value) -> object.put(name, value.orElse(null)));
     }
 
+    /** Returns the texts of an array, in their order. */
     public static Set<String> list(JsonNode array) {
         Set<String> texts = new LinkedHashSet<>();
         array.forEach(each -> texts.add(each.asText()));
         return texts;
     }
 
+    /** Adds texts to an array. */
     public static void list(ArrayNode array, Collection<String> texts) {
         texts.forEach(array::add);
     }
--- a/door/src/main/java/embershift/door/Main.java
+++ b/door/src/main/java/embershift/door/Main.java
@@ -14,109 +14,115 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The command line of a node with a door. The platform's run starts the node without this. */
+/** The command line of a node with an agent. The platform's run starts the node without one. */
 public final class Main {
 
     private static final int USAGE = 2;
     private static final int CANNOT_START = 4;
 
+    /** Stands for no exit status: the node lives on its loop. */
+    private static final int RUNNING = -1;
+
     private Main() {}
 
-    private static class Given {
+    private static class FileOptions {
         @Parameter(
                 names = "--configuration",
                 description = "The node's file; else the one that LB_CONFIG names")
-        String configuration = System.getenv("LB_CONFIG");
+        String configurationFile = System.getenv("LB_CONFIG");
 
         @Parameter(
                 names = "--door",
                 description = "The file that names the instances",
                 required = true)
-        String door;
+        String settingsFile;
 
-        DoorFile door() throws Toml.Unusable {
-            return DoorFile.read(Path.of(door));
+        AgentSettings settings() throws TomlSettings.InvalidSettingsException {
+            return AgentSettings.read(Path.of(settingsFile));
         }
 
-        NodeConfiguration read() throws Unreadable {
-            if (configuration == null || configuration.isEmpty()) {
+        NodeConfiguration configuration() throws Unreadable {
+            if (configurationFile == null || configurationFile.isEmpty()) {
                 throw new Unreadable(
                         "no configuration: set LB_CONFIG or give --configuration FILE");
             }
             try {
                 return NodeConfiguration.read(
-                        Files.readString(Path.of(configuration), StandardCharsets.UTF_8),
+                        Files.readString(Path.of(configurationFile), StandardCharsets.UTF_8),
                         System.getenv("LB_MANAGEMENT"));
             } catch (IOException | InvalidPathException e) {
                 throw new Unreadable(
-                        "configuration " + configuration + " can't be read: " + e.getMessage());
+                        "configuration " + configurationFile + " can't be read: " + e.getMessage());
             } catch (Unreadable e) {
-                throw new Unreadable("configuration " + configuration + ": " + e.getMessage());
+                throw new Unreadable("configuration " + configurationFile + ": " + e.getMessage());
             }
         }
     }
 
     @Parameters(commandDescription = "Be a node that takes the fleet's orders")
-    private static final class Serve extends Given {}
+    private static final class Serve extends FileOptions {}
 
     @Parameters(commandDescription = "Say whether a node could run by these files")
-    private static final class Check extends Given {}
+    private static final class Check extends FileOptions {}
 
-    /** Of the program, and of each command. */
+    /** The option that the program and each command has. */
     private static final class Help {
         @Parameter(
                 names = {"--help", "-h"},
                 description = "Say what there is",
                 help = true)
-        private boolean wanted;
+        private boolean isWanted;
     }
 
+    /** Runs a command; ends the process where it is done. */
     public static void main(String[] args) {
         int status = run(args);
-        if (status >= 0) {
+        if (status != RUNNING) {
             System.exit(status);
         }
     }
 
-    /** The exit status; negative: the program goes on by itself. */
+    /** Runs a command; returns its exit status, or {@link #RUNNING} where the node goes on. */
     public static int run(String[] args) {
+        try {
+            return runCommand(args);
+        } catch (ParameterException | Unreadable | TomlSettings.InvalidSettingsException e) {
+            System.err.println(e.getMessage().lines().findFirst().orElse(""));
+            return USAGE;
+        } catch (IOException e) {
+            System.err.println("can't start: " + e.getMessage());
+            return CANNOT_START;
+        }
+    }
+
+    private static int runCommand(String[] args)
+            throws IOException, Unreadable, TomlSettings.InvalidSettingsException {
         Serve serve = new Serve();
         Check check = new Check();
         Help help = new Help();
-        JCommander line =
+        JCommander commands =
                 JCommander.newBuilder()
                         .programName("embershift-door")
                         .addObject(help)
                         .addCommand("serve", List.of(serve, help))
                         .addCommand("check", List.of(check, help))
                         .build();
-        try {
-            line.parse(args);
-            if (help.wanted) {
-                (line.getParsedCommand() == null
-                                ? line
-                                : line.getCommands().get(line.getParsedCommand()))
-                        .usage();
-                return 0;
-            } else if ("serve".equals(line.getParsedCommand())) {
-                Service.start(serve::read, new Door(serve.door()));
-                return -1;
-            } else if ("check".equals(line.getParsedCommand())) {
-                System.out.println(
-                        "sound: "
-                                + check.read().name()
-                                + " takes orders of "
-                                + String.join(", ", check.door().instances()));
-                return 0;
-            } else {
-                throw new ParameterException("serve or check is wanted");
-            }
-        } catch (ParameterException | Unreadable | Toml.Unusable e) {
-            System.err.println(e.getMessage().lines().findFirst().orElse(""));
-            return USAGE;
-        } catch (IOException e) {
-            System.err.println("can't start: " + e.getMessage());
-            return CANNOT_START;
+        commands.parse(args);
+        String command = commands.getParsedCommand();
+        if (help.isWanted) {
+            (command == null ? commands : commands.getCommands().get(command)).usage();
+            return 0;
+        } else if ("serve".equals(command)) {
+            Service.start(serve::configuration, new FleetAgent(serve.settings()));
+            return RUNNING;
+        } else if ("check".equals(command)) {
+            System.out.println(
+                    "sound: "
+                            + check.configuration().name()
+                            + " takes orders of "
+                            + String.join(", ", check.settings().instances()));
+            return 0;
         }
+        throw new ParameterException("serve or check is wanted");
     }
 }
--- /dev/null
+++ b/door/src/main/java/embershift/door/OrderExecutor.java
@@ -0,0 +1,123 @@
+package embershift.door;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import embershift.fleet.audit.AuditEntry;
+import embershift.fleet.lease.OrderAdmission;
+import embershift.fleet.rollout.AppliedRevision;
+import embershift.routing.Tally;
+import embershift.transport.Loop;
+import java.util.Locale;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/**
+ * Admits or rejects orders by fencing token and age, has those that are admitted executed, and
+ * answers each with a verdict.
+ */
+final class OrderExecutor {
+
+    private final Loop loop;
+    private final Tally counters;
+    private final OrderAdmission admission;
+    private final FencingTokenReads tokenReads;
+    private final EndpointFeed endpoints;
+    private final RevisionApplier revisions;
+    private final RestartEjections restartEjections;
+    private final AuditUploader auditLog;
+    private final Runnable reportNow;
+
+    OrderExecutor(
+            Loop loop,
+            Tally counters,
+            OrderAdmission admission,
+            FencingTokenReads tokenReads,
+            EndpointFeed endpoints,
+            RevisionApplier revisions,
+            RestartEjections restartEjections,
+            AuditUploader auditLog,
+            Runnable reportNow) {
+        this.loop = loop;
+        this.counters = counters;
+        this.admission = admission;
+        this.tokenReads = tokenReads;
+        this.endpoints = endpoints;
+        this.revisions = revisions;
+        this.restartEjections = restartEjections;
+        this.auditLog = auditLog;
+        this.reportNow = reportNow;
+    }
+
+    /** Executes an order; {@code answer} gets the verdict, once the order is in effect. */
+    void execute(InstanceMessage.Order order, Consumer<ObjectNode> answer) {
+        OrderAdmission.Decision decision =
+                admission.decide(loop.now(), order.task(), order.token(), order.reportClock());
+        ObjectNode verdict = NodeMessages.verdict(order, decision);
+        counters.count("orders " + decision.verdict().wireName().toLowerCase(Locale.ROOT));
+        switch (decision.verdict()) {
+            case ADMITTED -> executeAdmitted(order, verdict, () -> answer.accept(verdict));
+            case TOKEN_UNKNOWN -> {
+                tokenReads.request(order.task());
+                answer.accept(verdict);
+            }
+            default -> {
+                recordRejection(order, decision);
+                answer.accept(verdict);
+            }
+        }
+    }
+
+    private void recordRejection(InstanceMessage.Order order, OrderAdmission.Decision decision) {
+        Map<String, String> fields =
+                Map.of(
+                        "duty", order.task().name(),
+                        "fence", String.valueOf(order.token().number()),
+                        "verdict", decision.verdict().wireName(),
+                        "id", String.valueOf(order.id()));
+        auditLog.append(AuditEntry.Kind.ORDER, fields, decision.reason());
+    }
+
+    private void executeAdmitted(InstanceMessage.Order order, ObjectNode verdict, Runnable answer) {
+        OrderAction action = OrderAction.decode(order);
+        if (action instanceof OrderAction.UpdateEndpoints updated) {
+            verdict.put("end", endpoints.apply(order.token(), updated.update()).wireName());
+            answer.run();
+        } else if (action instanceof OrderAction.ApplyRevision applied) {
+            applyRevision(order, applied.revision(), verdict, answer);
+        } else if (action instanceof OrderAction.EjectHosts ejected) {
+            restartEjections.replace(loop.now(), order.token(), ejected.hosts());
+            // After the round of the policy that takes it.
+            loop.execute(() -> answerAndReport(answer));
+        } else if (action instanceof OrderAction.Unsupported unsupported) {
+            verdict.put("verdict", "REFUSED")
+                    .put("why", "no such order: " + order.task().name() + " " + unsupported.what());
+            answer.run();
+        }
+    }
+
+    private void applyRevision(
+            InstanceMessage.Order order,
+            AppliedRevision.Order revision,
+            ObjectNode verdict,
+            Runnable answer) {
+        AppliedRevision.Result result = revisions.apply(order.token(), revision);
+        verdict.put("end", result.outcome().wireName()).put("why", result.reason());
+        if (result.outcome() != AppliedRevision.Outcome.APPLIED) {
+            answerAndReport(answer);
+            return;
+        }
+        // After the round of the policy that takes it.
+        loop.execute(
+                () -> {
+                    if (revisions.takeEffect(order.token(), revision.number())) {
+                        answerAndReport(answer);
+                    } else {
+                        answer.run();
+                    }
+                });
+    }
+
+    private void answerAndReport(Runnable answer) {
+        answer.run();
+        reportNow.run();
+    }
+}
--- a/door/src/main/java/embershift/door/Toml.java
+++ b/door/src/main/java/embershift/door/TomlSettings.java
@@ -15,52 +15,49 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Comparator;
+import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Operators' files: TOML, checked whole against a schema before anything is done by it. */
-public final class Toml {
+/** Reads operators' files: TOML, validated against a schema before anything is done by it. */
+public final class TomlSettings {
 
-    /** It can't be used. The message is one line: file, key, what was expected. */
-    public static final class Unusable extends Exception {
+    /** A file that can't be used. The message is one line: file, key, what was expected. */
+    public static final class InvalidSettingsException extends Exception {
 
         private static final long serialVersionUID = 1;
 
-        public Unusable(String message) {
+        /** Creates an exception. */
+        public InvalidSettingsException(String message) {
             super(message);
         }
     }
 
-    private Toml() {}
+    private TomlSettings() {}
 
-    public static String text(Path file) throws Unusable {
+    /** Returns the text of a file. */
+    public static String text(Path file) throws InvalidSettingsException {
         try {
             return Files.readString(file, StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new Unusable(file + ": can't be read: " + e.getMessage());
+            throw new InvalidSettingsException(file + ": can't be read: " + e.getMessage());
         }
     }
 
     /**
-     * Reads by the schema that stands beside the type, {@code SCHEMA.schema.json}; {@code usual}
-     * puts in what was left out.
+     * Reads settings by the schema that stands beside their type.
+     *
+     * @param file what messages call the file
+     * @param schema the schema is the resource {@code SCHEMA.schema.json}
+     * @param defaults puts in what was left out, after the validation
      */
     public static <T> T read(
-            String text, String file, String schema, Consumer<ObjectNode> usual, Class<T> type)
-            throws Unusable {
+            String text, String file, String schema, Consumer<ObjectNode> defaults, Class<T> type)
+            throws InvalidSettingsException {
         try (InputStream rules = type.getResourceAsStream(schema + ".schema.json")) {
             JsonNode tree = new TomlMapper().readTree(text);
-            ValidationMessage wrong =
-                    JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
-                            .getSchema(rules)
-                            .validate(tree)
-                            .stream()
-                            .min((one, other) -> one.getMessage().compareTo(other.getMessage()))
-                            .orElse(null);
-            if (wrong != null) {
-                throw new Unusable(
-                        file + ": " + wrong.getMessage().replaceFirst("^\\$[.:]? ?", ""));
-            }
-            usual.accept((ObjectNode) tree);
+            validate(tree, rules, file);
+            defaults.accept((ObjectNode) tree);
             return JsonMapper.builder()
                     .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                     .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -68,14 +65,25 @@
                     .treeToValue(tree, type);
         } catch (JacksonException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
-            throw new Unusable(
-                    file
-                            + ":"
-                            + line
-                            + ": "
-                            + e.getOriginalMessage().lines().findFirst().orElse(""));
+            String reason = e.getOriginalMessage().lines().findFirst().orElse("");
+            throw new InvalidSettingsException(file + ":" + line + ": " + reason);
         } catch (IOException e) {
-            throw new Unusable(file + ": " + e.getMessage());
+            throw new InvalidSettingsException(file + ": " + e.getMessage());
+        }
+    }
+
+    private static void validate(JsonNode tree, InputStream rules, String file)
+            throws InvalidSettingsException {
+        Optional<String> problem =
+                JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
+                        .getSchema(rules)
+                        .validate(tree)
+                        .stream()
+                        .map(ValidationMessage::getMessage)
+                        .min(Comparator.naturalOrder());
+        if (problem.isPresent()) {
+            throw new InvalidSettingsException(
+                    file + ": " + problem.get().replaceFirst("^\\$[.:]? ?", ""));
         }
     }
 
@@ -85,6 +93,7 @@
                 && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= 65_535;
     }
 
+    /** Returns the socket address that HOST:PORT stands for. */
     public static InetSocketAddress socket(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(
--- a/door/src/main/java/embershift/door/package-info.java
+++ b/door/src/main/java/embershift/door/package-info.java
@@ -1,5 +1,5 @@
 /**
- * By which a node takes the fleet's orders and tells what it does. Off unless an operator's file
- * asks for it.
+ * The control plane's agent in a node: takes orders of the control-plane instances and reports what
+ * the node does. Off unless an operator's file asks for it.
  */
 package embershift.door;
--- a/door/src/test/java/embershift/door/DoorFileTest.java
+++ b/door/src/test/java/embershift/door/AgentSettingsTest.java
@@ -7,16 +7,17 @@
 import java.nio.file.Path;
 import org.testng.annotations.Test;
 
-/** What an operator may say of a door, right and wrong. */
-public class DoorFileTest {
+/** What an operator may set for an agent, right and wrong. */
+public class AgentSettingsTest {
 
     private static final String LEAST = "instances = [\"127.0.0.1:7101\"]\n";
 
     @Test
     public void fileThatCannotBeUsedIsRefusedInOneLineThatNamesTheKey() throws Exception {
-        assertEquals(DoorFile.read(LEAST, "x").stale(), DoorFile.Stale.SERVE);
+        assertEquals(AgentSettings.read(LEAST, "x").stalePolicy(), AgentSettings.StalePolicy.SERVE);
         assertEquals(
-                DoorFile.read(LEAST + "stale = \"leave\"\n", "x").stale(), DoorFile.Stale.LEAVE);
+                AgentSettings.read(LEAST + "stale = \"leave\"\n", "x").stalePolicy(),
+                AgentSettings.StalePolicy.LEAVE);
         String[][] wrong = {
             {"more = 1\n", "more"},
             {"report-s = 0\n", "report-s"},
@@ -37,7 +38,10 @@
 
     private static void refused(String text, String key) {
         String message =
-                expectThrows(Toml.Unusable.class, () -> DoorFile.read(text, "x")).getMessage();
+                expectThrows(
+                                TomlSettings.InvalidSettingsException.class,
+                                () -> AgentSettings.read(text, "x"))
+                        .getMessage();
         assertTrue(
                 message.startsWith("x") && message.contains(key) && !message.contains("\n"),
                 message);
@@ -45,6 +49,7 @@
 
     @Test
     public void exampleIsSound() throws Exception {
-        assertEquals(DoorFile.read(Path.of("..", "deploy", "door.toml")).instances().size(), 3);
+        assertEquals(
+                AgentSettings.read(Path.of("..", "deploy", "door.toml")).instances().size(), 3);
     }
 }
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -49,7 +49,7 @@
           "rules":{"must-ask-in-s":9,"drain-grace-s":1,"cold-from":0.3,"warm-after-s":2,"fall-multiple":4,"fall-s":1.5}}}""";
 
     private final GoldenSamples samples = new GoldenSamples();
-    private final Frames frames = new Frames();
+    private final FrameCodec frames = new FrameCodec();
     private final Deque<byte[]> pieces = new ArrayDeque<>();
     private final CompletableFuture<Integer> exit = new CompletableFuture<>();
     private ServerSocket instance;
@@ -68,12 +68,12 @@
         Router router = new Router(loop, configuration, line -> {});
         Path file =
                 Files.writeString(
-                        Files.createTempFile("door", ".toml"),
+                        Files.createTempFile("agent", ".toml"),
                         "instances = [\"127.0.0.1:"
                                 + instance.getLocalPort()
                                 + "\"]\nreport-s = 0.1\n");
-        Door door = new Door(DoorFile.read(file));
-        loop.execute(() -> door.begin(node(configuration, router, new Bans(loop, router, null))));
+        FleetAgent agent = new FleetAgent(AgentSettings.read(file));
+        loop.execute(() -> agent.begin(node(configuration, router, new Bans(loop, router, null))));
         link = instance.accept();
         link.setSoTimeout(PATIENCE_MS);
     }
@@ -140,7 +140,7 @@
     private ObjectNode message(byte pieceKind, String kind) throws Exception {
         while (true) {
             byte[] piece = piece();
-            ObjectNode message = Words.read(piece);
+            ObjectNode message = JsonMessages.read(piece);
             if (message.has("clock")) {
                 clock = message.path("clock").asDouble();
             }
@@ -151,7 +151,8 @@
     }
 
     private void say(byte pieceKind, ObjectNode message) throws IOException {
-        link.getOutputStream().write(Frames.bytes(pieceKind, Words.bytes(message)));
+        link.getOutputStream()
+                .write(FrameCodec.encodeToArray(pieceKind, JsonMessages.bytes(message)));
     }
 
     /** As an instance says it; what differs from run to run is left out. */
@@ -167,7 +168,7 @@
     }
 
     private ObjectNode order(String duty, String what, long fence) {
-        return Words.node("order")
+        return JsonMessages.node("order")
                 .put("id", ++orders)
                 .put("seen", clock)
                 .put("duty", duty)
@@ -179,11 +180,11 @@
     }
 
     private void verdict(String name, ObjectNode order) throws Exception {
-        message(Frames.NODE, "report");
-        say(Frames.ORDER, order.put("seen", order.path("seen").asDouble() == 0 ? 0 : clock));
+        message(FrameCodec.NODE, "report");
+        say(FrameCodec.ORDER, order.put("seen", order.path("seen").asDouble() == 0 ? 0 : clock));
         ObjectNode verdict;
         do {
-            verdict = message(Frames.NODE, "verdict");
+            verdict = message(FrameCodec.NODE, "verdict");
         } while (verdict.path("id").asLong() != order.path("id").asLong());
         samples.text("verdict: " + name, stable(verdict));
     }
@@ -191,10 +192,10 @@
     /** The first order of a duty finds no fence known, and has the node ask for it. */
     private void tellFence(String duty, long fence) throws Exception {
         verdict("fence of " + duty + " not known", order(duty, "nothing", fence));
-        ObjectNode call = message(Frames.CALL, "");
+        ObjectNode call = message(FrameCodec.CALL, "");
         samples.text("call: fence of " + duty, stable(call));
         ObjectNode answer =
-                Words.node()
+                JsonMessages.node()
                         .put("id", call.path("id").asLong())
                         .put("end", "done")
                         .put("revision", 50);
@@ -202,7 +203,7 @@
                 .addObject()
                 .put("key", call.path("key").asText())
                 .put("revision", fence);
-        say(Frames.ANSWER, answer);
+        say(FrameCodec.ANSWER, answer);
     }
 
     private static SortedMap<String, Optional<String>> changes(String... namesAndValues) {
@@ -215,14 +216,14 @@
 
     private ObjectNode whole(ConfigRevision revision) {
         ObjectNode order = order(revision, 0);
-        Words.texts(order.putObject("fields"), revision.fields());
+        JsonMessages.texts(order.putObject("fields"), revision.fields());
         return order;
     }
 
     private ObjectNode revision(
             ConfigRevision revision, long base, Map<String, Optional<String>> changes) {
         ObjectNode order = order(revision, base);
-        Words.changes(order.putObject("fields"), changes);
+        JsonMessages.changes(order.putObject("fields"), changes);
         return order;
     }
 
@@ -251,52 +252,54 @@
 
     @Test
     public void conversationIsAsBefore() throws Exception {
-        samples.text("here", stable(message(Frames.NODE, "here")));
+        samples.text("here", stable(message(FrameCodec.NODE, "here")));
         say(
-                Frames.ORDER,
-                Words.node("welcome")
+                FrameCodec.ORDER,
+                JsonMessages.node("welcome")
                         .put("incarnation", INCARNATION)
                         .put("floor", 0)
                         .put("time", "1.0")
                         .put("at", 1.0));
-        samples.text("report: first", stable(message(Frames.NODE, "report")));
-        ObjectNode trail = message(Frames.NODE, "trail");
+        samples.text("report: first", stable(message(FrameCodec.NODE, "report")));
+        ObjectNode trail = message(FrameCodec.NODE, "trail");
         samples.text("trail: first", stable(trail));
         say(
-                Frames.ORDER,
-                Words.node("kept")
+                FrameCodec.ORDER,
+                JsonMessages.node("kept")
                         .put("number", trail.path("number").asLong())
                         .put("time", "1.0")
                         .put("at", 1.2));
         verdicts();
-        ObjectNode report = message(Frames.NODE, "report");
+        ObjectNode report = message(FrameCodec.NODE, "report");
         samples.text("report: after orders", stable(report));
         say(
-                Frames.ORDER,
-                Words.node("out").put("why", "because").put("time", "1.0").put("at", 9.0));
+                FrameCodec.ORDER,
+                JsonMessages.node("out").put("why", "because").put("time", "1.0").put("at", 9.0));
         assertEquals(exit.get(PATIENCE_MS, TimeUnit.MILLISECONDS).intValue(), 5);
-        samples.text("exit status: shut out and stale", Door.SHUT_OUT + " " + Door.STALE);
+        samples.text(
+                "exit status: shut out and stale", FleetAgent.SHUT_OUT + " " + FleetAgent.STALE);
         for (byte kind :
                 new byte[] {
-                    Frames.HELLO,
-                    Frames.WELCOME,
-                    Frames.NO,
-                    Frames.MESSAGE,
-                    Frames.CALL,
-                    Frames.ANSWER,
-                    Frames.NODE,
-                    Frames.ORDER
+                    FrameCodec.HANDSHAKE,
+                    FrameCodec.HANDSHAKE_ACCEPTED,
+                    FrameCodec.HANDSHAKE_REJECTED,
+                    FrameCodec.MESSAGE,
+                    FrameCodec.CALL,
+                    FrameCodec.ANSWER,
+                    FrameCodec.NODE,
+                    FrameCodec.ORDER
                 }) {
             samples.text(
                     "frame of kind " + kind,
-                    HexFormat.of().formatHex(Frames.piece(kind, new byte[] {1, 2, 3}).array()));
+                    HexFormat.of()
+                            .formatHex(FrameCodec.encode(kind, new byte[] {1, 2, 3}).array()));
         }
         samples.assertMatch(getClass(), "node-messages.txt");
     }
 
     @Test
     public void settingsHaveTheKeysOfBefore() throws Exception {
-        try (InputStream schema = DoorFile.class.getResourceAsStream("door.schema.json")) {
+        try (InputStream schema = AgentSettings.class.getResourceAsStream("door.schema.json")) {
             new GoldenSamples()
                     .text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8))
                     .assertMatch(getClass(), "settings.txt");
--- a/hosted/src/main/java/embershift/hosted/AuditCommand.java
+++ b/hosted/src/main/java/embershift/hosted/AuditCommand.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
 import embershift.fleet.audit.AuditCheckpoint;
 import embershift.fleet.audit.AuditEntry;
 import embershift.fleet.audit.AuditReport;
@@ -115,7 +115,7 @@
             trail.answer().path("items").forEach(item -> texts.add(item.path("value").asText()));
         }
         AuditReport audit = new AuditReport(texts, registered, begins);
-        ObjectNode answer = Words.node();
+        ObjectNode answer = JsonMessages.node();
         ArrayNode rows = answer.putArray("rows");
         if (verify) {
             heads = List.of("PROBLEM");
--- a/hosted/src/main/java/embershift/hosted/Calls.java
+++ b/hosted/src/main/java/embershift/hosted/Calls.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Frames;
-import embershift.door.Toml;
-import embershift.door.Words;
+import embershift.door.FrameCodec;
+import embershift.door.JsonMessages;
+import embershift.door.TomlSettings;
 import embershift.fleet.store.CallResult;
 import embershift.fleet.store.KeyValue;
 import embershift.fleet.store.Mutation;
@@ -35,8 +35,8 @@
 
     /** Answers a call, now or later. */
     static void take(Instance instance, Instance.Entrance entrance, byte[] piece)
-            throws Frames.Unreadable {
-        ObjectNode call = Words.read(piece);
+            throws FrameCodec.MalformedFrameException {
+        ObjectNode call = JsonMessages.read(piece);
         long id = call.path("id").asLong();
         Waiter waiter =
                 (number, answer) -> {
@@ -123,7 +123,7 @@
 
     private static void add(
             Instance instance, Instance.Entrance entrance, Waiter waiter, ObjectNode call) {
-        if (!Toml.isAddress(call.path("address").asText())) {
+        if (!TomlSettings.isAddress(call.path("address").asText())) {
             waiter.hears(
                     0,
                     new CallResult.Rejected(
@@ -166,7 +166,7 @@
     }
 
     private static ObjectNode written(long id, CallResult answer) {
-        ObjectNode node = Words.node().put("id", id);
+        ObjectNode node = JsonMessages.node().put("id", id);
         if (answer instanceof CallResult.Done done) {
             node.put("end", "done").put("number", done.number());
         } else if (answer instanceof CallResult.Found found) {
@@ -213,7 +213,7 @@
         Raft raft = instance.replica().raft();
         String leader = raft.leader().flatMap(raft.membership()::find).map(Member::name).orElse("");
         ObjectNode node =
-                Words.node()
+                JsonMessages.node()
                         .put("id", id)
                         .put("end", "done")
                         .put("name", instance.name())
--- a/hosted/src/main/java/embershift/hosted/Discovery.java
+++ b/hosted/src/main/java/embershift/hosted/Discovery.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
 import embershift.protocol.HttpReply;
 import embershift.protocol.Unreadable;
 import embershift.protocol.WatchSchedule;
@@ -126,7 +126,8 @@
         if (!reply.keptOpen()) {
             hangUp();
         }
-        ObjectNode page = reply.status() == 200 ? Words.read(reply.body()) : null;
+        ObjectNode page =
+                reply.status() == 200 ? JsonMessages.parse(reply.body()).orElse(null) : null;
         if (page == null
                 || !page.path("generation").isNumber()
                 || !page.path("instances").isArray()) {
--- a/hosted/src/main/java/embershift/hosted/FleetCommands.java
+++ b/hosted/src/main/java/embershift/hosted/FleetCommands.java
@@ -6,8 +6,8 @@
 import com.beust.jcommander.Parameters;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Toml;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
+import embershift.door.TomlSettings;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -42,10 +42,10 @@
         List<InetSocketAddress> addresses() {
             List<InetSocketAddress> all = new ArrayList<>();
             for (String each : at.split(",")) {
-                if (!Toml.isAddress(each)) {
+                if (!TomlSettings.isAddress(each)) {
                     throw new ParameterException("--at takes HOST:PORT, not " + each);
                 }
-                all.add(Toml.socket(each));
+                all.add(TomlSettings.socket(each));
             }
             return all;
         }
@@ -70,7 +70,7 @@
             if (json) {
                 System.out.println(
                         outcome.answer() == null
-                                ? Words.node().put("end", outcome.end())
+                                ? JsonMessages.node().put("end", outcome.end())
                                 : outcome.answer().put("end", outcome.end()));
             } else if (outcome.done()) {
                 print(outcome.answer());
@@ -121,7 +121,9 @@
                 if (json) {
                     System.out.println(
                             answer == null
-                                    ? Words.node().put("address", where).put("end", "unknown")
+                                    ? JsonMessages.node()
+                                            .put("address", where)
+                                            .put("end", "unknown")
                                     : answer);
                 } else if (answer == null) {
                     rows.add(List.of(where, "no answer", "", "", "", "", ""));
@@ -163,7 +165,7 @@
             return told(
                     best == null
                             ? new RecordClient.Outcome(
-                                    "refused", Words.node().put("reason", "no-answer"))
+                                    "refused", JsonMessages.node().put("reason", "no-answer"))
                             : new RecordClient.Outcome("done", best));
         }
 
@@ -299,7 +301,7 @@
                 if (status == null) {
                     return told(
                             new RecordClient.Outcome(
-                                    "refused", Words.node().put("reason", "no-answer")));
+                                    "refused", JsonMessages.node().put("reason", "no-answer")));
                 }
                 call.put("from", status.path("revision").asLong() + 1);
             }
@@ -308,7 +310,7 @@
                     new RecordClient.Outcome(
                             answer == null ? "refused" : answer.path("end").asText(),
                             answer == null
-                                    ? Words.node().put("reason", "nothing-changed")
+                                    ? JsonMessages.node().put("reason", "nothing-changed")
                                     : answer));
         }
 
@@ -399,7 +401,7 @@
 
         static RecordClient.Outcome refused(String reason, String text) {
             return new RecordClient.Outcome(
-                    "refused", Words.node().put("reason", reason).put("text", text));
+                    "refused", JsonMessages.node().put("reason", reason).put("text", text));
         }
     }
 
--- a/hosted/src/main/java/embershift/hosted/Greeting.java
+++ b/hosted/src/main/java/embershift/hosted/Greeting.java
@@ -1,6 +1,6 @@
 package embershift.hosted;
 
-import embershift.door.Frames;
+import embershift.door.FrameCodec;
 import embershift.raft.MemberId;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
@@ -58,12 +58,12 @@
     }
 
     /** What a later version says behind the first fields is left unread. */
-    static Greeting read(byte[] piece) throws Frames.Unreadable {
+    static Greeting read(byte[] piece) throws FrameCodec.MalformedFrameException {
         try {
             DataInputStream in =
                     new DataInputStream(new ByteArrayInputStream(piece, 1, piece.length - 1));
             if (in.readInt() != MAGIC) {
-                throw new Frames.Unreadable("no greeting of an instance");
+                throw new FrameCodec.MalformedFrameException("no greeting of an instance");
             }
             return new Greeting(
                     in.readByte(),
@@ -74,7 +74,7 @@
                     new MemberId(in.readLong()),
                     in.readUTF());
         } catch (IOException e) {
-            throw new Frames.Unreadable("a greeting that ends early");
+            throw new FrameCodec.MalformedFrameException("a greeting that ends early");
         }
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Installation.java
+++ b/hosted/src/main/java/embershift/hosted/Installation.java
@@ -1,7 +1,7 @@
 package embershift.hosted;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import embershift.door.Toml;
+import embershift.door.TomlSettings;
 import embershift.fleet.lease.LeaseSettings;
 import embershift.fleet.rollout.RolloutSettings;
 import java.nio.file.Path;
@@ -149,13 +149,14 @@
         ways = ways == null ? Map.of() : Map.copyOf(ways);
     }
 
-    public static Installation read(Path file) throws Toml.Unusable {
-        return read(Toml.text(file), file.toString());
+    public static Installation read(Path file) throws TomlSettings.InvalidSettingsException {
+        return read(TomlSettings.text(file), file.toString());
     }
 
-    static Installation read(String text, String file) throws Toml.Unusable {
+    static Installation read(String text, String file)
+            throws TomlSettings.InvalidSettingsException {
         Installation read =
-                Toml.read(
+                TomlSettings.read(
                         text,
                         file,
                         "installation",
@@ -169,14 +170,14 @@
         return read;
     }
 
-    private void check(String file) throws Toml.Unusable {
+    private void check(String file) throws TomlSettings.InvalidSettingsException {
         try {
             pace.inTicks();
         } catch (IllegalArgumentException e) {
-            throw new Toml.Unusable(file + ": pace: " + e.getMessage());
+            throw new TomlSettings.InvalidSettingsException(file + ": pace: " + e.getMessage());
         }
         if (bounds.waiting < bounds.command) {
-            throw new Toml.Unusable(
+            throw new TomlSettings.InvalidSettingsException(
                     file + ": bounds.waiting-bytes: not under bounds.command-bytes");
         }
         List<String> addresses = new ArrayList<>(ways.values());
@@ -187,8 +188,9 @@
                     .forEach(addresses::add);
         }
         for (String each : addresses) {
-            if (!Toml.isAddress(each)) {
-                throw new Toml.Unusable(file + ": " + each + ": a port is 65535 at the most");
+            if (!TomlSettings.isAddress(each)) {
+                throw new TomlSettings.InvalidSettingsException(
+                        file + ": " + each + ": a port is 65535 at the most");
             }
         }
     }
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -3,9 +3,9 @@
 import static net.logstash.logback.argument.StructuredArguments.kv;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Frames;
-import embershift.door.Toml;
-import embershift.door.Words;
+import embershift.door.FrameCodec;
+import embershift.door.JsonMessages;
+import embershift.door.TomlSettings;
 import embershift.fleet.store.CallResult;
 import embershift.fleet.store.ReplicatedStore;
 import embershift.fleet.store.SnapshotPolicy;
@@ -142,7 +142,7 @@
             Instance instance = new Instance(installation, loop, folder);
             InetSocketAddress address =
                     loop.listen(
-                                    Toml.socket(installation.listen()),
+                                    TomlSettings.socket(installation.listen()),
                                     instance::room,
                                     link -> loop.execute(() -> instance.new Entrance(link)))
                             .address();
@@ -215,7 +215,7 @@
             InetSocketAddress address =
                     member.id().equals(identity.id())
                             ? listens
-                            : Toml.socket(
+                            : TomlSettings.socket(
                                     installation
                                             .ways()
                                             .getOrDefault(member.name(), member.address()));
@@ -318,7 +318,7 @@
         }
         if (member != null) {
             String address = installation.ways().getOrDefault(member.name(), member.address());
-            if (Toml.isAddress(address)) {
+            if (TomlSettings.isAddress(address)) {
                 ways.computeIfAbsent(to, none -> new Way(to)).send(address, message);
             }
         }
@@ -336,7 +336,7 @@
 
         private final MemberId to;
         private Link link;
-        private Frames frames;
+        private FrameCodec frames;
         private boolean welcome;
         private double gap = FIRST_GAP;
         private double notBefore;
@@ -368,7 +368,8 @@
                 waiting = 0;
                 backedUpSince = now;
             }
-            ByteBuffer piece = Frames.piece(Frames.MESSAGE, RaftMessageCodec.encode(message));
+            ByteBuffer piece =
+                    FrameCodec.encode(FrameCodec.MESSAGE, RaftMessageCodec.encode(message));
             waiting += piece.remaining();
             if (waiting > MOST_WAITING) {
                 count("messages dropped for want of room");
@@ -381,12 +382,12 @@
         }
 
         private void dial(String address, double now) {
-            frames = new Frames();
+            frames = new FrameCodec();
             welcome = false;
             waiting = 0;
             backedUpSince = now;
             notBefore = now + gap;
-            link = loop.connect(Toml.socket(address), this);
+            link = loop.connect(TomlSettings.socket(address), this);
             Link dialled = link;
             loop.after(
                     STUCK,
@@ -409,8 +410,8 @@
         @Override
         public void connected() {
             link.write(
-                    Frames.piece(
-                            Frames.HELLO,
+                    FrameCodec.encode(
+                            FrameCodec.HANDSHAKE,
                             Greeting.of(
                                             identity.group(),
                                             identity.id(),
@@ -432,7 +433,7 @@
                 frames.take(
                         bytes,
                         piece -> {
-                            if (piece[0] == Frames.WELCOME) {
+                            if (piece[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
                                 welcome = true;
                                 gap = FIRST_GAP;
                             } else {
@@ -445,7 +446,7 @@
                                 drop(loop.now());
                             }
                         });
-            } catch (Frames.Unreadable e) {
+            } catch (FrameCodec.MalformedFrameException e) {
                 drop(loop.now());
             }
         }
@@ -474,7 +475,7 @@
     final class Entrance implements Link.Events {
         private static final int MOST_MISSED = 20;
         private final Link link;
-        private final Frames frames = new Frames();
+        private final FrameCodec frames = new FrameCodec();
         private MemberId from;
         private String name = "";
         private String address = "";
@@ -493,7 +494,7 @@
             guarded(Instance.this::catchUp);
             try {
                 frames.take(bytes, piece -> guarded(() -> piece(piece)));
-            } catch (Frames.Unreadable e) {
+            } catch (FrameCodec.MalformedFrameException e) {
                 count("connections with unreadable bytes");
                 close();
             }
@@ -505,26 +506,28 @@
             }
             try {
                 switch (piece[0]) {
-                    case Frames.HELLO -> greeted(Greeting.read(piece));
-                    case Frames.MESSAGE -> message(piece);
-                    case Frames.CALL -> Calls.take(Instance.this, this, piece);
-                    case Frames.NODE -> node(Words.read(piece));
-                    default -> throw new Frames.Unreadable("a piece of kind " + piece[0]);
+                    case FrameCodec.HANDSHAKE -> greeted(Greeting.read(piece));
+                    case FrameCodec.MESSAGE -> message(piece);
+                    case FrameCodec.CALL -> Calls.take(Instance.this, this, piece);
+                    case FrameCodec.NODE -> node(JsonMessages.read(piece));
+                    default ->
+                            throw new FrameCodec.MalformedFrameException(
+                                    "a piece of kind " + piece[0]);
                 }
-            } catch (Frames.Unreadable | MalformedBytesException e) {
+            } catch (FrameCodec.MalformedFrameException | MalformedBytesException e) {
                 count("connections with unreadable bytes");
                 close();
             }
         }
 
-        private void node(ObjectNode words) throws Frames.Unreadable {
+        private void node(ObjectNode words) throws FrameCodec.MalformedFrameException {
             if (node == null && words.path("kind").asText().equals("here")) {
                 callers.remove(this);
                 node = duties.nodes().greeted(this, words);
             } else if (node != null) {
                 duties.nodes().heard(node, words);
             } else {
-                throw new Frames.Unreadable("a node that has not said who it is");
+                throw new FrameCodec.MalformedFrameException("a node that has not said who it is");
             }
         }
 
@@ -533,7 +536,7 @@
             if (link.closed()) {
                 return;
             }
-            if (link.backedUp() || !link.write(Words.piece(Frames.ORDER, words))) {
+            if (link.backedUp() || !link.write(JsonMessages.frame(FrameCodec.ORDER, words))) {
                 count("words to nodes dropped");
                 // What it misses it is told again, or it comes again.
                 backedUp++;
@@ -560,7 +563,10 @@
                         kv("name", greeting.name()),
                         kv("id", greeting.from().toString()),
                         kv("why", no));
-                link.write(Frames.piece(Frames.NO, no.getBytes(StandardCharsets.UTF_8)));
+                link.write(
+                        FrameCodec.encode(
+                                FrameCodec.HANDSHAKE_REJECTED,
+                                no.getBytes(StandardCharsets.UTF_8)));
                 callers.remove(this);
                 link.finish();
                 return;
@@ -581,8 +587,8 @@
                 }
             }
             link.write(
-                    Frames.piece(
-                            Frames.WELCOME,
+                    FrameCodec.encode(
+                            FrameCodec.HANDSHAKE_ACCEPTED,
                             Greeting.of(
                                             identity.group(),
                                             identity.id(),
@@ -618,9 +624,9 @@
             return greeting.group() == 0 ? "of no group" : null;
         }
 
-        private void message(byte[] piece) throws Frames.Unreadable {
+        private void message(byte[] piece) throws FrameCodec.MalformedFrameException {
             if (from == null || entrances.get(from) != this) {
-                throw new Frames.Unreadable("a message without a greeting");
+                throw new FrameCodec.MalformedFrameException("a message without a greeting");
             }
             count("messages taken");
             replica.receive(
@@ -631,7 +637,7 @@
 
         void answer(ObjectNode answer) {
             if (!link.closed()) {
-                link.write(Frames.piece(Frames.ANSWER, Words.bytes(answer)));
+                link.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.bytes(answer)));
             }
         }
 
@@ -738,7 +744,7 @@
 
     /** Asks who is at an address, then takes that one in. */
     void add(long call, String address, Member.Role role) {
-        Frames frames = new Frames();
+        FrameCodec frames = new FrameCodec();
         Link[] link = new Link[1];
         Loop.Timer[] timer = new Loop.Timer[1];
         Consumer<String> no =
@@ -750,13 +756,13 @@
         timer[0] = loop.after(2, () -> no.accept("nobody answers at " + address));
         link[0] =
                 loop.connect(
-                        Toml.socket(address),
+                        TomlSettings.socket(address),
                         new Link.Events() {
                             @Override
                             public void connected() {
                                 link[0].write(
-                                        Frames.piece(
-                                                Frames.HELLO,
+                                        FrameCodec.encode(
+                                                FrameCodec.HANDSHAKE,
                                                 Greeting.of(
                                                                 identity.group(),
                                                                 identity.id(),
@@ -779,11 +785,11 @@
                                             piece -> {
                                                 try {
                                                     met(Greeting.read(piece));
-                                                } catch (Frames.Unreadable e) {
+                                                } catch (FrameCodec.MalformedFrameException e) {
                                                     no.accept(e.getMessage());
                                                 }
                                             });
-                                } catch (Frames.Unreadable e) {
+                                } catch (FrameCodec.MalformedFrameException e) {
                                     no.accept(e.getMessage());
                                 }
                             }
--- a/hosted/src/main/java/embershift/hosted/ListsDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ListsDuty.java
@@ -1,8 +1,8 @@
 package embershift.hosted;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Toml;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
+import embershift.door.TomlSettings;
 import embershift.fleet.endpoints.EndpointUpdate;
 import embershift.fleet.endpoints.PublishedEndpoints;
 import embershift.fleet.lease.TaskPlan;
@@ -53,7 +53,7 @@
         discovery =
                 new Discovery(
                         all.loop(),
-                        Toml.socket(all.fleet().discovery()),
+                        TomlSettings.socket(all.fleet().discovery()),
                         (generation, whole, anew) -> {
                             all.counted("discovery answers");
                             if (anew) {
@@ -103,12 +103,12 @@
     private void tell(Nodes.NodeLink link, Told node) {
         EndpointUpdate change = told.updateSince(node.has);
         ObjectNode order =
-                Words.node()
+                JsonMessages.node()
                         .put("number", change.number())
                         .put("base", change.baseNumber())
                         .put("generation", change.generation());
-        Words.texts(order.putObject("changed"), change.changed());
-        Words.list(order.putArray("gone"), change.removed());
+        JsonMessages.texts(order.putObject("changed"), change.changed());
+        JsonMessages.list(order.putArray("gone"), change.removed());
         node.out = true;
         all.counted(change.baseNumber() == 0 ? "lists told whole" : "lists told by difference");
         long incarnation = node.incarnation;
--- a/hosted/src/main/java/embershift/hosted/Main.java
+++ b/hosted/src/main/java/embershift/hosted/Main.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
-import embershift.door.Toml;
+import embershift.door.TomlSettings;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -25,7 +25,7 @@
                 required = true)
         String installation;
 
-        Installation read() throws Toml.Unusable {
+        Installation read() throws TomlSettings.InvalidSettingsException {
             return Installation.read(Path.of(installation));
         }
     }
@@ -98,7 +98,7 @@
                 return 0;
             }
             throw new ParameterException("instance, check or fleet is wanted");
-        } catch (ParameterException | Toml.Unusable e) {
+        } catch (ParameterException | TomlSettings.InvalidSettingsException e) {
             System.err.println(e.getMessage().lines().findFirst().orElse(""));
             return USAGE;
         } catch (IOException e) {
--- a/hosted/src/main/java/embershift/hosted/Nodes.java
+++ b/hosted/src/main/java/embershift/hosted/Nodes.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
 import embershift.fleet.audit.AuditSegment;
 import embershift.fleet.audit.HybridLogicalClock;
 import embershift.fleet.store.KeyValue;
@@ -66,7 +66,7 @@
         private final Instance.Entrance entrance;
         private double clock;
         private double heardAt;
-        private JsonNode report = Words.node();
+        private JsonNode report = JsonMessages.node();
         private boolean welcome;
         private final Map<Long, Waiting> waiting = new HashMap<>();
 
@@ -120,7 +120,7 @@
                     kv("node", name),
                     kv("incarnation", incarnation),
                     kv("why", why));
-            say(Words.node("out").put("why", why));
+            say(JsonMessages.node("out").put("why", why));
             entrance.finish();
             gone(this);
         }
@@ -205,7 +205,7 @@
                 || !boot.matches("[0-9a-f]{1,16}")
                 || here.path("version").asInt() != VERSION) {
             entrance.tell(
-                    Words.node("out")
+                    JsonMessages.node("out")
                             .put(
                                     "why",
                                     "a node has a name of its own, and speaks version " + VERSION));
@@ -276,7 +276,7 @@
         }
         links.put(link.name, link);
         link.welcome = true;
-        link.say(Words.node("welcome").put("incarnation", incarnation));
+        link.say(JsonMessages.node("welcome").put("incarnation", incarnation));
     }
 
     void heard(NodeLink link, ObjectNode words) {
@@ -292,7 +292,7 @@
             case "report" -> {
                 link.clock = words.path("clock").asDouble();
                 link.report = words;
-                link.say(Words.node("heard"));
+                link.say(JsonMessages.node("heard"));
                 listener.reported(link);
             }
             case "verdict" -> {
@@ -325,7 +325,7 @@
                 CALL,
                 outcome -> {
                     if (outcome.done() || outcome.reason().equals("condition")) {
-                        link.say(Words.node("kept").put("number", segment.number()));
+                        link.say(JsonMessages.node("kept").put("number", segment.number()));
                     }
                 });
     }
--- a/hosted/src/main/java/embershift/hosted/OrderCommands.java
+++ b/hosted/src/main/java/embershift/hosted/OrderCommands.java
@@ -5,7 +5,7 @@
 import com.beust.jcommander.Parameters;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
 import embershift.fleet.lease.TaskId;
 import embershift.fleet.restart.RollingRestartPlan;
 import embershift.fleet.rollout.ConfigRevision;
@@ -62,7 +62,7 @@
             if (!outs.done()) {
                 return outs;
             }
-            ObjectNode answer = Words.node();
+            ObjectNode answer = JsonMessages.node();
             Map<String, ObjectNode> rows = new TreeMap<>();
             names.answer()
                     .path("items")
@@ -72,7 +72,7 @@
                                             item.path("key")
                                                     .asText()
                                                     .substring(Nodes.NODE.length()),
-                                            Words.node()
+                                            JsonMessages.node()
                                                     .put(
                                                             "incarnation",
                                                             item.path("revision").asLong())));
@@ -286,7 +286,7 @@
             if (!stage.done()) {
                 return stage;
             }
-            ObjectNode answer = Words.node();
+            ObjectNode answer = JsonMessages.node();
             for (JsonNode item : all.answer().path("items")) {
                 ConfigRevision revision =
                         ConfigRevision.decode(item.path("value").asText()).orElse(null);
@@ -296,7 +296,7 @@
                                     .addObject()
                                     .put("number", revision.number())
                                     .put("chain", revision.chainDigest());
-                    Words.texts(row.putObject("fields"), revision.fields());
+                    JsonMessages.texts(row.putObject("fields"), revision.fields());
                 }
             }
             stage.answer()
--- a/hosted/src/main/java/embershift/hosted/RecordClient.java
+++ b/hosted/src/main/java/embershift/hosted/RecordClient.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Frames;
-import embershift.door.Words;
+import embershift.door.FrameCodec;
+import embershift.door.JsonMessages;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetSocketAddress;
@@ -32,7 +32,7 @@
     private final String name;
     private int at;
     private Socket socket;
-    private Frames frames;
+    private FrameCodec frames;
     private long calls;
     private long session;
     private long number;
@@ -68,7 +68,7 @@
     }
 
     public static ObjectNode call(String name) {
-        return Words.node().put("call", name);
+        return JsonMessages.node().put("call", name);
     }
 
     /**
@@ -98,7 +98,7 @@
                 if (!opened.done()) {
                     return new Outcome(
                             "refused",
-                            Words.node()
+                            JsonMessages.node()
                                     .put("reason", "no-leader")
                                     .put(
                                             "text",
@@ -121,7 +121,7 @@
     private Outcome send(ObjectNode call, long until) {
         boolean mayHaveBeen = false;
         ObjectNode last =
-                Words.node().put("reason", "no-answer").put("text", "no instance answered");
+                JsonMessages.node().put("reason", "no-answer").put("text", "no instance answered");
         while (System.nanoTime() < until) {
             try {
                 ObjectNode answer =
@@ -204,11 +204,12 @@
                 throw new NotSent("nobody is at " + address);
             }
             socket = fresh;
-            frames = new Frames();
+            frames = new FrameCodec();
         }
         long id = ++calls;
         call.put("id", id).put("version", 1);
-        socket.getOutputStream().write(Frames.bytes(Frames.CALL, Words.bytes(call)));
+        socket.getOutputStream()
+                .write(FrameCodec.encodeToArray(FrameCodec.CALL, JsonMessages.bytes(call)));
         InputStream in = socket.getInputStream();
         List<byte[]> pieces = new ArrayList<>();
         byte[] buffer = new byte[16 << 10];
@@ -227,7 +228,7 @@
             }
             try {
                 frames.take(ByteBuffer.wrap(buffer, 0, many), pieces::add);
-            } catch (Frames.Unreadable e) {
+            } catch (FrameCodec.MalformedFrameException e) {
                 throw new IOException(e.getMessage());
             }
         }
@@ -235,8 +236,8 @@
 
     private static ObjectNode answer(byte[] piece) throws IOException {
         try {
-            return Words.read(piece);
-        } catch (Frames.Unreadable e) {
+            return JsonMessages.read(piece);
+        } catch (FrameCodec.MalformedFrameException e) {
             throw new IOException(e.getMessage());
         }
     }
--- a/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
@@ -1,8 +1,8 @@
 package embershift.hosted;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Toml;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
+import embershift.door.TomlSettings;
 import embershift.fleet.lease.FencingToken;
 import embershift.fleet.lease.LeaseHolder;
 import embershift.fleet.lease.TaskId;
@@ -16,6 +16,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.OptionalDouble;
 import java.util.Set;
 import java.util.TreeMap;
@@ -76,11 +77,11 @@
 
     @Override
     void begin() {
-        manager = new Manager(all.loop(), Toml.socket(all.fleet().manager()));
+        manager = new Manager(all.loop(), TomlSettings.socket(all.fleet().manager()));
         discovery =
                 new Discovery(
                         all.loop(),
-                        Toml.socket(all.fleet().discovery()),
+                        TomlSettings.socket(all.fleet().discovery()),
                         (generation, whole, anew) -> {});
         counts.clear();
         toldAt.clear();
@@ -146,12 +147,12 @@
      */
     private void tellOut(double now) {
         for (Nodes.NodeLink link : all.nodes().linked()) {
-            boolean knows = Words.list(link.report().path("out")).equals(out);
+            boolean knows = JsonMessages.list(link.report().path("out")).equals(out);
             double last = toldAt.getOrDefault(link.name, Double.NEGATIVE_INFINITY);
             if (link.report().has("clock") && now - last >= (knows ? 5 * TELL : TELL)) {
                 toldAt.put(link.name, now);
-                ObjectNode order = Words.node();
-                Words.list(order.putArray("hosts"), out);
+                ObjectNode order = JsonMessages.node();
+                JsonMessages.list(order.putArray("hosts"), out);
                 order(
                         link,
                         "out",
@@ -186,16 +187,17 @@
                             : new RollingRestart.NodeView(
                                     now - link.heardAt() < SILENT,
                                     link.report().path("ready").asBoolean(),
-                                    Words.list(link.report().path("out"))));
+                                    JsonMessages.list(link.report().path("out"))));
         }
         return views;
     }
 
     @Override
     public boolean isInService(String host) {
-        String entry = discovery.entries().get(host);
-        ObjectNode read = entry == null ? null : Words.read(entry);
-        return read != null && read.path("lifecycle").asText().equals("in_service");
+        return Optional.ofNullable(discovery.entries().get(host))
+                .flatMap(JsonMessages::parse)
+                .filter(entry -> entry.path("lifecycle").asText().equals("in_service"))
+                .isPresent();
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/RolloutDuty.java
+++ b/hosted/src/main/java/embershift/hosted/RolloutDuty.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
 import embershift.fleet.audit.AuditCheckpoint;
 import embershift.fleet.audit.AuditRetention;
 import embershift.fleet.lease.TaskPlan;
@@ -278,7 +278,7 @@
             return;
         }
         ObjectNode order =
-                Words.node()
+                JsonMessages.node()
                         .put("number", revision.number())
                         .put("base", base)
                         .put("chain", revision.chainDigest())
@@ -292,9 +292,9 @@
                                 .orElse(null);
         if (from == null) {
             order.put("base", 0);
-            Words.texts(order.putObject("fields"), revision.fields());
+            JsonMessages.texts(order.putObject("fields"), revision.fields());
         } else {
-            Words.changes(order.putObject("fields"), revision.differenceFrom(from));
+            JsonMessages.changes(order.putObject("fields"), revision.differenceFrom(from));
         }
         all.counted(from == null ? "revisions told whole" : "revisions told by difference");
         ConfigRollout mine = rollout;
--- a/hosted/src/test/java/embershift/hosted/InputTest.java
+++ b/hosted/src/test/java/embershift/hosted/InputTest.java
@@ -6,8 +6,8 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import embershift.door.Frames;
-import embershift.door.Toml;
+import embershift.door.FrameCodec;
+import embershift.door.TomlSettings;
 import embershift.raft.MemberId;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -36,7 +36,9 @@
         };
         for (String[] each : wrong) {
             String message =
-                    expectThrows(Toml.Unusable.class, () -> Installation.read(LEAST + each[0], "x"))
+                    expectThrows(
+                                    TomlSettings.InvalidSettingsException.class,
+                                    () -> Installation.read(LEAST + each[0], "x"))
                             .getMessage();
             assertTrue(
                     message.startsWith("x:")
@@ -44,21 +46,23 @@
                             && !message.contains("\n"),
                     message);
         }
-        assertThrows(Toml.Unusable.class, () -> Installation.read("name = \"i1\"\n", "x"));
+        assertThrows(
+                TomlSettings.InvalidSettingsException.class,
+                () -> Installation.read("name = \"i1\"\n", "x"));
     }
 
     @Test
     public void piecesArriveInAnySplitAndAChangedOneEndsTheConnection() throws Exception {
         byte[] all = new byte[0];
         for (int i = 0; i < 3; i++) {
-            ByteBuffer piece = Frames.piece(Frames.CALL, new byte[i * 300]);
+            ByteBuffer piece = FrameCodec.encode(FrameCodec.CALL, new byte[i * 300]);
             byte[] longer = Arrays.copyOf(all, all.length + piece.remaining());
             piece.get(longer, all.length, piece.remaining());
             all = longer;
         }
         for (int split = 1; split < 40; split++) {
             List<Integer> lengths = new ArrayList<>();
-            Frames frames = new Frames();
+            FrameCodec frames = new FrameCodec();
             for (int at = 0; at < all.length; at += split) {
                 frames.take(
                         ByteBuffer.wrap(all, at, Math.min(split, all.length - at)),
@@ -72,8 +76,8 @@
             List<Integer> lengths = new ArrayList<>();
             boolean refused = false;
             try {
-                new Frames().take(ByteBuffer.wrap(changed), piece -> lengths.add(piece.length));
-            } catch (Frames.Unreadable e) {
+                new FrameCodec().take(ByteBuffer.wrap(changed), piece -> lengths.add(piece.length));
+            } catch (FrameCodec.MalformedFrameException e) {
                 refused = true;
             }
             // A greater length waits for more; nothing that was changed is ever handed on.
@@ -90,10 +94,13 @@
         assertEquals(Greeting.read(piece), greeting);
         for (int length = 1; length < piece.length; length++) {
             byte[] cut = Arrays.copyOf(piece, length);
-            assertThrows(Frames.Unreadable.class, () -> Greeting.read(cut));
+            assertThrows(FrameCodec.MalformedFrameException.class, () -> Greeting.read(cut));
         }
         assertEquals(Greeting.common(1, 3), 1);
         assertEquals(Greeting.common(2, 3), 0);
-        assertFalse(Toml.isAddress("h:99999") || Toml.isAddress("h") || !Toml.isAddress("h:80"));
+        assertFalse(
+                TomlSettings.isAddress("h:99999")
+                        || TomlSettings.isAddress("h")
+                        || !TomlSettings.isAddress("h:80"));
     }
 }
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -3,8 +3,8 @@
 import static org.testng.Assert.assertEquals;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Frames;
-import embershift.door.Words;
+import embershift.door.FrameCodec;
+import embershift.door.JsonMessages;
 import embershift.raft.MemberId;
 import embershift.raft.Raft;
 import embershift.testing.GoldenSamples;
@@ -45,7 +45,7 @@
     /** A connection to the instance. */
     private static final class Connection implements AutoCloseable {
         private final Socket socket;
-        private final Frames frames = new Frames();
+        private final FrameCodec frames = new FrameCodec();
         private final Deque<byte[]> pieces = new ArrayDeque<>();
         private long calls;
 
@@ -73,8 +73,8 @@
         }
 
         ObjectNode call(ObjectNode call) throws Exception {
-            say(Words.piece(Frames.CALL, call.put("id", ++calls).put("version", 1)));
-            return Words.read(next());
+            say(JsonMessages.frame(FrameCodec.CALL, call.put("id", ++calls).put("version", 1)));
+            return JsonMessages.read(next());
         }
 
         @Override
@@ -239,11 +239,12 @@
             call(samples, connection, "no such call", RecordClient.call("dance"));
             call(samples, connection, "status", RecordClient.call("status"));
             connection.say(
-                    Words.piece(
-                            Frames.CALL,
+                    JsonMessages.frame(
+                            FrameCodec.CALL,
                             RecordClient.call("status").put("id", 7).put("version", 9)));
             samples.text(
-                    "answer: version that is not known", Words.read(connection.next()).toString());
+                    "answer: version that is not known",
+                    JsonMessages.read(connection.next()).toString());
         }
         samples.assertMatch(getClass(), "calls.txt");
     }
@@ -263,8 +264,8 @@
         for (long[] each : new long[][] {{7, 0}, {7, 2}, {0, 0}}) {
             try (Connection connection = new Connection(port)) {
                 connection.say(
-                        Frames.piece(
-                                Frames.HELLO,
+                        FrameCodec.encode(
+                                FrameCodec.HANDSHAKE,
                                 Greeting.of(
                                                 each[0],
                                                 new MemberId(5),
@@ -274,7 +275,7 @@
                                         .bytes()));
                 byte[] piece = connection.next();
                 String said;
-                if (piece[0] == Frames.WELCOME) {
+                if (piece[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
                     Greeting read = Greeting.read(piece);
                     said =
                             read.oldest()
@@ -302,9 +303,9 @@
         GoldenSamples samples = new GoldenSamples();
         try (Connection node = new Connection(port)) {
             node.say(
-                    Words.piece(
-                            Frames.NODE,
-                            Words.node("here")
+                    JsonMessages.frame(
+                            FrameCodec.NODE,
+                            JsonMessages.node("here")
                                     .put("version", 1)
                                     .put("name", "n1")
                                     .put("boot", "ab12")
@@ -313,13 +314,13 @@
             byte[] piece = node.next();
             samples.text(
                     "welcome, of kind " + piece[0],
-                    stable(Words.read(piece).toString())
+                    stable(JsonMessages.read(piece).toString())
                             .replaceAll("\"incarnation\":\\d+", "\"incarnation\":N"));
             node.say(
-                    Words.piece(
-                            Frames.NODE,
-                            Words.node("report").put("clock", 4.5).put("revision", 0)));
-            samples.text("heard", stable(Words.read(node.next()).toString()));
+                    JsonMessages.frame(
+                            FrameCodec.NODE,
+                            JsonMessages.node("report").put("clock", 4.5).put("revision", 0)));
+            samples.text("heard", stable(JsonMessages.read(node.next()).toString()));
             try (Connection caller = new Connection(port)) {
                 long incarnation =
                         caller.call(RecordClient.call("get").put("key", "node/n1"))
@@ -337,18 +338,19 @@
                         RecordClient.put("out/n1", incarnation + " by-hand because of it", -1), 5);
                 client.close();
             }
-            samples.text("out", stable(Words.read(node.next()).toString()));
+            samples.text("out", stable(JsonMessages.read(node.next()).toString()));
             assertEquals(node.next(), null);
         }
         try (Connection node = new Connection(port)) {
             node.say(
-                    Words.piece(
-                            Frames.NODE,
-                            Words.node("here")
+                    JsonMessages.frame(
+                            FrameCodec.NODE,
+                            JsonMessages.node("here")
                                     .put("version", 2)
                                     .put("name", "n2")
                                     .put("boot", "ab12")));
-            samples.text("out, of another version", stable(Words.read(node.next()).toString()));
+            samples.text(
+                    "out, of another version", stable(JsonMessages.read(node.next()).toString()));
         }
         samples.assertMatch(getClass(), "nodes.txt");
     }
--- a/rig/src/main/java/embershift/rig/Main.java
+++ b/rig/src/main/java/embershift/rig/Main.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
-import embershift.door.Toml;
+import embershift.door.TomlSettings;
 import embershift.rig.process.FirstDiscovery;
 import embershift.rig.process.FleetMeasure;
 import embershift.rig.process.FleetPlay;
@@ -269,7 +269,7 @@
                     System.err.println(end.why());
                 }
                 return end.whole() ? 0 : BROKEN;
-            } catch (Toml.Unusable e) {
+            } catch (TomlSettings.InvalidSettingsException e) {
                 throw new ParameterException(e.getMessage());
             }
         }
--- a/rig/src/main/java/embershift/rig/scale/HollowNodes.java
+++ b/rig/src/main/java/embershift/rig/scale/HollowNodes.java
@@ -1,8 +1,8 @@
 package embershift.rig.scale;
 
-import embershift.door.Door;
-import embershift.door.DoorFile;
-import embershift.door.Toml;
+import embershift.door.AgentSettings;
+import embershift.door.FleetAgent;
+import embershift.door.TomlSettings;
 import embershift.operations.Bans;
 import embershift.program.Companion;
 import embershift.protocol.NodeConfiguration;
@@ -79,9 +79,16 @@
                     startEvery * i,
                     () -> {
                         try {
-                            begin(loop, name, discoveryPort, new Door(DoorFile.read(doorFile)));
+                            begin(
+                                    loop,
+                                    name,
+                                    discoveryPort,
+                                    new FleetAgent(AgentSettings.read(doorFile)));
                             each.complete(null);
-                        } catch (IOException | Unreadable | Toml.Unusable | RuntimeException e) {
+                        } catch (IOException
+                                | Unreadable
+                                | TomlSettings.InvalidSettingsException
+                                | RuntimeException e) {
                             each.completeExceptionally(e);
                         }
                     });
@@ -93,7 +100,7 @@
         }
     }
 
-    private void begin(Loop loop, String name, int discoveryPort, Door door)
+    private void begin(Loop loop, String name, int discoveryPort, FleetAgent agent)
             throws IOException, Unreadable {
         // As FleetSite has it for nodes that are processes, so that both can be compared.
         NodeConfiguration configuration =
@@ -108,7 +115,7 @@
                         null);
         Router router = new Router(loop, configuration, line -> {});
         Bans bans = new Bans(loop, router, null);
-        door.begin(
+        agent.begin(
                 new Companion.Node() {
                     @Override
                     public Loop loop() {
--- a/rig/src/main/java/embershift/rig/scale/ListCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/ListCosts.java
@@ -1,7 +1,7 @@
 package embershift.rig.scale;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Words;
+import embershift.door.JsonMessages;
 import embershift.fleet.endpoints.EndpointUpdate;
 import embershift.fleet.endpoints.PublishedEndpoints;
 import embershift.protocol.RosterPage;
@@ -76,13 +76,13 @@
 
     private static byte[] order(EndpointUpdate change) {
         ObjectNode order =
-                Words.node()
+                JsonMessages.node()
                         .put("number", change.number())
                         .put("base", change.baseNumber())
                         .put("generation", change.generation());
-        Words.texts(order.putObject("changed"), change.changed());
-        Words.list(order.putArray("gone"), change.removed());
-        return Words.bytes(order);
+        JsonMessages.texts(order.putObject("changed"), change.changed());
+        JsonMessages.list(order.putArray("gone"), change.removed());
+        return JsonMessages.bytes(order);
     }
 
     static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress)
--- a/rig/src/main/java/embershift/rig/scale/Scale.java
+++ b/rig/src/main/java/embershift/rig/scale/Scale.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.door.Toml;
+import embershift.door.TomlSettings;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.nio.charset.StandardCharsets;
@@ -34,7 +34,8 @@
      * {@code report}: where a page with plots is written, or null. What was measured before a bound
      * or a fault ended the run is told all the same.
      */
-    public static End run(Path path, boolean json, Path report) throws IOException, Toml.Unusable {
+    public static End run(Path path, boolean json, Path report)
+            throws IOException, TomlSettings.InvalidSettingsException {
         ScaleFile file = ScaleFile.read(path);
         Consumer<String> progress = line -> System.err.println(line);
         List<Curve> curves = new ArrayList<>();
--- a/rig/src/main/java/embershift/rig/scale/ScaleFile.java
+++ b/rig/src/main/java/embershift/rig/scale/ScaleFile.java
@@ -1,7 +1,7 @@
 package embershift.rig.scale;
 
 import com.fasterxml.jackson.annotation.JsonProperty;
-import embershift.door.Toml;
+import embershift.door.TomlSettings;
 import java.nio.file.Path;
 import java.util.List;
 
@@ -91,12 +91,12 @@
         }
     }
 
-    public static ScaleFile read(Path file) throws Toml.Unusable {
-        return read(Toml.text(file), file.toString());
+    public static ScaleFile read(Path file) throws TomlSettings.InvalidSettingsException {
+        return read(TomlSettings.text(file), file.toString());
     }
 
-    static ScaleFile read(String text, String file) throws Toml.Unusable {
-        ScaleFile read = Toml.read(text, file, "scale", tree -> {}, ScaleFile.class);
+    static ScaleFile read(String text, String file) throws TomlSettings.InvalidSettingsException {
+        ScaleFile read = TomlSettings.read(text, file, "scale", tree -> {}, ScaleFile.class);
         if (read.module == null
                 && read.words == null
                 && read.groups == null
@@ -105,7 +105,7 @@
                 && read.rollout == null
                 && read.trails == null
                 && read.hollow == null) {
-            throw new Toml.Unusable(
+            throw new TomlSettings.InvalidSettingsException(
                     file
                             + ": nothing is to be measured: a part of module, words, groups, record, lists, rollout, "
                             + "trails or hollow is wanted");
@@ -113,7 +113,7 @@
         if (read.hollow != null
                 && read.hollow.real
                 && read.hollow.nodes.stream().anyMatch(many -> many > ResourceLimits.REAL_NODES)) {
-            throw new Toml.Unusable(
+            throw new TomlSettings.InvalidSettingsException(
                     file
                             + ": hollow.nodes: "
                             + ResourceLimits.REAL_NODES
--- a/rig/src/main/java/embershift/rig/scale/TrailCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/TrailCosts.java
@@ -23,7 +23,7 @@
 
     private static final int SEGMENTS = 4;
 
-    /** Seconds between two counts of a busy node, as {@code Door} enters them. */
+    /** Seconds between two counts of a busy node, as {@code SessionCounter} records them. */
     private static final double COUNTS = 15;
 
     /** Changes of configuration a day, of the size planned for. */
--- a/rig/src/test/java/embershift/rig/ScaleTest.java
+++ b/rig/src/test/java/embershift/rig/ScaleTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.expectThrows;
 
-import embershift.door.Toml;
+import embershift.door.TomlSettings;
 import embershift.rig.scale.Scale;
 import embershift.rig.scale.ScalingGuard;
 import java.io.IOException;
@@ -100,7 +100,9 @@
         Path file = Files.createTempFile("scale", ".toml");
         try {
             Files.writeString(file, text);
-            return expectThrows(Toml.Unusable.class, () -> Scale.run(file, false, null))
+            return expectThrows(
+                            TomlSettings.InvalidSettingsException.class,
+                            () -> Scale.run(file, false, null))
                     .getMessage()
                     .replace(file.toString(), "FILE");
         } finally {
