--- a/door/src/main/java/embershift/door/AuditUploader.java
+++ b/door/src/main/java/embershift/door/AuditUploader.java
@@ -4,6 +4,7 @@
 import embershift.fleet.audit.AuditLog;
 import embershift.fleet.audit.AuditSegment;
 import embershift.fleet.audit.HybridLogicalClock;
+import embershift.fleet.lease.OrderAdmission;
 import embershift.transport.Loop;
 import java.util.List;
 import java.util.Map;
@@ -11,7 +12,7 @@
 
 /**
  * The node's audit log and its way into the store: one segment at a time, to one instance, again to
- * the next one while nobody acknowledges it.
+ * the next one while nobody acknowledges it. Nothing is sent by a node that is shut out.
  */
 final class AuditUploader {
 
@@ -20,19 +21,21 @@
     private final Loop loop;
     private final AuditLog log;
     private final Registration registration;
+    private final OrderAdmission admission;
     private final List<InstanceConnection> connections;
     private double sentAt = Double.NEGATIVE_INFINITY;
     private int receiver;
-    private boolean isStopped;
 
     AuditUploader(
             Loop loop,
             AuditLog log,
             Registration registration,
+            OrderAdmission admission,
             List<InstanceConnection> connections) {
         this.loop = loop;
         this.log = log;
         this.registration = registration;
+        this.admission = admission;
         this.connections = connections;
     }
 
@@ -49,11 +52,6 @@
         return log.clock();
     }
 
-    /** Uploads nothing more: the node is shut out. */
-    void stop() {
-        isStopped = true;
-    }
-
     /** Sends the oldest segment to the next instance, if none was sent lately. */
     void tick(double now) {
         if (now - sentAt >= RETRY_SECONDS) {
@@ -73,7 +71,7 @@
     }
 
     private void sendFrom(int first) {
-        if (!registration.isRegistered() || isStopped) {
+        if (!registration.isRegistered() || admission.shutOutReason().isPresent()) {
             return;
         }
         Optional<AuditSegment> segment =
--- a/door/src/main/java/embershift/door/RunningAgent.java
+++ b/door/src/main/java/embershift/door/RunningAgent.java
@@ -60,6 +60,7 @@
                         node.loop(),
                         new AuditLog(settings.maxPendingEntries()),
                         registration,
+                        admission,
                         connections);
         sessions = new SessionCounter(node.router(), revision, auditLog, startedAt);
         endpoints = new EndpointFeed(node, settings, auditLog, random);
@@ -220,7 +221,6 @@
             return;
         }
         admission.shutOut(reason);
-        auditLog.stop();
         node.log("shut out: " + reason);
         auditLog.append(AuditEntry.Kind.OUT, Map.of(), reason);
         node.end(FleetAgent.SHUT_OUT);
--- a/fleet/src/main/java/embershift/fleet/store/CallResult.java
+++ b/fleet/src/main/java/embershift/fleet/store/CallResult.java
@@ -33,6 +33,14 @@
      */
     record Changed(List<WatchEvent> events, long nextRevision) implements CallResult {}
 
+    /** Returns the result of a call whose command was executed. */
+    static CallResult of(CommandResult result) {
+        if (result instanceof CommandResult.Rejected rejected) {
+            return new Rejected(Reason.of(rejected.reason()), rejected.message());
+        }
+        return new Done(((CommandResult.Done) result).number());
+    }
+
     /** Why a call was rejected. */
     enum Reason {
         /** Another member leads, or none is known to. */
--- a/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
+++ b/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
@@ -232,11 +232,7 @@
         if (isLeader()) {
             renewSessionOf(command, result);
         }
-        if (result instanceof CommandResult.Rejected rejected) {
-            return new CallResult.Rejected(
-                    CallResult.Reason.of(rejected.reason()), rejected.message());
-        }
-        return new CallResult.Done(((CommandResult.Done) result).number());
+        return CallResult.of(result);
     }
 
     private void renewSessionOf(StoreCommand command, CommandResult result) {
--- a/hosted/src/main/java/embershift/hosted/Duty.java
+++ b/hosted/src/main/java/embershift/hosted/Duty.java
@@ -16,7 +16,6 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
-import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -204,34 +203,18 @@
     @Override
     public final void renewSession(SessionId session, double asked) {
         all.words()
-                .ask(
-                        RecordClient.call("renew").put("session", session.number()),
+                .renewSession(
+                        session,
                         CALL,
-                        outcome -> {
-                            if (outcome.done()) {
-                                owner.sessionRenewed(now(), asked);
-                            } else if (outcome.reason().equals("no-session")) {
-                                owner.sessionEnded(now());
-                            }
-                        });
+                        () -> owner.sessionRenewed(now(), asked),
+                        () -> owner.sessionEnded(now()));
     }
 
     @Override
     public final void readProgress(TaskId duty) {
         all.words()
-                .ask(
-                        RecordClient.call("get").put("key", duty.progressKey()),
-                        CALL,
-                        outcome -> {
-                            if (outcome.done()) {
-                                var item = outcome.answer().path("items").path(0);
-                                owner.progressRead(
-                                        now(),
-                                        item.isMissingNode()
-                                                ? Optional.empty()
-                                                : Optional.of(item.path("value").asText()));
-                            }
-                        });
+                .readValue(
+                        duty.progressKey(), CALL, progress -> owner.progressRead(now(), progress));
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/RecordCaller.java
+++ b/hosted/src/main/java/embershift/hosted/RecordCaller.java
@@ -1,13 +1,16 @@
 package embershift.hosted;
 
+import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.fleet.store.CallResult;
 import embershift.fleet.store.Mutation;
 import embershift.fleet.store.Precondition;
+import embershift.fleet.store.SessionId;
 import embershift.fleet.store.StoreCommand;
 import java.net.InetSocketAddress;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Executor;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -65,6 +68,37 @@
                                                         reason(outcome.reason()), outcome.text())));
     }
 
+    /** Renews a session; neither is run where no answer comes, or another one. */
+    public void renewSession(
+            SessionId session, double withinSeconds, Runnable renewed, Runnable ended) {
+        ask(
+                RecordClient.call("renew").put("session", session.number()),
+                withinSeconds,
+                outcome -> {
+                    if (outcome.done()) {
+                        renewed.run();
+                    } else if (outcome.reason().equals("no-session")) {
+                        ended.run();
+                    }
+                });
+    }
+
+    /** Reads a key's value, empty where it has none; nothing is heard where no answer comes. */
+    public void readValue(String key, double withinSeconds, Consumer<Optional<String>> heard) {
+        ask(
+                RecordClient.call("get").put("key", key),
+                withinSeconds,
+                outcome -> {
+                    if (outcome.done()) {
+                        JsonNode item = outcome.answer().path("items").path(0);
+                        heard.accept(
+                                item.isMissingNode()
+                                        ? Optional.empty()
+                                        : Optional.of(item.path("value").asText()));
+                    }
+                });
+    }
+
     private static CallResult.Reason reason(String written) {
         for (CallResult.Reason reason : CallResult.Reason.values()) {
             if (reason.wireName().equals(written)) {
--- a/rig/src/main/java/embershift/rig/process/OwnerStand.java
+++ b/rig/src/main/java/embershift/rig/process/OwnerStand.java
@@ -8,7 +8,6 @@
 import embershift.fleet.store.SessionId;
 import embershift.fleet.store.StoreCommand;
 import embershift.hosted.RecordCaller;
-import embershift.hosted.RecordClient;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -16,7 +15,6 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import java.util.Optional;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -97,33 +95,16 @@
 
     @Override
     public void renewSession(SessionId session, double asked) {
-        words.ask(
-                RecordClient.call("renew").put("session", session.number()),
+        words.renewSession(
+                session,
                 CALL,
-                outcome -> {
-                    if (outcome.done()) {
-                        owner.sessionRenewed(now(), asked);
-                    } else if (outcome.reason().equals("no-session")) {
-                        owner.sessionEnded(now());
-                    }
-                });
+                () -> owner.sessionRenewed(now(), asked),
+                () -> owner.sessionEnded(now()));
     }
 
     @Override
     public void readProgress(TaskId duty) {
-        words.ask(
-                RecordClient.call("get").put("key", duty.progressKey()),
-                CALL,
-                outcome -> {
-                    if (outcome.done()) {
-                        var item = outcome.answer().path("items").path(0);
-                        owner.progressRead(
-                                now(),
-                                item.isMissingNode()
-                                        ? Optional.empty()
-                                        : Optional.of(item.path("value").asText()));
-                    }
-                });
+        words.readValue(duty.progressKey(), CALL, progress -> owner.progressRead(now(), progress));
     }
 
     @Override
--- a/rig/src/main/java/embershift/rig/world/DutyWorld.java
+++ b/rig/src/main/java/embershift/rig/world/DutyWorld.java
@@ -91,7 +91,7 @@
                                         renew(change.session());
                                     }
                                     if (!lost()) {
-                                        time.in(late(), () -> answer.accept(callResult(result)));
+                                        time.in(late(), () -> answer.accept(CallResult.of(result)));
                                     }
                                 }));
     }
@@ -104,14 +104,6 @@
         }
     }
 
-    private static CallResult callResult(CommandResult result) {
-        if (result instanceof CommandResult.Rejected rejected) {
-            return new CallResult.Rejected(
-                    CallResult.Reason.valueOf(rejected.reason().name()), rejected.message());
-        }
-        return new CallResult.Done(((CommandResult.Done) result).number());
-    }
-
     private void renew(SessionId session) {
         record.sessionTimeout(session)
                 .ifPresent(seconds -> ends.put(session, time.now() + seconds));
