--- a/core/src/main/java/embershift/policy/Allowance.java
+++ b/core/src/main/java/embershift/policy/Allowance.java
@@ -3,13 +3,16 @@
 import embershift.model.Deployment.Budget;
 
 /**
- * Guards the budget of setups beyond each tunnel's first (rule 5), in every window that ends at such a setup.
- * Buckets that straddle the window's edge count against the node: their further setups whole, their tunnels
- * taken not at all.
+ * Guards the budget of setups beyond each tunnel's first (rule 5), in every window that ends at
+ * such a setup. Buckets that straddle the window's edge count against the node: their further
+ * setups whole, their tunnels taken not at all.
  */
 final class Allowance {
 
-    /** Buckets in a window: each one counted against the node costs this part of what its tunnels give. */
+    /**
+     * Buckets in a window: each one counted against the node costs this part of what its tunnels
+     * give.
+     */
     private static final int BUCKETS = 32;
 
     private final Budget budget;
@@ -29,7 +32,9 @@
         taken.add(now, 0, 1);
     }
 
-    /** A further setup goes out: no end of it, nor one that says it was never sent, gives it back. */
+    /**
+     * A further setup goes out: no end of it, nor one that says it was never sent, gives it back.
+     */
     void spent(double now) {
         further.add(now, 0, 1);
     }
--- a/core/src/main/java/embershift/policy/Lateness.java
+++ b/core/src/main/java/embershift/policy/Lateness.java
@@ -1,18 +1,24 @@
 package embershift.policy;
 
 /**
- * Whether a host's messages come too late for this node, as its own tunnels there tell. That is true where a
- * report is not: a host that reports too little, or one that is well but behind a slow or lossy way. One
- * message that is a little late is a pause.
+ * Whether a host's messages come too late for this node, as its own tunnels there tell. That is
+ * true where a report is not: a host that reports too little, or one that is well but behind a slow
+ * or lossy way. One message that is a little late is a pause.
  */
 final class Lateness {
 
     /** Periods in which the next note comes while messages stay late. */
     private static final double GAP = 1.5;
+
     /** Periods for which messages must have been late. */
     private static final double LEAST = 0.9;
-    /** Periods for which a host counts as late after its last note; up to four times as long by turns. */
+
+    /**
+     * Periods for which a host counts as late after its last note; up to four times as long by
+     * turns.
+     */
     private static final double KEPT = 4;
+
     /** Such times after which earlier turns are forgotten. */
     private static final double FORGOTTEN = 4;
 
@@ -28,8 +34,8 @@
     }
 
     /**
-     * A message took this long, where {@code goal} is the shortest that any profile has; over {@code sure} it
-     * is no pause, but late at once.
+     * A message took this long, where {@code goal} is the shortest that any profile has; over
+     * {@code sure} it is no pause, but late at once.
      */
     void note(double now, double delay, double goal, double sure) {
         boolean late = delay > goal;
--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -1,7 +1,7 @@
 package embershift.policy;
 
-import embershift.model.DeclineReason;
 import embershift.model.Decisions;
+import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Profile;
@@ -10,13 +10,12 @@
 import embershift.model.HostId;
 import embershift.model.Listing;
 import embershift.model.News;
+import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
 import embershift.model.SetupEnd;
 import embershift.model.SubjectId;
-import embershift.model.ParticipantId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -30,86 +29,142 @@
 
 /**
  * Every decision of one embershift node. Make one from the node's {@link Deployment}, then call
- * {@link #round} whenever there is news or a wake-up asked for has come: it takes the news as calls of
- * {@link News}, in order, and writes what is to be done into {@link Decisions}. Both interfaces are in
- * embershift.model. The mechanism, a weighted draw over the hosts' reported load, and each departure
- * from it are told in docs/design.md.
+ * {@link #round} whenever there is news or a wake-up asked for has come: it takes the news as calls
+ * of {@link News}, in order, and writes what is to be done into {@link Decisions}. Both interfaces
+ * are in embershift.model. The mechanism, a weighted draw over the hosts' reported load, and each
+ * departure from it are told in docs/design.md.
  */
 public final class Policy implements News {
 
     /** Seconds between two probes of a host, where tunnels arrive often enough to be worth it. */
     private static final double PERIOD = 1.0;
+
     /** Periods for which a host's figure can be placed by without asking the host again. */
     private static final double FRESH = 1.2;
+
     /** Periods after which a figure tells nothing any more. */
     private static final double KEPT = 4;
+
     /** Hosts whose figures together tell of the fleet. */
     private static final int FEW = 4;
-    /** Probes that a placed tunnel is worth; where they can't keep all figures fresh, hosts are asked. */
+
+    /**
+     * Probes that a placed tunnel is worth; where they can't keep all figures fresh, hosts are
+     * asked.
+     */
     private static final double PROBES_EACH = 5;
+
     /** Hosts asked for one tunnel, and the part of its setup goal that an answer may take. */
     private static final int ASKS = 4;
+
     private static final double ASK_PATIENCE = 0.25;
-    /** What a node's own placement stands for at the most, with those that other nodes make meanwhile. */
+
+    /**
+     * What a node's own placement stands for at the most, with those that other nodes make
+     * meanwhile.
+     */
     private static final int OTHERS = 5;
+
     private static final double SPAN = 256;
+
     /** Load over capacity up to which a host that holds the tunnel's group counts as active. */
     private static final double ROOMY = 0.6;
+
     /** Hosts drawn for a group before its tunnel is placed like any other. */
     private static final int GROUP_DRAWS = 2;
+
     /** Mean load over capacity below which a group's cost matters less than a crossing. */
     private static final double IDLE = 0.35;
+
     /** Mean load over capacity from which tunnels go to their groups' hosts or nowhere. */
     private static final double BUSY = 0.7;
+
     /** Load over capacity from which a host's messages come too late, so that it loses tunnels. */
     private static final double SINKING = 0.9;
+
     /** Load over capacity from which a host takes no more: past it all its tunnels fare badly. */
     private static final double BRIMFUL = 0.8;
-    /** Load over capacity past which a host's figure tells of its own trouble, and nothing of the fleet. */
+
+    /**
+     * Load over capacity past which a host's figure tells of its own trouble, and nothing of the
+     * fleet.
+     */
     private static final double OVERWHELMED = 2;
-    /** How often a period's room may be given away: some tunnels end, and some hosts' room is not found. */
+
+    /**
+     * How often a period's room may be given away: some tunnels end, and some hosts' room is not
+     * found.
+     */
     private static final double ROOM_PROMISED = 2;
+
     /** Periods over which the tunnels of a draining host are moved. */
     private static final double DRAIN = 1.5;
+
     /** Periods between two moves off a host. */
     private static final double MOVE_PAUSE = 2;
+
     /** A host is active while its load is no more than this multiple of the mean. */
     private static final double LEVEL_SLACK = 1.05;
+
     /** The same for hosts that hold the tunnel's group: elsewhere it would cost more. */
     private static final double HOLDER_SLACK = 1.15;
-    /** How much longer than its goal, or the recent mean, a setup may take before it is tried elsewhere. */
+
+    /**
+     * How much longer than its goal, or the recent mean, a setup may take before it is tried
+     * elsewhere.
+     */
     private static final double SLOW_SETUP = 3;
+
     /** A setup that has little time left, against its goal, is not worth sending. */
     private static final double LEAST_OF_GOAL = 0.1;
-    /** Periods for which a host that has just failed weighs zero; doubled at each failure that follows. */
+
+    /**
+     * Periods for which a host that has just failed weighs zero; doubled at each failure that
+     * follows.
+     */
     private static final double SHUN = 4;
+
     /** Hosts at most that a node which declines tunnels asks in a period. */
     private static final double LOOKS = 5;
-    /** Seconds between calls at the roster: its news count as told after six, and an answer may take two. */
+
+    /**
+     * Seconds between calls at the roster: its news count as told after six, and an answer may take
+     * two.
+     */
     private static final double CALL_AGAIN = 3.8;
+
     /** Part of a late host's tunnels that are moved at a time. */
     private static final double LATE_SHARE = 0.5;
 
     private final Deployment deployment;
     private final Map<ProfileId, Profile> profiles = new HashMap<>();
     private final Map<HostId, Host> hosts = new HashMap<>();
+
     /** The hosts by name: the one order of every loop. */
     private final List<Host> roll = new ArrayList<>();
+
     private final Map<TunnelId, Tunnel> table = new LinkedHashMap<>();
     private final Partings partings;
     private final Holders holders = new Holders();
+
     /** The hosts by a number of their own: what a group's numbers fall on, alike at all nodes. */
     private final Seats seats = new Seats();
+
     private final Ring arrived = new Ring(8, PERIOD);
     private final Allowance allowance;
     private double startedAt;
+
     /** Whether it was told of tunnels that stood before. */
     private boolean stood;
+
     private final Ring placed = new Ring(8, PERIOD);
+
     /** The part of arriving tunnels that the fleet has room for. */
     private double admitted = 1;
+
     /** Tunnels for which a host has been asked for its figures. */
     private List<Tunnel> asking = new ArrayList<>();
+
     private double nextLook = Double.NEGATIVE_INFINITY;
     private boolean surveyed;
     private double mean;
@@ -117,8 +172,10 @@
     private int counted;
     private boolean fewHeard;
     private boolean nearTake;
+
     /** Whether most hosts look bad: then it is the view that is bad. */
     private boolean doubtful;
+
     private boolean noneAnswers;
     private boolean noneTimely;
     private double shortestMessage = Double.POSITIVE_INFINITY;
@@ -128,11 +185,18 @@
     private double warmHostCanTake;
     private final Deque<Tunnel> waiting = new ArrayDeque<>();
     private final Pace pace = new Pace(PERIOD);
-    /** What a tunnel adds to a host's load figure in the mean: an empty host can't tell it by its own. */
+
+    /**
+     * What a tunnel adds to a host's load figure in the mean: an empty host can't tell it by its
+     * own.
+     */
     private double usualLoadOfOne;
+
     private double usualLoad;
+
     /** Tunnels placed so far, less those that ended on hosts that still stand. */
     private int grown;
+
     private final Filling filling;
     private final Departures departures = new Departures();
     private final Farewell farewell = new Farewell(departures, PERIOD);
@@ -167,7 +231,8 @@
         surveyed = false;
         startedAt = first ? now : startedAt;
         if (now >= wokenAt - PERIOD / 1000) {
-            // A clock of whole steps may wake the node a step early: without a new wake-up it would sleep
+            // A clock of whole steps may wake the node a step early: without a new wake-up it would
+            // sleep
             // past its tunnels' client timeouts (rule 1).
             wokenAt = Double.POSITIVE_INFINITY;
         }
@@ -228,7 +293,8 @@
         boolean leaving = host.leaving();
         host.state = state;
         host.byHand = byHand;
-        // A node that leaves has an end by which all are moved: a host's own time would put that off.
+        // A node that leaves has an end by which all are moved: a host's own time would put that
+        // off.
         if (host.leaving() && !leaving && !farewell.begun()) {
             departures.addAll(host.own.values(), now, DRAIN * PERIOD);
         }
@@ -240,10 +306,14 @@
 
     @Override
     public void rosterLost() {
-        // Ask anew, later each time, out of step with other nodes; a call that took long was wait enough.
+        // Ask anew, later each time, out of step with other nodes; a call that took long was wait
+        // enough.
         double took = watching ? Math.max(0, now + deployment.mustAskWithin() - rosterCallAt) : 0;
         double draw = chance.nextApart();
-        double pause = Math.min(rosterPatience * (0.25 + 0.5 * draw), CALL_AGAIN * (0.8 + 0.2 * draw) - took);
+        double pause =
+                Math.min(
+                        rosterPatience * (0.25 + 0.5 * draw),
+                        CALL_AGAIN * (0.8 + 0.2 * draw) - took);
         rosterLostAt = watching ? now : rosterLostAt;
         watching = false;
         rosterCallAt = now + Math.max(0, pause);
@@ -254,15 +324,22 @@
         if (now >= rosterCallAt) {
             decisions.watchRoster(true);
             watching = true;
-            rosterCallAt = now + deployment.mustAskWithin();  // an answer that never comes is a failure
+            rosterCallAt =
+                    now + deployment.mustAskWithin(); // an answer that never comes is a failure
         }
     }
 
     // ---- Tunnels and their setups ----
 
     @Override
-    public void tunnelArrived(TunnelId id, ProfileId profile, ParticipantId participant, SubjectId subject,
-                              GroupId group, double timeLeft, boolean midFlow) {
+    public void tunnelArrived(
+            TunnelId id,
+            ProfileId profile,
+            ParticipantId participant,
+            SubjectId subject,
+            GroupId group,
+            double timeLeft,
+            boolean midFlow) {
         Profile row = profiles.get(profile);
         if (row == null || table.containsKey(id)) {
             return;
@@ -280,8 +357,13 @@
     }
 
     @Override
-    public void tunnelStanding(TunnelId id, ProfileId profile, ParticipantId participant, SubjectId subject,
-                               GroupId group, HostId at) {
+    public void tunnelStanding(
+            TunnelId id,
+            ProfileId profile,
+            ParticipantId participant,
+            SubjectId subject,
+            GroupId group,
+            HostId at) {
         Profile row = profiles.get(profile);
         if (row == null || table.containsKey(id)) {
             return;
@@ -329,7 +411,8 @@
     }
 
     @Override
-    public void setupEnded(TunnelId id, int setup, HostId at, SetupEnd end, double took, boolean over) {
+    public void setupEnded(
+            TunnelId id, int setup, HostId at, SetupEnd end, double took, boolean over) {
         Host host = hosts.get(at);
         Tunnel tunnel = table.get(id);
         boolean current = tunnel != null && setup == tunnel.setups - 1;
@@ -356,7 +439,10 @@
         }
         if (over) {
             table.remove(id);
-            if (deployment.tunnelsPassThrough() && tunnel.subject != null && host != null && tunnel.open) {
+            if (deployment.tunnelsPassThrough()
+                    && tunnel.subject != null
+                    && host != null
+                    && tunnel.open) {
                 partings.remember(tunnel.subject, host, now);
             }
         } else if (current) {
@@ -371,16 +457,25 @@
         }
     }
 
-    /** Sends the tunnel's next setup, or gives its final answer at once where none can or may be sent. */
+    /**
+     * Sends the tunnel's next setup, or gives its final answer at once where none can or may be
+     * sent.
+     */
     private void place(Tunnel tunnel) {
         double needed = LEAST_OF_GOAL * tunnel.profile.setupGoal();
-        tunnel.obstacle = farewell.begun() ? DeclineReason.NODE_LEAVES
-                : tunnel.setups >= deployment.mostSetups() ? DeclineReason.SETUPS_SPENT
-                : tunnel.clientGivesUpAt - now <= needed ? DeclineReason.TIME_SPENT
-                : tunnel.setups > 0 && allowance.left(now) < 1 ? DeclineReason.BUDGET_SPENT  // rule 5
-                : null;
+        tunnel.obstacle =
+                farewell.begun()
+                        ? DeclineReason.NODE_LEAVES
+                        : tunnel.setups >= deployment.mostSetups()
+                                ? DeclineReason.SETUPS_SPENT
+                                : tunnel.clientGivesUpAt - now <= needed
+                                        ? DeclineReason.TIME_SPENT
+                                        : tunnel.setups > 0 && allowance.left(now) < 1
+                                                ? DeclineReason.BUDGET_SPENT // rule 5
+                                                : null;
         boolean worthSending = tunnel.obstacle == null && mayRunAgain(tunnel);
-        tunnel.obstacle = worthSending && pace.full() ? DeclineReason.SETUPS_HELD_BACK : tunnel.obstacle;
+        tunnel.obstacle =
+                worthSending && pace.full() ? DeclineReason.SETUPS_HELD_BACK : tunnel.obstacle;
         if (worthSending && pace.full() && mayWait(tunnel)) {
             waiting.add(tunnel);
             return;
@@ -402,13 +497,22 @@
         }
     }
 
-    /** No host for a tunnel. Guards against a dark view: who never asks would not hear of new room. */
+    /**
+     * No host for a tunnel. Guards against a dark view: who never asks would not hear of new room.
+     */
     private void lookAround() {
         departures.hold(now + PERIOD);
         if (deployment.mayProbe() && now >= nextLook) {
             nextLook = now + PERIOD / LOOKS;
-            List<Host> unsure = roll.stream()
-                    .filter(host -> used(host) && !host.fresh() && !host.probing && !host.cold()).toList();
+            List<Host> unsure =
+                    roll.stream()
+                            .filter(
+                                    host ->
+                                            used(host)
+                                                    && !host.fresh()
+                                                    && !host.probing
+                                                    && !host.cold())
+                            .toList();
             if (!unsure.isEmpty()) {
                 ask(unsure.get((int) (chance.next() * unsure.size())), false);
             }
@@ -417,7 +521,8 @@
 
     /** A figure is worth a wait while the setup that follows still has time for its goal. */
     private boolean mayAsk(Tunnel tunnel) {
-        return deployment.mayProbe() && tunnel.asks < ASKS
+        return deployment.mayProbe()
+                && tunnel.asks < ASKS
                 && now + 2 * tunnel.profile.setupGoal() < tunnel.clientGivesUpAt;
     }
 
@@ -449,7 +554,9 @@
         }
     }
 
-    /** Whether its turn is likely to come while the client still waits and a setup still has time. */
+    /**
+     * Whether its turn is likely to come while the client still waits and a setup still has time.
+     */
     private boolean mayWait(Tunnel tunnel) {
         double turn = (waiting.size() + 1) / Math.max(1, opened.rate(now));
         return now + turn + tunnel.profile.setupGoal() < tunnel.clientGivesUpAt;
@@ -458,8 +565,10 @@
     private void placeWaiting() {
         // Rule 1: tunnels wait with unlike time left, so any of them may run out of it first.
         List<Tunnel> late = new ArrayList<>(waiting);
-        late.removeIf(tunnel -> !table.containsKey(tunnel.id)
-                || now + tunnel.profile.setupGoal() / 2 < tunnel.clientGivesUpAt);
+        late.removeIf(
+                tunnel ->
+                        !table.containsKey(tunnel.id)
+                                || now + tunnel.profile.setupGoal() / 2 < tunnel.clientGivesUpAt);
         late.forEach(this::giveUp);
         waiting.removeIf(tunnel -> !table.containsKey(tunnel.id));
         while (!pace.full() && !waiting.isEmpty()) {
@@ -478,8 +587,10 @@
 
     /** Rule 2: a decline promises the client that trying again is harmless. */
     private boolean mayDecline(Tunnel tunnel) {
-        return mayRunAgain(tunnel) && (!tunnel.mayHaveRun || tunnel.profile.repeat() != Repeat.REFERENCED
-                || tunnel.profile.dedupScope() == DedupScope.ALL);
+        return mayRunAgain(tunnel)
+                && (!tunnel.mayHaveRun
+                        || tunnel.profile.repeat() != Repeat.REFERENCED
+                        || tunnel.profile.dedupScope() == DedupScope.ALL);
     }
 
     /** Rule 2: a referenced tunnel that may have run goes only where its repeats are dropped. */
@@ -488,11 +599,12 @@
             return true;
         }
         Host ran = tunnel.mayHaveRunAt;
-        return ran != null && switch (tunnel.profile.dedupScope()) {
-            case ALL -> true;
-            case ZONE -> ran.zone != null && ran.zone.equals(host.zone);
-            case CELL -> ran.cell == host.cell;
-        };
+        return ran != null
+                && switch (tunnel.profile.dedupScope()) {
+                    case ALL -> true;
+                    case ZONE -> ran.zone != null && ran.zone.equals(host.zone);
+                    case CELL -> ran.cell == host.cell;
+                };
     }
 
     private void send(Tunnel tunnel, Host host) {
@@ -501,13 +613,18 @@
         } else {
             allowance.spent(now);
         }
-        // A slow session store, or whatever all setups share, only queues those cut off at the goal again.
+        // A slow session store, or whatever all setups share, only queues those cut off at the goal
+        // again.
         double usual = opened.sum(now) / Math.max(1, opened.count(now));
         double patience = SLOW_SETUP * Math.max(tunnel.profile.setupGoal(), usual);
-        // Timed out, a once-only tunnel, or one past its window, could neither go again nor be declined.
+        // Timed out, a once-only tunnel, or one past its window, could neither go again nor be
+        // declined.
         Repeat repeat = tunnel.profile.repeat();
-        boolean last = tunnel.setups + 1 >= deployment.mostSetups() || repeat == Repeat.ONCE_ONLY
-                || (repeat == Repeat.REFERENCED && now + patience >= tunnel.dedupWindowEnd());
+        boolean last =
+                tunnel.setups + 1 >= deployment.mostSetups()
+                        || repeat == Repeat.ONCE_ONLY
+                        || (repeat == Repeat.REFERENCED
+                                && now + patience >= tunnel.dedupWindowEnd());
         double timeOut = last ? 0 : Math.min(tunnel.clientGivesUpAt - now, patience);
         tunnel.setups++;
         tunnel.out = true;
@@ -532,12 +649,13 @@
     // ---- The draw ----
 
     /**
-     * The host that this tunnel's number falls on, drawn from [0, 256) over the hosts' weights, or null
-     * where none should take it.
+     * The host that this tunnel's number falls on, drawn from [0, 256) over the hosts' weights, or
+     * null where none should take it.
      */
     private Host draw(Tunnel tunnel) {
         survey();
-        // What is too much for the warm hosts' room may still go where a cold one waits for its part.
+        // What is too much for the warm hosts' room may still go where a cold one waits for its
+        // part.
         boolean excess = tunnel.asks == 0 && admitted < 1 && chance.next() >= admitted;
         Host home = excess || tunnel.group == null ? null : drawnForGroup(tunnel);
         if (home != null) {
@@ -549,11 +667,14 @@
             eligible.removeAll(tunnel.tried);
         }
         if (deployment.reportsCapacity()) {
-            // One tunnel too many ends in hosts that shed tunnels, whose clients come again at once:
-            // declines cost less. In a busy fleet one more host to pay for a group costs more than a
+            // One tunnel too many ends in hosts that shed tunnels, whose clients come again at
+            // once:
+            // declines cost less. In a busy fleet one more host to pay for a group costs more than
+            // a
             // tunnel earns, but on idle hosts.
             double most = tunnel.group != null && mean > BUSY ? IDLE : BRIMFUL;
-            // A cold host goes by its own load, which falls as it warms: by the mean, or by what an idle host
+            // A cold host goes by its own load, which falls as it warms: by the mean, or by what an
+            // idle host
             // is held to, a busy fleet would leave it empty.
             eligible.removeIf(host -> host.expectedLoad() > (host.cold() ? BRIMFUL : most));
         }
@@ -562,8 +683,14 @@
             eligible.removeIf(host -> !host.fresh());
         }
         if (eligible.isEmpty()) {
-            tunnel.obstacle = excess && admitted > 0 ? DeclineReason.EXCESS : Obstacles.commonest(roll,
-                    this::used, host -> late(host, tunnel), host -> mayTake(host, tunnel));
+            tunnel.obstacle =
+                    excess && admitted > 0
+                            ? DeclineReason.EXCESS
+                            : Obstacles.commonest(
+                                    roll,
+                                    this::used,
+                                    host -> late(host, tunnel),
+                                    host -> mayTake(host, tunnel));
             return null;
         }
         return drawn(narrowed(eligible), chance.next() * SPAN);
@@ -571,8 +698,11 @@
 
     /** Whether rules, health and list let this host take the tunnel now. */
     private boolean mayTake(Host host, Tunnel tunnel) {
-        return used(host) && dropsRepeats(tunnel, host) && !late(host, tunnel)
-                && ((!host.cold() && !hollow(host)) || host.slowStart.mayTake(now, warmHostCanTake));
+        return used(host)
+                && dropsRepeats(tunnel, host)
+                && !late(host, tunnel)
+                && ((!host.cold() && !hollow(host))
+                        || host.slowStart.mayTake(now, warmHostCanTake));
     }
 
     private boolean late(Host host, Tunnel tunnel) {
@@ -580,9 +710,9 @@
     }
 
     /**
-     * Whether a host stands out as empty in a busy fleet. Guards against one that shed its tunnels or died
-     * unlisted, which all nodes would rush together, and so again and again: each keeps to its part. One that
-     * is empty fills in seconds.
+     * Whether a host stands out as empty in a busy fleet. Guards against one that shed its tunnels
+     * or died unlisted, which all nodes would rush together, and so again and again: each keeps to
+     * its part. One that is empty fills in seconds.
      */
     private boolean hollow(Host host) {
         return mean > BUSY && host.heard() && host.load < usualLoad / 2;
@@ -598,16 +728,21 @@
     }
 
     /**
-     * Each host that holds any of a group pays for it, and nodes don't know what others hold. So numbers
-     * are drawn for the group, not the tunnel, until they have fallen on hosts' intervals of the weights:
-     * nodes find the same hosts, and a host that comes or goes shifts only its own groups.
+     * Each host that holds any of a group pays for it, and nodes don't know what others hold. So
+     * numbers are drawn for the group, not the tunnel, until they have fallen on hosts' intervals
+     * of the weights: nodes find the same hosts, and a host that comes or goes shifts only its own
+     * groups.
      */
     private Host drawnForGroup(Tunnel tunnel) {
         boolean nearOnly = mean < IDLE && nearTake;
         double holderLimit = limit(HOLDER_SLACK);
         List<Host> holding = new ArrayList<>(holders.of(tunnel.group));
-        holding.removeIf(host -> (nearOnly && !host.near()) || !mayTake(host, tunnel)
-                || tunnel.tried.contains(host) || count(host) > holderLimit);
+        holding.removeIf(
+                host ->
+                        (nearOnly && !host.near())
+                                || !mayTake(host, tunnel)
+                                || tunnel.tried.contains(host)
+                                || count(host) > holderLimit);
         if (!holding.isEmpty()) {
             return drawn(holding, chance.next() * SPAN);
         }
@@ -617,12 +752,15 @@
         for (int k = 0; draws > 0 && k < 4 * seats.size(); k++) {
             long drawn = Seats.scattered(number + k);
             Host host = seats.under(drawn);
-            if (host == null || !host.takesNew() || (nearOnly && !host.near())
+            if (host == null
+                    || !host.takesNew()
+                    || (nearOnly && !host.near())
                     || (drawn & 0xffff) / 65536.0 * mean * active >= mean * active - count(host)) {
                 continue;
             }
             draws--;
-            if (mayTake(host, tunnel) && !tunnel.tried.contains(host)
+            if (mayTake(host, tunnel)
+                    && !tunnel.tried.contains(host)
                     && (count(host) <= most || (!host.heard() && mayAsk(tunnel)))) {
                 return host;
             }
@@ -661,8 +799,11 @@
         doubtful = 2 * healthy.size() < reachable;
         healthy.stream().filter(host -> !host.overwhelmed()).forEach(filling::add);
         noneTimely = healthy.stream().allMatch(host -> host.lateness.lasts(now, longestMessage));
-        healthy.removeIf(host -> host.cold() || host.noted
-                || (!noneTimely && host.lateness.lasts(now, longestMessage)));
+        healthy.removeIf(
+                host ->
+                        host.cold()
+                                || host.noted
+                                || (!noneTimely && host.lateness.lasts(now, longestMessage)));
         int heard = (int) healthy.stream().filter(Host::heard).count();
         List<Host> sound = healthy.stream().filter(host -> !host.overwhelmed()).toList();
         sound = sound.isEmpty() ? healthy : sound;
@@ -671,13 +812,17 @@
         double loads = telling.stream().mapToDouble(host -> host.load).sum();
         double tunnels = telling.stream().mapToDouble(Host::tunnelsThere).sum();
         usualLoad = loads / Math.max(1, telling.size());
-        // Guards the nearest host: placements that weigh nothing would all go there, hundreds at once where a
+        // Guards the nearest host: placements that weigh nothing would all go there, hundreds at
+        // once where a
         // node that has just started takes in the clients of one that leaves.
         boolean untold = deployment.reportsCapacity() && young();
         usualLoadOfOne = untold || tunnels < 1 || loads <= 0 ? 1 / SPAN : loads / tunnels;
         mean = sound.stream().mapToDouble(Host::expectedLoad).sum() / counted;
-        double sumOfRoom = healthy.stream().filter(Host::heard)
-                .mapToDouble(host -> Math.max(0, BRIMFUL - host.expectedLoad())).sum();
+        double sumOfRoom =
+                healthy.stream()
+                        .filter(Host::heard)
+                        .mapToDouble(host -> Math.max(0, BRIMFUL - host.expectedLoad()))
+                        .sum();
         fewHeard = heard < Math.min(active, FEW);
         if (fewHeard) {
             // A few hosts don't tell that the fleet is busy: tunnels would be declined unasked.
@@ -685,18 +830,25 @@
         }
         boolean known = deployment.reportsCapacity() && heard > 0;
         double load = known ? Math.min(1, Math.max(IDLE, usualLoad)) : 1;
-        // Nodes that all see the same little room would fill it many times over before a report shows it:
+        // Nodes that all see the same little room would fill it many times over before a report
+        // shows it:
         // hosts would sink, shed and be filled again. So each keeps to its share of the room.
         double room = ROOM_PROMISED * sumOfRoom / Math.max(1, heard) * active / deployment.nodes();
         double inflow = arrived.rate(now) * PERIOD * usualLoadOfOne;
         admitted = !known || fewHeard || room >= inflow ? 1 : room / inflow;
         // With all hosts new at once, what ended did so on as many others.
-        // Where tunnels last long, what ends tells too little: a host takes what fills it over its warm-up.
-        warmHostCanTake = Math.max(completed.rate(now) / Math.max(1, warm > 0 ? warm : active) / load,
-                filling.aSecond(young()));
+        // Where tunnels last long, what ends tells too little: a host takes what fills it over its
+        // warm-up.
+        warmHostCanTake =
+                Math.max(
+                        completed.rate(now) / Math.max(1, warm > 0 ? warm : active) / load,
+                        filling.aSecond(young()));
     }
 
-    /** Whether the node has started among others: its own tunnels are no measure of all that there are. */
+    /**
+     * Whether the node has started among others: its own tunnels are no measure of all that there
+     * are.
+     */
     private boolean young() {
         return !stood && now < startedAt + 2 * KEPT * PERIOD;
     }
@@ -706,9 +858,13 @@
         return host.cold() ? Math.max(mean, host.expectedLoad()) : host.expectedLoad();
     }
 
-    /** Who counts as active for this tunnel: hosts no busier than the mean, and near if there are any. */
+    /**
+     * Who counts as active for this tunnel: hosts no busier than the mean, and near if there are
+     * any.
+     */
     private List<Host> narrowed(List<Host> eligible) {
-        List<Host> level = eligible.stream().filter(host -> count(host) <= mean * LEVEL_SLACK).toList();
+        List<Host> level =
+                eligible.stream().filter(host -> count(host) <= mean * LEVEL_SLACK).toList();
         List<Host> near = level.stream().filter(Host::near).toList();
         return !near.isEmpty() ? near : !level.isEmpty() ? level : eligible;
     }
@@ -733,9 +889,10 @@
     // ---- Probes, reports and the hosts' health ----
 
     /**
-     * Keeps all figures fresh where the tunnels placed are worth that many probes; where nodes are many and
-     * each has few tunnels, hosts are only asked for a tunnel that may go there. Tunnels that are declined
-     * come again many times: they are worth none. Returns when the next probe is due.
+     * Keeps all figures fresh where the tunnels placed are worth that many probes; where nodes are
+     * many and each has few tunnels, hosts are only asked for a tunnel that may go there. Tunnels
+     * that are declined come again many times: they are worth none. Returns when the next probe is
+     * due.
      */
     private double probe() {
         double next = Double.POSITIVE_INFINITY;
@@ -777,30 +934,40 @@
     }
 
     @Override
-    public void hostReported(HostId at, double loadOverCapacity, double openTunnels, double queued) {
+    public void hostReported(
+            HostId at, double loadOverCapacity, double openTunnels, double queued) {
         Host host = hosts.get(at);
         if (host != null) {
-            double load = !Double.isNaN(loadOverCapacity) ? loadOverCapacity
-                    : (!Double.isNaN(openTunnels) ? openTunnels : queued) / host.weight;
-            if (load >= 0 && load < Double.POSITIVE_INFINITY) {  // else senseless: the figure before stands
+            double load =
+                    !Double.isNaN(loadOverCapacity)
+                            ? loadOverCapacity
+                            : (!Double.isNaN(openTunnels) ? openTunnels : queued) / host.weight;
+            if (load >= 0 && load < Double.POSITIVE_INFINITY) { // else senseless: the figure before
+                // stands
                 doubt(host, load);
                 host.load = load;
                 host.openThere = openTunnels >= 0 ? openTunnels : Double.NaN;
                 host.reportedAt = now;
                 host.grownAtReport = grown;
-                // A setup that is still out is in no report: a rush of them would look like idle hosts.
-                host.placedSinceReport = (int) host.own.values().stream().filter(tun -> tun.out).count();
+                // A setup that is still out is in no report: a rush of them would look like idle
+                // hosts.
+                host.placedSinceReport =
+                        (int) host.own.values().stream().filter(tun -> tun.out).count();
                 moveOffSinking(host);
             }
         }
     }
 
-    /** Rule 4: a host that came back from death looks idle; a roster that is away or late does not tell. */
+    /**
+     * Rule 4: a host that came back from death looks idle; a roster that is away or late does not
+     * tell.
+     */
     private void doubt(Host host, double load) {
-        boolean rosterAway = Double.isFinite(rosterCallAt) && host.slowStart.beganBefore(rosterLostAt);
+        boolean rosterAway =
+                Double.isFinite(rosterCallAt) && host.slowStart.beganBefore(rosterLostAt);
         surveyed = false;
         if ((host.away || rosterAway) && !host.cold()) {
-            host.load = Double.NaN;  // what it was before is no measure
+            host.load = Double.NaN; // what it was before is no measure
             survey();
             surveyed = false;
             if (load < Math.min(usualLoad, ROOMY) / 2) {
@@ -816,7 +983,8 @@
         switch (end) {
             case ERROR, BROKEN, TIMED_OUT -> {
                 if (stood) {
-                    // A host that sheds tunnels tells it by its load, one that died by not answering.
+                    // A host that sheds tunnels tells it by its load, one that died by not
+                    // answering.
                     host.nextProbe = Math.min(host.nextProbe, now);
                     host.away |= end == SetupEnd.BROKEN;
                     return;
@@ -830,7 +998,7 @@
                 host.nextProbe = Math.min(host.nextProbe, now);
             }
             case FULL -> host.shunnedUntil = Math.max(host.shunnedUntil, now + PERIOD / 2);
-            default -> { }
+            default -> {}
         }
     }
 
@@ -844,13 +1012,18 @@
         }
     }
 
-    /** Guards hosts that sink unasked as no tunnel is to go there; nodes tell each other of them alone. */
+    /**
+     * Guards hosts that sink unasked as no tunnel is to go there; nodes tell each other of them
+     * alone.
+     */
     private void askSinking(Host host, boolean told) {
         // Hundreds of nodes with a tunnel or two there would cost it more than they could move.
-        if (host != null && deployment.mayProbe() && now >= host.nextNoted
+        if (host != null
+                && deployment.mayProbe()
+                && now >= host.nextNoted
                 && now > host.reportedAt + (told ? PERIOD * FEW / host.own.size() : PERIOD)) {
             host.nextNoted = now + MOVE_PAUSE * PERIOD;
-            ask(host, true);  // in the mean, noted hosts would make the fleet look busy
+            ask(host, true); // in the mean, noted hosts would make the fleet look busy
         }
     }
 
@@ -866,27 +1039,33 @@
     /** Moves some tunnels off a host that can't serve those it has. */
     private void moveOffSinking(Host host) {
         host.movedInRow = host.load > SINKING ? host.movedInRow : 0;
-        if (host.load > SINKING && now >= host.nextMove && deployment.reportsCapacity() && !host.cold()) {
+        if (host.load > SINKING
+                && now >= host.nextMove
+                && deployment.reportsCapacity()
+                && !host.cold()) {
             // Reports lag: what was moved since shows only in later ones.
             host.nextMove = now + MOVE_PAUSE * PERIOD;
             if (deployment.mayTellNodes() && !host.noted && host.own.size() >= FEW) {
                 decisions.tellAllNodes(host.id.name().getBytes(StandardCharsets.UTF_8));
             }
             // Every node moves the same part of its own, so together they move what is too much.
-            // What comes from elsewhere does not fall with them: who sinks on loses more of them each time.
+            // What comes from elsewhere does not fall with them: who sinks on loses more of them
+            // each time.
             double share = Math.min(1, ++host.movedInRow * (host.load - BRIMFUL) / host.load);
             moveSome(host, share, Double.POSITIVE_INFINITY);
         }
     }
 
     /**
-     * Moves tunnels off a host whose messages come late though it reports room, or nothing: its figure is
-     * untrue, or the way to it is bad. Also while tunnels are declined: those there earn nothing, but hold
-     * room of others that would be in time. Harms where no host would be better: so not while messages come
-     * late from all.
+     * Moves tunnels off a host whose messages come late though it reports room, or nothing: its
+     * figure is untrue, or the way to it is bad. Also while tunnels are declined: those there earn
+     * nothing, but hold room of others that would be in time. Harms where no host would be better:
+     * so not while messages come late from all.
      */
     private void moveOffLate(Host host, double delay) {
-        if (host.lateness.persists(now) && !(host.heard() && host.load > SINKING) && now >= host.nextMove) {
+        if (host.lateness.persists(now)
+                && !(host.heard() && host.load > SINKING)
+                && now >= host.nextMove) {
             survey();
             if (!noneTimely) {
                 host.nextMove = now + MOVE_PAUSE * PERIOD;
@@ -898,11 +1077,14 @@
     /** Moves part of a host's tunnels, of those that want their messages sooner than they come. */
     private void moveSome(Host host, double share, double delay) {
         List<Tunnel> standing = new ArrayList<>(host.own.values());
-        standing.removeIf(tunnel -> !tunnel.open || tunnel.moving || tunnel.profile.messageGoal() > delay);
-        // The last of a group to leave takes the group's cost along, so tunnels with few of theirs here
+        standing.removeIf(
+                tunnel -> !tunnel.open || tunnel.moving || tunnel.profile.messageGoal() > delay);
+        // The last of a group to leave takes the group's cost along, so tunnels with few of theirs
+        // here
         // go first.
-        standing.sort(Comparator.<Tunnel>comparingInt(tunnel -> holders.held(tunnel.group, host))
-                .thenComparingDouble(tunnel -> tunnel.profile.credit()));
+        standing.sort(
+                Comparator.<Tunnel>comparingInt(tunnel -> holders.held(tunnel.group, host))
+                        .thenComparingDouble(tunnel -> tunnel.profile.credit()));
         double part = share * standing.size();
         int many = (int) part + (chance.next() < part - (int) part ? 1 : 0);
         for (Tunnel tunnel : standing.subList(0, Math.min(many, standing.size()))) {
@@ -911,10 +1093,14 @@
         }
     }
 
-    /** Moved at once, clients would come back here or come as a wave: they go in turn, over all the time. */
+    /**
+     * Moved at once, clients would come back here or come as a wave: they go in turn, over all the
+     * time.
+     */
     @Override
     public void nodeLeaving(boolean replaced) {
-        double longest = profiles.values().stream().mapToDouble(Profile::clientTimeout).max().orElse(0);
+        double longest =
+                profiles.values().stream().mapToDouble(Profile::clientTimeout).max().orElse(0);
         farewell.begin(table.values(), now, longest, deployment.mayTellNodes(), replaced);
     }
 
@@ -946,8 +1132,10 @@
         final HostId id;
         final Map<TunnelId, Tunnel> own = new LinkedHashMap<>();
         boolean listed;
+
         /** Whether staff have taken it out: no list brings it back, only they do. */
         boolean byHand;
+
         Listing.State state = Listing.State.GONE;
         ZoneId zone;
         int cell;
@@ -955,8 +1143,12 @@
         double launchedAt;
         final SlowStart slowStart = new SlowStart(deployment, chance, startedAt);
         final Lateness lateness = new Lateness(PERIOD);
-        /** Whether it was here before it last started: what ends in the fleet ended on it as well. */
+
+        /**
+         * Whether it was here before it last started: what ends in the fleet ended on it as well.
+         */
         boolean back;
+
         double load = Double.NaN;
         double openThere = Double.NaN;
         double reportedAt = Double.NEGATIVE_INFINITY;
@@ -1015,7 +1207,10 @@
             return !Double.isNaN(load) && now <= reportedAt + KEPT * PERIOD;
         }
 
-        /** One that hangs tells ten times its tunnels' load: in a mean, all look full and one tunnel huge. */
+        /**
+         * One that hangs tells ten times its tunnels' load: in a mean, all look full and one tunnel
+         * huge.
+         */
         boolean overwhelmed() {
             return deployment.reportsCapacity() && heard() && load > OVERWHELMED;
         }
@@ -1029,9 +1224,9 @@
         }
 
         /**
-         * The latest figure, else the mean of the others', with what this node has placed since. Guards
-         * against a rush, as when many hosts fall at once: what this node has more on all hosts since then,
-         * each other node has as well.
+         * The latest figure, else the mean of the others', with what this node has placed since.
+         * Guards against a rush, as when many hosts fall at once: what this node has more on all
+         * hosts since then, each other node has as well.
          */
         double expectedLoad() {
             int others = Math.max(0, grown - grownAtReport) * (deployment.nodes() - 1) / counted;
@@ -1051,7 +1246,8 @@
         }
 
         double tunnelsThere() {
-            return Double.isNaN(openThere) ? Math.max(0, own.size() - placedSinceReport) * deployment.nodes()
+            return Double.isNaN(openThere)
+                    ? Math.max(0, own.size() - placedSinceReport) * deployment.nodes()
                     : openThere;
         }
 
