--- a/core/src/main/java/embershift/model/Decisions.java
+++ b/core/src/main/java/embershift/model/Decisions.java
@@ -6,15 +6,15 @@
 public interface Decisions {
 
     /** The next setup of this tunnel, numbered 0, 1, 2 in the order sent. */
-    void setUp(TunnelId id, HostId host, double timeOut);
+    void sendSetup(TunnelId id, HostId host, double timeout);
 
-    void cancel(TunnelId id, int setup);
+    void cancelSetup(TunnelId id, int setup);
 
     /**
      * Final answer: not taken, trying again is harmless; 0 gives no advice on when to return. The
      * reason is only counted.
      */
-    void decline(TunnelId id, double returnAfter, DeclineReason reason);
+    void decline(TunnelId id, double retryAfter, DeclineReason reason);
 
     /** Final answer: failed, with no promise about its effect. */
     void closeWithError(TunnelId id);
@@ -26,17 +26,17 @@
 
     void closeIdle(HostId host);
 
-    void watchRoster(boolean on);
+    void watchRoster(boolean enabled);
 
-    void askRoster();
+    void requestRoster();
 
-    void tellNode(int node, byte[] content);
+    void sendToNode(int node, byte[] content);
 
-    void tellAllNodes(byte[] content);
+    void sendToAllNodes(byte[] content);
 
     /** Asks for a round no earlier than this, even if there is no news by then. */
     void wakeAfter(double delay);
 
     /** A line for the operators. */
-    void note(String line);
+    void logForOperators(String line);
 }
--- a/core/src/main/java/embershift/model/Deployment.java
+++ b/core/src/main/java/embershift/model/Deployment.java
@@ -8,30 +8,30 @@
  */
 public record Deployment(
         long seed,
-        int nodes,
-        int rank,
+        int nodeCount,
+        int nodeIndex,
         ZoneId zone,
         List<Profile> profiles,
         boolean rosterOnRequest,
-        double mustAskWithin,
+        double rosterCallDeadline,
         boolean mayProbe,
-        boolean mayTellNodes,
+        boolean mayMessageNodes,
         boolean reportsCapacity,
         boolean mayCancel,
         boolean mayOverlap,
-        int mostSetups,
-        boolean adviceOnReturn,
-        double longestReturn,
+        int maxSetups,
+        boolean supportsRetryAfter,
+        double maxRetryAfter,
         double connectTimeout,
         double answerSlack,
         double drainGrace,
-        double coldFrom,
-        double warmAfter,
-        double fallMultiple,
-        double fallAfter,
-        Budget budget,
+        double coldCapacityShare,
+        double warmUpTime,
+        double overloadMultiple,
+        double overloadWindow,
+        RetryBudget retryBudget,
         boolean tunnelsPassThrough,
-        double parkedFor) {
+        double parkTime) {
 
     /**
      * One profile's figures: times in seconds, credit as the deployment counts it; {@code
@@ -51,10 +51,10 @@
      * Setups beyond each tunnel's first that a node may send in any {@code span} seconds: {@code
      * free}, and {@code perTunnel} for each tunnel that it took in that time.
      */
-    public record Budget(double free, double perTunnel, double span) {
+    public record RetryBudget(double base, double perTunnel, double window) {
 
         /** Where none is stated. */
-        public static final Budget NONE = new Budget(Double.POSITIVE_INFINITY, 0, 1);
+        public static final RetryBudget NONE = new RetryBudget(Double.POSITIVE_INFINITY, 0, 1);
     }
 
     /** What running a tunnel's setup a second time would do. */
--- a/core/src/main/java/embershift/model/Listing.java
+++ b/core/src/main/java/embershift/model/RosterEntry.java
@@ -5,10 +5,10 @@
  * its nominal size, and at some deployments that lowered the more tunnels it holds; 1 where not
  * told or senseless. {@code launchedAt} is 0 where it started long ago.
  */
-public record Listing(
+public record RosterEntry(
         HostId host, State state, ZoneId zone, double weight, int cell, double launchedAt) {
 
-    public Listing {
+    public RosterEntry {
         weight = weight > 0 && weight < Double.POSITIVE_INFINITY ? weight : 1;
     }
 
--- a/core/src/main/java/embershift/model/SetupEnd.java
+++ b/core/src/main/java/embershift/model/SetupOutcome.java
@@ -1,7 +1,7 @@
 package embershift.model;
 
 /** How a setup, or the tunnel that came of it, ended. */
-public enum SetupEnd {
+public enum SetupOutcome {
     COMPLETED(false),
     ERROR(false),
     TIMED_OUT(false),
@@ -13,7 +13,7 @@
 
     private final boolean neverRan;
 
-    SetupEnd(boolean neverRan) {
+    SetupOutcome(boolean neverRan) {
         this.neverRan = neverRan;
     }
 
--- a/core/src/main/java/embershift/policy/Obstacles.java
+++ b/core/src/main/java/embershift/policy/DeclineReasons.java
@@ -11,31 +11,31 @@
  * What kept a tunnel off all hosts, told with its decline: by what the draw went by, and decides
  * nothing.
  */
-final class Obstacles {
+final class DeclineReasons {
 
-    private Obstacles() {}
+    private DeclineReasons() {}
 
     /**
      * What stands at most of the hosts that are ready, of as many the later in its order. {@code
      * used}: hosts that get anything new; {@code late}: those whose messages come too late for the
      * tunnel; {@code taking}: those that would take it if they had room.
      */
-    static DeclineReason commonest(
+    static DeclineReason mostCommon(
             Collection<Host> hosts,
-            Predicate<Host> used,
+            Predicate<Host> usable,
             Predicate<Host> late,
-            Predicate<Host> taking) {
+            Predicate<Host> accepting) {
         Map<DeclineReason, Integer> counts = new EnumMap<>(DeclineReason.class);
         for (Host host : hosts) {
-            if (host.takesNew()) {
+            if (host.acceptsNew()) {
                 counts.merge(
-                        !used.test(host)
-                                ? host.silent()
+                        !usable.test(host)
+                                ? host.isSilent()
                                         ? DeclineReason.HOSTS_SILENT
                                         : DeclineReason.HOSTS_FAILED
                                 : late.test(host)
                                         ? DeclineReason.HOSTS_LATE
-                                        : taking.test(host)
+                                        : accepting.test(host)
                                                 ? DeclineReason.HOSTS_FULL
                                                 : DeclineReason.HOSTS_COLD,
                         1,
--- /dev/null
+++ b/core/src/main/java/embershift/policy/GroupHosts.java
@@ -0,0 +1,43 @@
+package embershift.policy;
+
+import embershift.model.GroupId;
+import embershift.policy.Policy.Host;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+
+/** Where this node's tunnels of a group are, and how many; a tunnel of no group counts nowhere. */
+final class GroupHosts {
+
+    private final Map<GroupId, Map<Host, Integer>> tunnelCounts = new HashMap<>();
+
+    void add(GroupId group, Host host) {
+        if (group != null) {
+            tunnelCounts
+                    .computeIfAbsent(group, key -> new LinkedHashMap<>())
+                    .merge(host, 1, Integer::sum);
+        }
+    }
+
+    void remove(GroupId group, Host host) {
+        if (group != null) {
+            tunnelCounts.computeIfPresent(
+                    group,
+                    (key, counts) -> {
+                        counts.computeIfPresent(
+                                host, (key2, count) -> count == 1 ? null : count - 1);
+                        return counts.isEmpty() ? null : counts;
+                    });
+        }
+    }
+
+    /** The hosts that hold some of the group, in the order in which they came to it. */
+    Set<Host> hostsOf(GroupId group) {
+        return tunnelCounts.getOrDefault(group, Map.of()).keySet();
+    }
+
+    int tunnelCount(GroupId group, Host host) {
+        return group == null ? 0 : tunnelCounts.getOrDefault(group, Map.of()).getOrDefault(host, 0);
+    }
+}
--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -8,11 +8,11 @@
 import embershift.model.Deployment.Repeat;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
@@ -30,302 +30,308 @@
 /**
  * Every decision of one embershift node. Make one from the node's {@link Deployment}, then call
  * {@link #round} whenever there is news or a wake-up asked for has come: it takes the news as calls
- * of {@link News}, in order, and writes what is to be done into {@link Decisions}. Both interfaces
- * are in embershift.model. The mechanism, a weighted draw over the hosts' reported load, and each
- * departure from it are told in docs/design.md.
+ * of {@link NodeEvents}, in order, and writes what is to be done into {@link Decisions}. Both
+ * interfaces are in embershift.model. The mechanism, a weighted draw over the hosts' reported load,
+ * and each departure from it are told in docs/design.md.
  */
-public final class Policy implements News {
+public final class Policy implements NodeEvents {
 
     /** Seconds between two probes of a host, where tunnels arrive often enough to be worth it. */
-    private static final double PERIOD = 1.0;
+    private static final double PERIOD_SECONDS = 1.0;
 
     /** Periods for which a host's figure can be placed by without asking the host again. */
-    private static final double FRESH = 1.2;
+    private static final double FRESH_PERIODS = 1.2;
 
     /** Periods after which a figure tells nothing any more. */
-    private static final double KEPT = 4;
+    private static final double EXPIRY_PERIODS = 4;
 
     /** Hosts whose figures together tell of the fleet. */
-    private static final int FEW = 4;
+    private static final int MIN_SAMPLES = 4;
 
     /**
      * Probes that a placed tunnel is worth; where they can't keep all figures fresh, hosts are
      * asked.
      */
-    private static final double PROBES_EACH = 5;
+    private static final double PROBES_PER_TUNNEL = 5;
 
     /** Hosts asked for one tunnel, and the part of its setup goal that an answer may take. */
-    private static final int ASKS = 4;
+    private static final int MAX_PROBES_PER_TUNNEL = 4;
 
-    private static final double ASK_PATIENCE = 0.25;
+    private static final double PROBE_WAIT_GOAL_SHARE = 0.25;
 
     /**
      * What a node's own placement stands for at the most, with those that other nodes make
      * meanwhile.
      */
-    private static final int OTHERS = 5;
+    private static final int MAX_PLACEMENT_MULTIPLIER = 5;
 
-    private static final double SPAN = 256;
+    private static final double DRAW_RANGE = 256;
 
     /** Load over capacity up to which a host that holds the tunnel's group counts as active. */
-    private static final double ROOMY = 0.6;
+    private static final double MODERATE_LOAD = 0.6;
 
     /** Hosts drawn for a group before its tunnel is placed like any other. */
     private static final int GROUP_DRAWS = 2;
 
     /** Mean load over capacity below which a group's cost matters less than a crossing. */
-    private static final double IDLE = 0.35;
+    private static final double IDLE_LOAD = 0.35;
 
     /** Mean load over capacity from which tunnels go to their groups' hosts or nowhere. */
-    private static final double BUSY = 0.7;
+    private static final double BUSY_LOAD = 0.7;
 
     /** Load over capacity from which a host's messages come too late, so that it loses tunnels. */
-    private static final double SINKING = 0.9;
+    private static final double OVERLOADED_LOAD = 0.9;
 
     /** Load over capacity from which a host takes no more: past it all its tunnels fare badly. */
-    private static final double BRIMFUL = 0.8;
+    private static final double FULL_LOAD = 0.8;
 
     /**
      * Load over capacity past which a host's figure tells of its own trouble, and nothing of the
      * fleet.
      */
-    private static final double OVERWHELMED = 2;
+    private static final double STALLED_LOAD = 2;
 
     /**
      * How often a period's room may be given away: some tunnels end, and some hosts' room is not
      * found.
      */
-    private static final double ROOM_PROMISED = 2;
+    private static final double ROOM_OVERCOMMIT = 2;
 
     /** Periods over which the tunnels of a draining host are moved. */
-    private static final double DRAIN = 1.5;
+    private static final double DRAIN_PERIODS = 1.5;
 
     /** Periods between two moves off a host. */
-    private static final double MOVE_PAUSE = 2;
+    private static final double MOVE_INTERVAL_PERIODS = 2;
 
     /** A host is active while its load is no more than this multiple of the mean. */
-    private static final double LEVEL_SLACK = 1.05;
+    private static final double ACTIVE_LOAD_SLACK = 1.05;
 
     /** The same for hosts that hold the tunnel's group: elsewhere it would cost more. */
-    private static final double HOLDER_SLACK = 1.15;
+    private static final double GROUP_HOST_LOAD_SLACK = 1.15;
 
     /**
      * How much longer than its goal, or the recent mean, a setup may take before it is tried
      * elsewhere.
      */
-    private static final double SLOW_SETUP = 3;
+    private static final double SETUP_TIMEOUT_MULTIPLE = 3;
 
     /** A setup that has little time left, against its goal, is not worth sending. */
-    private static final double LEAST_OF_GOAL = 0.1;
+    private static final double MIN_TIME_LEFT_GOAL_SHARE = 0.1;
 
     /**
      * Periods for which a host that has just failed weighs zero; doubled at each failure that
      * follows.
      */
-    private static final double SHUN = 4;
+    private static final double FAILURE_BACKOFF_PERIODS = 4;
 
     /** Hosts at most that a node which declines tunnels asks in a period. */
-    private static final double LOOKS = 5;
+    private static final double RECHECKS_PER_PERIOD = 5;
 
     /**
      * Seconds between calls at the roster: its news count as told after six, and an answer may take
      * two.
      */
-    private static final double CALL_AGAIN = 3.8;
+    private static final double MAX_ROSTER_CALL_INTERVAL = 3.8;
 
     /** Part of a late host's tunnels that are moved at a time. */
-    private static final double LATE_SHARE = 0.5;
+    private static final double LATE_MOVE_SHARE = 0.5;
 
     private final Deployment deployment;
     private final Map<ProfileId, Profile> profiles = new HashMap<>();
     private final Map<HostId, Host> hosts = new HashMap<>();
 
     /** The hosts by name: the one order of every loop. */
-    private final List<Host> roll = new ArrayList<>();
+    private final List<Host> hostsByName = new ArrayList<>();
 
-    private final Map<TunnelId, Tunnel> table = new LinkedHashMap<>();
-    private final Partings partings;
-    private final Holders holders = new Holders();
+    private final Map<TunnelId, Tunnel> tunnels = new LinkedHashMap<>();
+    private final ParkedTunnels parkedTunnels;
+    private final GroupHosts groupHosts = new GroupHosts();
 
     /** The hosts by a number of their own: what a group's numbers fall on, alike at all nodes. */
-    private final Seats seats = new Seats();
+    private final HostSlots hostSlots = new HostSlots();
 
-    private final Ring arrived = new Ring(8, PERIOD);
-    private final Allowance allowance;
-    private double startedAt;
+    private final TimeBuckets arrivals = new TimeBuckets(8, PERIOD_SECONDS);
+    private final RetryLimiter retryLimiter;
+    private double nodeStartedAt;
 
     /** Whether it was told of tunnels that stood before. */
-    private boolean stood;
+    private boolean hasResumedTunnels;
 
-    private final Ring placed = new Ring(8, PERIOD);
+    private final TimeBuckets placements = new TimeBuckets(8, PERIOD_SECONDS);
 
     /** The part of arriving tunnels that the fleet has room for. */
-    private double admitted = 1;
+    private double admittedShare = 1;
 
     /** Tunnels for which a host has been asked for its figures. */
-    private List<Tunnel> asking = new ArrayList<>();
+    private List<Tunnel> awaitingProbe = new ArrayList<>();
 
-    private double nextLook = Double.NEGATIVE_INFINITY;
+    private double nextRecheckAt = Double.NEGATIVE_INFINITY;
     private boolean surveyed;
-    private double mean;
-    private int active;
-    private int counted;
-    private boolean fewHeard;
-    private boolean nearTake;
+    private double meanLoad;
+    private int activeHosts;
+    private int hostsInMean;
+    private boolean fewReports;
+    private boolean nearHostAvailable;
 
     /** Whether most hosts look bad: then it is the view that is bad. */
-    private boolean doubtful;
-
-    private boolean noneAnswers;
-    private boolean noneTimely;
-    private double shortestMessage = Double.POSITIVE_INFINITY;
-    private double longestMessage;
-    private final Ring opened = new Ring(4, PERIOD / 2);
-    private final Ring completed = new Ring(8, 2 * PERIOD);
-    private double warmHostCanTake;
-    private final Deque<Tunnel> waiting = new ArrayDeque<>();
-    private final Pace pace = new Pace(PERIOD);
+    private boolean mostHostsFailing;
+
+    private boolean allHostsSilent;
+    private boolean allHostsLate;
+    private double shortestMessageGoal = Double.POSITIVE_INFINITY;
+    private double longestMessageGoal;
+    private final TimeBuckets openings = new TimeBuckets(4, PERIOD_SECONDS / 2);
+    private final TimeBuckets completions = new TimeBuckets(8, 2 * PERIOD_SECONDS);
+    private double warmHostRate;
+    private final Deque<Tunnel> waitingTunnels = new ArrayDeque<>();
+    private final SetupConcurrencyLimiter setupLimiter =
+            new SetupConcurrencyLimiter(PERIOD_SECONDS);
 
     /**
      * What a tunnel adds to a host's load figure in the mean: an empty host can't tell it by its
      * own.
      */
-    private double usualLoadOfOne;
+    private double averageTunnelLoad;
 
-    private double usualLoad;
+    private double averageLoad;
 
     /** Tunnels placed so far, less those that ended on hosts that still stand. */
-    private int grown;
+    private int netPlacements;
 
-    private final Filling filling;
-    private final Departures departures = new Departures();
-    private final Farewell farewell = new Farewell(departures, PERIOD);
+    private final HostCapacityEstimate capacityEstimate;
+    private final MoveQueue moveQueue = new MoveQueue();
+    private final NodeDeparture nodeDeparture = new NodeDeparture(moveQueue, PERIOD_SECONDS);
     private double now = Double.NEGATIVE_INFINITY;
     private Decisions decisions;
-    private final Chance chance;
-    private double wokenAt = Double.POSITIVE_INFINITY;
-    private boolean watching;
+    private final SeededRandom random;
+    private double nextWakeAt = Double.POSITIVE_INFINITY;
+    private boolean watchingRoster;
     private double rosterCallAt = Double.POSITIVE_INFINITY;
-    private double rosterPatience;
+    private double rosterBackoff;
     private double rosterLostAt;
 
-    public Policy(Deployment deployment, Filling filling) {
+    public Policy(Deployment deployment, HostCapacityEstimate filling) {
         this.deployment = deployment;
-        this.filling = filling;
-        this.chance = new Chance(deployment.seed());
-        this.partings = new Partings(deployment.parkedFor());
-        this.allowance = new Allowance(deployment.budget());
-        this.rosterPatience = deployment.mustAskWithin() / 4;
+        this.capacityEstimate = filling;
+        this.random = new SeededRandom(deployment.seed());
+        this.parkedTunnels = new ParkedTunnels(deployment.parkTime());
+        this.retryLimiter = new RetryLimiter(deployment.retryBudget());
+        this.rosterBackoff = deployment.rosterCallDeadline() / 4;
         for (Profile profile : deployment.profiles()) {
             profiles.put(profile.id(), profile);
-            shortestMessage = Math.min(shortestMessage, profile.messageGoal());
-            longestMessage = Math.max(longestMessage, profile.messageGoal());
+            shortestMessageGoal = Math.min(shortestMessageGoal, profile.messageGoal());
+            longestMessageGoal = Math.max(longestMessageGoal, profile.messageGoal());
         }
     }
 
     /** One round: takes in all news, then decides; {@code now} never runs backwards. */
-    public void round(double now, Consumer<News> arrivals, Decisions decisions) {
+    public void round(double now, Consumer<NodeEvents> events, Decisions decisions) {
         boolean first = this.now == Double.NEGATIVE_INFINITY;
         this.now = now;
         this.decisions = decisions;
         surveyed = false;
-        startedAt = first ? now : startedAt;
-        if (now >= wokenAt - PERIOD / 1000) {
+        nodeStartedAt = first ? now : nodeStartedAt;
+        if (now >= nextWakeAt - PERIOD_SECONDS / 1000) {
             // A clock of whole steps may wake the node a step early: without a new wake-up it would
             // sleep
             // past its tunnels' client timeouts (rule 1).
-            wokenAt = Double.POSITIVE_INFINITY;
+            nextWakeAt = Double.POSITIVE_INFINITY;
         }
         if (first && deployment.rosterOnRequest()) {
             // Nodes restarted together would call together, and the roster turn all of them away.
-            rosterCallAt = now + chance.next() * rosterPatience / 2;
+            rosterCallAt = now + random.nextDouble() * rosterBackoff / 2;
         }
-        arrivals.accept(this);
-        placeAnswered();
+        events.accept(this);
+        placeProbed();
         placeWaiting();
-        moveDeparting();
-        followRoster();
-        wake(Math.min(probe(), farewell.nextQuestion()));
+        moveDueTunnels();
+        watchRosterIfDue();
+        scheduleWakeUp(Math.min(probeDueHosts(), nodeDeparture.nextQuestionAt()));
     }
 
     // ---- The roster ----
 
     @Override
-    public void rosterListed(List<Listing> listings, boolean remembered) {
-        roll.forEach(host -> host.listed = false);
-        rosterChanged(listings);
-        roll.stream().filter(host -> !host.listed).forEach(host -> host.state = Listing.State.GONE);
+    public void rosterReplaced(List<RosterEntry> entries, boolean fromCache) {
+        hostsByName.forEach(host -> host.listed = false);
+        rosterChanged(entries);
+        hostsByName.stream()
+                .filter(host -> !host.listed)
+                .forEach(host -> host.state = RosterEntry.State.GONE);
     }
 
     @Override
-    public void rosterChanged(List<Listing> listings) {
-        for (Listing listing : listings) {
-            Host host = known(listing.host());
-            if (listing.launchedAt() > host.launchedAt) {
-                host.back = host.zone != null;
-                host.launchedAt = listing.launchedAt();
-                host.startsAnew(listing.launchedAt());
+    public void rosterChanged(List<RosterEntry> entries) {
+        for (RosterEntry entry : entries) {
+            Host host = findOrAddHost(entry.host());
+            if (entry.launchedAt() > host.launchedAt) {
+                host.hasRestarted = host.zone != null;
+                host.launchedAt = entry.launchedAt();
+                host.resetAfterStart(entry.launchedAt());
             }
             host.listed = true;
-            host.weight = listing.weight();
-            turn(host, listing.state(), host.byHand);
-            host.zone = listing.zone();
-            host.cell = listing.cell();
+            host.weight = entry.weight();
+            updateHostState(host, entry.state(), host.outOfService);
+            host.zone = entry.zone();
+            host.cell = entry.cell();
         }
-        if (deployment.rosterOnRequest() && watching) {
+        if (deployment.rosterOnRequest() && watchingRoster) {
             rosterCallAt = Double.POSITIVE_INFINITY;
-            rosterPatience = deployment.mustAskWithin() / 4;
+            rosterBackoff = deployment.rosterCallDeadline() / 4;
         }
     }
 
     @Override
-    public void hostByHand(HostId at, boolean out) {
-        Host host = known(at);
-        if (!out && host.byHand) {
+    public void hostAdminStateChanged(HostId id, boolean outOfService) {
+        Host host = findOrAddHost(id);
+        if (!outOfService && host.outOfService) {
             // Staff restart what they take out: it is cold, and what it did before tells nothing.
-            host.back = true;
-            host.startsAnew(now);
+            host.hasRestarted = true;
+            host.resetAfterStart(now);
         }
-        turn(host, host.state, out);
+        updateHostState(host, host.state, outOfService);
     }
 
-    private void turn(Host host, Listing.State state, boolean byHand) {
-        boolean leaving = host.leaving();
+    private void updateHostState(Host host, RosterEntry.State state, boolean outOfService) {
+        boolean wasDraining = host.isDraining();
         host.state = state;
-        host.byHand = byHand;
+        host.outOfService = outOfService;
         // A node that leaves has an end by which all are moved: a host's own time would put that
         // off.
-        if (host.leaving() && !leaving && !farewell.begun()) {
-            departures.addAll(host.own.values(), now, DRAIN * PERIOD);
+        if (host.isDraining() && !wasDraining && !nodeDeparture.hasBegun()) {
+            moveQueue.addOpenTunnels(host.tunnels.values(), now, DRAIN_PERIODS * PERIOD_SECONDS);
         }
     }
 
-    private Host known(HostId id) {
-        return hosts.computeIfAbsent(id, name -> seats.enrol(new Host(name), roll));
+    private Host findOrAddHost(HostId id) {
+        return hosts.computeIfAbsent(id, name -> hostSlots.addHost(new Host(name), hostsByName));
     }
 
     @Override
-    public void rosterLost() {
+    public void rosterWatchLost() {
         // Ask anew, later each time, out of step with other nodes; a call that took long was wait
         // enough.
-        double took = watching ? Math.max(0, now + deployment.mustAskWithin() - rosterCallAt) : 0;
-        double draw = chance.nextApart();
+        double callDuration =
+                watchingRoster
+                        ? Math.max(0, now + deployment.rosterCallDeadline() - rosterCallAt)
+                        : 0;
+        double draw = random.nextDecorrelatedDouble();
         double pause =
                 Math.min(
-                        rosterPatience * (0.25 + 0.5 * draw),
-                        CALL_AGAIN * (0.8 + 0.2 * draw) - took);
-        rosterLostAt = watching ? now : rosterLostAt;
-        watching = false;
+                        rosterBackoff * (0.25 + 0.5 * draw),
+                        MAX_ROSTER_CALL_INTERVAL * (0.8 + 0.2 * draw) - callDuration);
+        rosterLostAt = watchingRoster ? now : rosterLostAt;
+        watchingRoster = false;
         rosterCallAt = now + Math.max(0, pause);
-        rosterPatience = Math.min(rosterPatience * 1.5, deployment.mustAskWithin() / 2);
+        rosterBackoff = Math.min(rosterBackoff * 1.5, deployment.rosterCallDeadline() / 2);
     }
 
-    private void followRoster() {
+    private void watchRosterIfDue() {
         if (now >= rosterCallAt) {
             decisions.watchRoster(true);
-            watching = true;
-            rosterCallAt =
-                    now + deployment.mustAskWithin(); // an answer that never comes is a failure
+            watchingRoster = true;
+            rosterCallAt = now + deployment.rosterCallDeadline(); // an answer that never comes is a
+            // failure
         }
     }
 
@@ -338,18 +344,18 @@
             ParticipantId participant,
             SubjectId subject,
             GroupId group,
-            double timeLeft,
+            double clientTimeLeft,
             boolean midFlow) {
-        Profile row = profiles.get(profile);
-        if (row == null || table.containsKey(id)) {
+        Profile knownProfile = profiles.get(profile);
+        if (knownProfile == null || tunnels.containsKey(id)) {
             return;
         }
-        Tunnel tunnel = new Tunnel(id, row, subject, group, now + timeLeft);
-        table.put(id, tunnel);
-        arrived.add(now, 0, 1);
-        allowance.took(now);
-        Host last = midFlow ? partings.recall(subject, now) : null;
-        if (last != null && last.takesNew()) {
+        Tunnel tunnel = new Tunnel(id, knownProfile, subject, group, now + clientTimeLeft);
+        tunnels.put(id, tunnel);
+        arrivals.add(now, 0, 1);
+        retryLimiter.tunnelAccepted(now);
+        Host last = midFlow ? parkedTunnels.recall(subject, now) : null;
+        if (last != null && last.acceptsNew()) {
             send(tunnel, last);
         } else {
             place(tunnel);
@@ -357,54 +363,54 @@
     }
 
     @Override
-    public void tunnelStanding(
+    public void tunnelResumed(
             TunnelId id,
             ProfileId profile,
             ParticipantId participant,
             SubjectId subject,
             GroupId group,
-            HostId at) {
-        Profile row = profiles.get(profile);
-        if (row == null || table.containsKey(id)) {
+            HostId hostId) {
+        Profile knownProfile = profiles.get(profile);
+        if (knownProfile == null || tunnels.containsKey(id)) {
             return;
         }
-        Host host = known(at);
-        stood = true;
-        Tunnel tunnel = new Tunnel(id, row, subject, group, Double.POSITIVE_INFINITY);
-        tunnel.setups = 1;
+        Host host = findOrAddHost(hostId);
+        hasResumedTunnels = true;
+        Tunnel tunnel = new Tunnel(id, knownProfile, subject, group, Double.POSITIVE_INFINITY);
+        tunnel.setupsSent = 1;
         tunnel.open = true;
         tunnel.host = host;
-        host.admit(tunnel);
-        table.put(id, tunnel);
-        if (farewell.begun() || host.leaving()) {
-            departures.add(tunnel);
+        host.addTunnel(tunnel);
+        tunnels.put(id, tunnel);
+        if (nodeDeparture.hasBegun() || host.isDraining()) {
+            moveQueue.add(tunnel);
         }
     }
 
     @Override
-    public void tunnelOpened(TunnelId id, int setup, HostId at, double took) {
-        Tunnel tunnel = table.get(id);
-        if (tunnel != null && setup == tunnel.setups - 1 && tunnel.out) {
-            tunnel.out = false;
-            opened.add(now, took, 1);
-            pace.ended(now, false);
+    public void tunnelOpened(TunnelId id, int setup, HostId hostId, double duration) {
+        Tunnel tunnel = tunnels.get(id);
+        if (tunnel != null && setup == tunnel.setupsSent - 1 && tunnel.setupInFlight) {
+            tunnel.setupInFlight = false;
+            openings.add(now, duration, 1);
+            setupLimiter.setupEnded(now, false);
             tunnel.open = true;
-            tunnel.host.failuresInRow = 0;
-            if (farewell.begun() || tunnel.host.leaving()) {
-                departures.add(tunnel);
+            tunnel.host.consecutiveFailures = 0;
+            if (nodeDeparture.hasBegun() || tunnel.host.isDraining()) {
+                moveQueue.add(tunnel);
             }
         }
     }
 
     @Override
-    public void tunnelLeft(TunnelId id) {
-        Tunnel tunnel = table.remove(id);
+    public void tunnelAbandoned(TunnelId id) {
+        Tunnel tunnel = tunnels.remove(id);
         if (tunnel != null) {
-            leave(tunnel);
-            if (tunnel.out) {
-                pace.givenUp();
+            removeFromHost(tunnel);
+            if (tunnel.setupInFlight) {
+                setupLimiter.setupAbandoned();
                 if (deployment.mayCancel()) {
-                    decisions.cancel(id, tunnel.setups - 1);
+                    decisions.cancelSetup(id, tunnel.setupsSent - 1);
                 }
             }
         }
@@ -412,46 +418,51 @@
 
     @Override
     public void setupEnded(
-            TunnelId id, int setup, HostId at, SetupEnd end, double took, boolean over) {
-        Host host = hosts.get(at);
-        Tunnel tunnel = table.get(id);
-        boolean current = tunnel != null && setup == tunnel.setups - 1;
+            TunnelId id,
+            int setup,
+            HostId hostId,
+            SetupOutcome outcome,
+            double duration,
+            boolean tunnelEnded) {
+        Host host = hosts.get(hostId);
+        Tunnel tunnel = tunnels.get(id);
+        boolean current = tunnel != null && setup == tunnel.setupsSent - 1;
         if (host != null) {
-            judge(host, end, current && tunnel.open);
+            recordOutcome(host, outcome, current && tunnel.open);
         }
-        if (end == SetupEnd.COMPLETED) {
-            completed.add(now, 0, 1);
+        if (outcome == SetupOutcome.COMPLETED) {
+            completions.add(now, 0, 1);
         }
         if (tunnel == null) {
             return;
         }
         if (current) {
-            leave(tunnel);
-            grown -= end == SetupEnd.BROKEN ? 0 : 1;
-            if (tunnel.out) {
-                tunnel.out = false;
-                if (end == SetupEnd.ERROR || end == SetupEnd.TIMED_OUT) {
-                    pace.ended(now, true);
+            removeFromHost(tunnel);
+            netPlacements -= outcome == SetupOutcome.BROKEN ? 0 : 1;
+            if (tunnel.setupInFlight) {
+                tunnel.setupInFlight = false;
+                if (outcome == SetupOutcome.ERROR || outcome == SetupOutcome.TIMED_OUT) {
+                    setupLimiter.setupEnded(now, true);
                 } else {
-                    pace.givenUp();
+                    setupLimiter.setupAbandoned();
                 }
             }
         }
-        if (over) {
-            table.remove(id);
+        if (tunnelEnded) {
+            tunnels.remove(id);
             if (deployment.tunnelsPassThrough()
                     && tunnel.subject != null
                     && host != null
                     && tunnel.open) {
-                partings.remember(tunnel.subject, host, now);
+                parkedTunnels.remember(tunnel.subject, host, now);
             }
         } else if (current) {
-            if (!end.neverRan()) {
-                tunnel.mayHaveRunAt = host;
+            if (!outcome.neverRan()) {
+                tunnel.mayHaveRunOn = host;
                 tunnel.mayHaveRun = true;
             }
             if (host != null) {
-                tunnel.tried.add(host);
+                tunnel.triedHosts.add(host);
             }
             place(tunnel);
         }
@@ -462,36 +473,38 @@
      * sent.
      */
     private void place(Tunnel tunnel) {
-        double needed = LEAST_OF_GOAL * tunnel.profile.setupGoal();
-        tunnel.obstacle =
-                farewell.begun()
+        double minTimeLeft = MIN_TIME_LEFT_GOAL_SHARE * tunnel.profile.setupGoal();
+        tunnel.declineReason =
+                nodeDeparture.hasBegun()
                         ? DeclineReason.NODE_LEAVES
-                        : tunnel.setups >= deployment.mostSetups()
+                        : tunnel.setupsSent >= deployment.maxSetups()
                                 ? DeclineReason.SETUPS_SPENT
-                                : tunnel.clientGivesUpAt - now <= needed
+                                : tunnel.clientTimeoutAt - now <= minTimeLeft
                                         ? DeclineReason.TIME_SPENT
-                                        : tunnel.setups > 0 && allowance.left(now) < 1
+                                        : tunnel.setupsSent > 0 && retryLimiter.remaining(now) < 1
                                                 ? DeclineReason.BUDGET_SPENT // rule 5
                                                 : null;
-        boolean worthSending = tunnel.obstacle == null && mayRunAgain(tunnel);
-        tunnel.obstacle =
-                worthSending && pace.full() ? DeclineReason.SETUPS_HELD_BACK : tunnel.obstacle;
-        if (worthSending && pace.full() && mayWait(tunnel)) {
-            waiting.add(tunnel);
+        boolean worthSending = tunnel.declineReason == null && mayRunAgain(tunnel);
+        tunnel.declineReason =
+                worthSending && setupLimiter.isFull()
+                        ? DeclineReason.SETUPS_HELD_BACK
+                        : tunnel.declineReason;
+        if (worthSending && setupLimiter.isFull() && mayWait(tunnel)) {
+            waitingTunnels.add(tunnel);
             return;
         }
-        Host host = worthSending && !pace.full() ? draw(tunnel) : null;
+        Host host = worthSending && !setupLimiter.isFull() ? drawHost(tunnel) : null;
         if (host == null) {
-            giveUp(tunnel);
+            giveFinalAnswer(tunnel);
             if (worthSending) {
-                lookAround();
+                recheckHost();
             }
-        } else if (mayAsk(tunnel) && !host.fresh()) {
-            tunnel.asks++;
-            tunnel.asked = host;
-            tunnel.askedUntil = now + ASK_PATIENCE * tunnel.profile.setupGoal();
-            asking.add(tunnel);
-            ask(host, false);
+        } else if (mayProbeFirst(tunnel) && !host.hasFreshReport()) {
+            tunnel.hostProbes++;
+            tunnel.probedHost = host;
+            tunnel.probeWaitUntil = now + PROBE_WAIT_GOAL_SHARE * tunnel.profile.setupGoal();
+            awaitingProbe.add(tunnel);
+            probeHost(host, false);
         } else {
             send(tunnel, host);
         }
@@ -500,55 +513,56 @@
     /**
      * No host for a tunnel. Guards against a dark view: who never asks would not hear of new room.
      */
-    private void lookAround() {
-        departures.hold(now + PERIOD);
-        if (deployment.mayProbe() && now >= nextLook) {
-            nextLook = now + PERIOD / LOOKS;
-            List<Host> unsure =
-                    roll.stream()
+    private void recheckHost() {
+        moveQueue.delayUntil(now + PERIOD_SECONDS);
+        if (deployment.mayProbe() && now >= nextRecheckAt) {
+            nextRecheckAt = now + PERIOD_SECONDS / RECHECKS_PER_PERIOD;
+            List<Host> candidates =
+                    hostsByName.stream()
                             .filter(
                                     host ->
-                                            used(host)
-                                                    && !host.fresh()
-                                                    && !host.probing
-                                                    && !host.cold())
+                                            isUsable(host)
+                                                    && !host.hasFreshReport()
+                                                    && !host.probeInFlight
+                                                    && !host.isCold())
                             .toList();
-            if (!unsure.isEmpty()) {
-                ask(unsure.get((int) (chance.next() * unsure.size())), false);
+            if (!candidates.isEmpty()) {
+                probeHost(candidates.get((int) (random.nextDouble() * candidates.size())), false);
             }
         }
     }
 
     /** A figure is worth a wait while the setup that follows still has time for its goal. */
-    private boolean mayAsk(Tunnel tunnel) {
+    private boolean mayProbeFirst(Tunnel tunnel) {
         return deployment.mayProbe()
-                && tunnel.asks < ASKS
-                && now + 2 * tunnel.profile.setupGoal() < tunnel.clientGivesUpAt;
+                && tunnel.hostProbes < MAX_PROBES_PER_TUNNEL
+                && now + 2 * tunnel.profile.setupGoal() < tunnel.clientTimeoutAt;
     }
 
     /** Places the tunnels whose asked hosts have answered, or have not for too long. */
-    private void placeAnswered() {
-        List<Tunnel> asked = asking;
-        asking = new ArrayList<>();
-        for (Tunnel tunnel : asked) {
-            if (tunnel.asked.probing && now < tunnel.askedUntil) {
-                asking.add(tunnel);
-            } else if (table.containsKey(tunnel.id)) {
-                if (tunnel.asked.probing) {
-                    tunnel.tried.add(tunnel.asked);
-                    tunnel.asks = fewHeard ? ASKS : tunnel.asks;
+    private void placeProbed() {
+        List<Tunnel> probed = awaitingProbe;
+        awaitingProbe = new ArrayList<>();
+        for (Tunnel tunnel : probed) {
+            if (tunnel.probedHost.probeInFlight && now < tunnel.probeWaitUntil) {
+                awaitingProbe.add(tunnel);
+            } else if (tunnels.containsKey(tunnel.id)) {
+                if (tunnel.probedHost.probeInFlight) {
+                    tunnel.triedHosts.add(tunnel.probedHost);
+                    tunnel.hostProbes = fewReports ? MAX_PROBES_PER_TUNNEL : tunnel.hostProbes;
                 }
                 place(tunnel);
             }
         }
     }
 
-    private void giveUp(Tunnel tunnel) {
-        table.remove(tunnel.id);
+    private void giveFinalAnswer(Tunnel tunnel) {
+        tunnels.remove(tunnel.id);
         if (mayDecline(tunnel)) {
-            double most = Math.min(PERIOD, deployment.longestReturn()) / 1.5;
-            double advice = deployment.adviceOnReturn() ? most * (0.5 + chance.next()) : 0;
-            decisions.decline(tunnel.id, advice, tunnel.obstacle);
+            double maxDelay = Math.min(PERIOD_SECONDS, deployment.maxRetryAfter()) / 1.5;
+            double retryAfter =
+                    deployment.supportsRetryAfter() ? maxDelay * (0.5 + random.nextDouble()) : 0;
+            decisions.decline(tunnel.id, retryAfter, tunnel.declineReason);
         } else {
             decisions.closeWithError(tunnel.id);
         }
@@ -558,21 +572,21 @@
      * Whether its turn is likely to come while the client still waits and a setup still has time.
      */
     private boolean mayWait(Tunnel tunnel) {
-        double turn = (waiting.size() + 1) / Math.max(1, opened.rate(now));
-        return now + turn + tunnel.profile.setupGoal() < tunnel.clientGivesUpAt;
+        double expectedWait = (waitingTunnels.size() + 1) / Math.max(1, openings.rate(now));
+        return now + expectedWait + tunnel.profile.setupGoal() < tunnel.clientTimeoutAt;
     }
 
     private void placeWaiting() {
         // Rule 1: tunnels wait with unlike time left, so any of them may run out of it first.
-        List<Tunnel> late = new ArrayList<>(waiting);
-        late.removeIf(
+        List<Tunnel> outOfTime = new ArrayList<>(waitingTunnels);
+        outOfTime.removeIf(
                 tunnel ->
-                        !table.containsKey(tunnel.id)
-                                || now + tunnel.profile.setupGoal() / 2 < tunnel.clientGivesUpAt);
-        late.forEach(this::giveUp);
-        waiting.removeIf(tunnel -> !table.containsKey(tunnel.id));
-        while (!pace.full() && !waiting.isEmpty()) {
-            place(waiting.remove());
+                        !tunnels.containsKey(tunnel.id)
+                                || now + tunnel.profile.setupGoal() / 2 < tunnel.clientTimeoutAt);
+        outOfTime.forEach(this::giveFinalAnswer);
+        waitingTunnels.removeIf(tunnel -> !tunnels.containsKey(tunnel.id));
+        while (!setupLimiter.isFull() && !waitingTunnels.isEmpty()) {
+            place(waitingTunnels.remove());
         }
     }
 
@@ -598,50 +612,52 @@
         if (!tunnel.mayHaveRun || tunnel.profile.repeat() != Repeat.REFERENCED) {
             return true;
         }
-        Host ran = tunnel.mayHaveRunAt;
-        return ran != null
+        Host hostOfFirstRun = tunnel.mayHaveRunOn;
+        return hostOfFirstRun != null
                 && switch (tunnel.profile.dedupScope()) {
                     case ALL -> true;
-                    case ZONE -> ran.zone != null && ran.zone.equals(host.zone);
-                    case CELL -> ran.cell == host.cell;
+                    case ZONE ->
+                            hostOfFirstRun.zone != null && hostOfFirstRun.zone.equals(host.zone);
+                    case CELL -> hostOfFirstRun.cell == host.cell;
                 };
     }
 
     private void send(Tunnel tunnel, Host host) {
-        if (tunnel.setups == 0) {
+        if (tunnel.setupsSent == 0) {
             tunnel.firstSentAt = now;
         } else {
-            allowance.spent(now);
+            retryLimiter.retrySent(now);
         }
         // A slow session store, or whatever all setups share, only queues those cut off at the goal
         // again.
-        double usual = opened.sum(now) / Math.max(1, opened.count(now));
-        double patience = SLOW_SETUP * Math.max(tunnel.profile.setupGoal(), usual);
+        double averageDuration = openings.sum(now) / Math.max(1, openings.count(now));
+        double patience =
+                SETUP_TIMEOUT_MULTIPLE * Math.max(tunnel.profile.setupGoal(), averageDuration);
         // Timed out, a once-only tunnel, or one past its window, could neither go again nor be
         // declined.
         Repeat repeat = tunnel.profile.repeat();
         boolean last =
-                tunnel.setups + 1 >= deployment.mostSetups()
+                tunnel.setupsSent + 1 >= deployment.maxSetups()
                         || repeat == Repeat.ONCE_ONLY
                         || (repeat == Repeat.REFERENCED
                                 && now + patience >= tunnel.dedupWindowEnd());
-        double timeOut = last ? 0 : Math.min(tunnel.clientGivesUpAt - now, patience);
-        tunnel.setups++;
-        tunnel.out = true;
-        pace.sent();
+        double timeout = last ? 0 : Math.min(tunnel.clientTimeoutAt - now, patience);
+        tunnel.setupsSent++;
+        tunnel.setupInFlight = true;
+        setupLimiter.setupSent();
         tunnel.host = host;
-        host.admit(tunnel);
-        mean += host.loadOfOne() / counted;
+        host.addTunnel(tunnel);
+        meanLoad += host.loadPerPlacement() / hostsInMean;
         host.placedSinceReport++;
-        grown++;
-        placed.add(now, 0, 1);
-        host.slowStart.took(now);
-        decisions.setUp(tunnel.id, host.id, timeOut);
+        netPlacements++;
+        placements.add(now, 0, 1);
+        host.slowStart.tunnelSent(now);
+        decisions.sendSetup(tunnel.id, host.id, timeout);
     }
 
-    private void leave(Tunnel tunnel) {
+    private void removeFromHost(Tunnel tunnel) {
         if (tunnel.host != null) {
-            tunnel.host.dismiss(tunnel);
+            tunnel.host.removeTunnel(tunnel);
             tunnel.host = null;
         }
     }
@@ -652,19 +668,20 @@
      * The host that this tunnel's number falls on, drawn from [0, 256) over the hosts' weights, or
      * null where none should take it.
      */
-    private Host draw(Tunnel tunnel) {
-        survey();
+    private Host drawHost(Tunnel tunnel) {
+        surveyHosts();
         // What is too much for the warm hosts' room may still go where a cold one waits for its
         // part.
-        boolean excess = tunnel.asks == 0 && admitted < 1 && chance.next() >= admitted;
-        Host home = excess || tunnel.group == null ? null : drawnForGroup(tunnel);
-        if (home != null) {
-            return home;
+        boolean excess =
+                tunnel.hostProbes == 0 && admittedShare < 1 && random.nextDouble() >= admittedShare;
+        Host groupHost = excess || tunnel.group == null ? null : drawHostForGroup(tunnel);
+        if (groupHost != null) {
+            return groupHost;
         }
-        List<Host> eligible = new ArrayList<>(roll);
-        eligible.removeIf(host -> (excess && !host.cold()) || !mayTake(host, tunnel));
-        if (!tunnel.tried.containsAll(eligible)) {
-            eligible.removeAll(tunnel.tried);
+        List<Host> eligible = new ArrayList<>(hostsByName);
+        eligible.removeIf(host -> (excess && !host.isCold()) || !mayAccept(host, tunnel));
+        if (!tunnel.triedHosts.containsAll(eligible)) {
+            eligible.removeAll(tunnel.triedHosts);
         }
         if (deployment.reportsCapacity()) {
             // One tunnel too many ends in hosts that shed tunnels, whose clients come again at
@@ -672,41 +689,43 @@
             // declines cost less. In a busy fleet one more host to pay for a group costs more than
             // a
             // tunnel earns, but on idle hosts.
-            double most = tunnel.group != null && mean > BUSY ? IDLE : BRIMFUL;
+            double maxLoad = tunnel.group != null && meanLoad > BUSY_LOAD ? IDLE_LOAD : FULL_LOAD;
             // A cold host goes by its own load, which falls as it warms: by the mean, or by what an
             // idle host
             // is held to, a busy fleet would leave it empty.
-            eligible.removeIf(host -> host.expectedLoad() > (host.cold() ? BRIMFUL : most));
+            eligible.removeIf(host -> host.expectedLoad() > (host.isCold() ? FULL_LOAD : maxLoad));
         }
         // The few that a node knows just after its start would take all that comes in a rush.
-        if (!mayAsk(tunnel) && !fewHeard && eligible.stream().anyMatch(Host::fresh)) {
-            eligible.removeIf(host -> !host.fresh());
+        if (!mayProbeFirst(tunnel)
+                && !fewReports
+                && eligible.stream().anyMatch(Host::hasFreshReport)) {
+            eligible.removeIf(host -> !host.hasFreshReport());
         }
         if (eligible.isEmpty()) {
-            tunnel.obstacle =
-                    excess && admitted > 0
+            tunnel.declineReason =
+                    excess && admittedShare > 0
                             ? DeclineReason.EXCESS
-                            : Obstacles.commonest(
-                                    roll,
-                                    this::used,
-                                    host -> late(host, tunnel),
-                                    host -> mayTake(host, tunnel));
+                            : DeclineReasons.mostCommon(
+                                    hostsByName,
+                                    this::isUsable,
+                                    host -> isLateFor(host, tunnel),
+                                    host -> mayAccept(host, tunnel));
             return null;
         }
-        return drawn(narrowed(eligible), chance.next() * SPAN);
+        return drawByWeight(preferredHosts(eligible), random.nextDouble() * DRAW_RANGE);
     }
 
     /** Whether rules, health and list let this host take the tunnel now. */
-    private boolean mayTake(Host host, Tunnel tunnel) {
-        return used(host)
+    private boolean mayAccept(Host host, Tunnel tunnel) {
+        return isUsable(host)
                 && dropsRepeats(tunnel, host)
-                && !late(host, tunnel)
-                && ((!host.cold() && !hollow(host))
-                        || host.slowStart.mayTake(now, warmHostCanTake));
+                && !isLateFor(host, tunnel)
+                && ((!host.isCold() && !isUnexpectedlyEmpty(host))
+                        || host.slowStart.maySend(now, warmHostRate));
     }
 
-    private boolean late(Host host, Tunnel tunnel) {
-        return !noneTimely && host.lateness.lasts(now, tunnel.profile.messageGoal());
+    private boolean isLateFor(Host host, Tunnel tunnel) {
+        return !allHostsLate && host.lateness.isLateFor(now, tunnel.profile.messageGoal());
     }
 
     /**
@@ -714,17 +733,22 @@
      * or died unlisted, which all nodes would rush together, and so again and again: each keeps to
      * its part. One that is empty fills in seconds.
      */
-    private boolean hollow(Host host) {
-        return mean > BUSY && host.heard() && host.load < usualLoad / 2;
+    private boolean isUnexpectedlyEmpty(Host host) {
+        return meanLoad > BUSY_LOAD && host.hasReport() && host.reportedLoad < averageLoad / 2;
     }
 
-    private boolean used(Host host) {
-        return host.takesNew() && (noneAnswers || !host.silent()) && (doubtful || !host.shunned());
+    private boolean isUsable(Host host) {
+        return host.acceptsNew()
+                && (allHostsSilent || !host.isSilent())
+                && (mostHostsFailing || !host.isAvoided());
     }
 
     /** Hosts on the list; {@code avoided}: those that get nothing new as of the last round. */
-    public int listed(boolean avoided) {
-        return (int) roll.stream().filter(host -> host.here() && !(avoided && used(host))).count();
+    public int listedHostCount(boolean onlyUnusable) {
+        return (int)
+                hostsByName.stream()
+                        .filter(host -> host.isPresent() && !(onlyUnusable && isUsable(host)))
+                        .count();
     }
 
     /**
@@ -733,47 +757,49 @@
      * of the weights: nodes find the same hosts, and a host that comes or goes shifts only its own
      * groups.
      */
-    private Host drawnForGroup(Tunnel tunnel) {
-        boolean nearOnly = mean < IDLE && nearTake;
-        double holderLimit = limit(HOLDER_SLACK);
-        List<Host> holding = new ArrayList<>(holders.of(tunnel.group));
-        holding.removeIf(
+    private Host drawHostForGroup(Tunnel tunnel) {
+        boolean nearOnly = meanLoad < IDLE_LOAD && nearHostAvailable;
+        double holderLoadLimit = groupLoadLimit(GROUP_HOST_LOAD_SLACK);
+        List<Host> holders = new ArrayList<>(groupHosts.hostsOf(tunnel.group));
+        holders.removeIf(
                 host ->
-                        (nearOnly && !host.near())
-                                || !mayTake(host, tunnel)
-                                || tunnel.tried.contains(host)
-                                || count(host) > holderLimit);
-        if (!holding.isEmpty()) {
-            return drawn(holding, chance.next() * SPAN);
-        }
-        double most = limit(LEVEL_SLACK);
-        long number = Seats.numberOf(tunnel.group.name());
-        int draws = mean > BUSY ? 1 : GROUP_DRAWS;
-        for (int k = 0; draws > 0 && k < 4 * seats.size(); k++) {
-            long drawn = Seats.scattered(number + k);
-            Host host = seats.under(drawn);
+                        (nearOnly && !host.isNear())
+                                || !mayAccept(host, tunnel)
+                                || tunnel.triedHosts.contains(host)
+                                || drawLoad(host) > holderLoadLimit);
+        if (!holders.isEmpty()) {
+            return drawByWeight(holders, random.nextDouble() * DRAW_RANGE);
+        }
+        double maxLoad = groupLoadLimit(ACTIVE_LOAD_SLACK);
+        long groupHash = HostSlots.hash(tunnel.group.name());
+        int drawsLeft = meanLoad > BUSY_LOAD ? 1 : GROUP_DRAWS;
+        for (int k = 0; drawsLeft > 0 && k < 4 * hostSlots.slotCount(); k++) {
+            long hash = HostSlots.mix(groupHash + k);
+            Host host = hostSlots.hostAt(hash);
             if (host == null
-                    || !host.takesNew()
-                    || (nearOnly && !host.near())
-                    || (drawn & 0xffff) / 65536.0 * mean * active >= mean * active - count(host)) {
+                    || !host.acceptsNew()
+                    || (nearOnly && !host.isNear())
+                    || (hash & 0xffff) / 65536.0 * meanLoad * activeHosts
+                            >= meanLoad * activeHosts - drawLoad(host)) {
                 continue;
             }
-            draws--;
-            if (mayTake(host, tunnel)
-                    && !tunnel.tried.contains(host)
-                    && (count(host) <= most || (!host.heard() && mayAsk(tunnel)))) {
+            drawsLeft--;
+            if (mayAccept(host, tunnel)
+                    && !tunnel.triedHosts.contains(host)
+                    && (drawLoad(host) <= maxLoad
+                            || (!host.hasReport() && mayProbeFirst(tunnel)))) {
                 return host;
             }
         }
         return null;
     }
 
-    private double limit(double slack) {
-        return mean > BUSY ? BRIMFUL : Math.max(mean * slack, ROOMY);
+    private double groupLoadLimit(double slack) {
+        return meanLoad > BUSY_LOAD ? FULL_LOAD : Math.max(meanLoad * slack, MODERATE_LOAD);
     }
 
     /** Once a round that places tunnels: what the hosts' figures say together. */
-    private void survey() {
+    private void surveyHosts() {
         if (surveyed) {
             return;
         }
@@ -781,109 +807,128 @@
         int reachable = 0;
         int warm = 0;
         List<Host> healthy = new ArrayList<>();
-        active = 0;
-        nearTake = false;
-        filling.begin();
-        for (Host host : roll) {
-            if (host.takesNew()) {
-                active++;
-                warm += host.cold() && !host.back ? 0 : 1;
-                reachable += host.silent() ? 0 : 1;
-                if (!host.silent() && !host.shunned()) {
+        activeHosts = 0;
+        nearHostAvailable = false;
+        capacityEstimate.beginSurvey();
+        for (Host host : hostsByName) {
+            if (host.acceptsNew()) {
+                activeHosts++;
+                warm += host.isCold() && !host.hasRestarted ? 0 : 1;
+                reachable += host.isSilent() ? 0 : 1;
+                if (!host.isSilent() && !host.isAvoided()) {
                     healthy.add(host);
-                    nearTake |= host.near();
+                    nearHostAvailable |= host.isNear();
                 }
             }
         }
-        noneAnswers = reachable == 0;
-        doubtful = 2 * healthy.size() < reachable;
-        healthy.stream().filter(host -> !host.overwhelmed()).forEach(filling::add);
-        noneTimely = healthy.stream().allMatch(host -> host.lateness.lasts(now, longestMessage));
+        allHostsSilent = reachable == 0;
+        mostHostsFailing = 2 * healthy.size() < reachable;
+        healthy.stream().filter(host -> !host.isStalled()).forEach(capacityEstimate::addReport);
+        allHostsLate =
+                healthy.stream().allMatch(host -> host.lateness.isLateFor(now, longestMessageGoal));
         healthy.removeIf(
                 host ->
-                        host.cold()
-                                || host.noted
-                                || (!noneTimely && host.lateness.lasts(now, longestMessage)));
-        int heard = (int) healthy.stream().filter(Host::heard).count();
-        List<Host> sound = healthy.stream().filter(host -> !host.overwhelmed()).toList();
-        sound = sound.isEmpty() ? healthy : sound;
-        counted = Math.max(1, sound.size());
-        List<Host> telling = sound.stream().filter(Host::heard).toList();
-        double loads = telling.stream().mapToDouble(host -> host.load).sum();
-        double tunnels = telling.stream().mapToDouble(Host::tunnelsThere).sum();
-        usualLoad = loads / Math.max(1, telling.size());
+                        host.isCold()
+                                || host.probedForOverload
+                                || (!allHostsLate
+                                        && host.lateness.isLateFor(now, longestMessageGoal)));
+        int reportCount = (int) healthy.stream().filter(Host::hasReport).count();
+        List<Host> responsive = healthy.stream().filter(host -> !host.isStalled()).toList();
+        responsive = responsive.isEmpty() ? healthy : responsive;
+        hostsInMean = Math.max(1, responsive.size());
+        List<Host> reporting = responsive.stream().filter(Host::hasReport).toList();
+        double totalLoad = reporting.stream().mapToDouble(host -> host.reportedLoad).sum();
+        double totalTunnels = reporting.stream().mapToDouble(Host::tunnelEstimate).sum();
+        averageLoad = totalLoad / Math.max(1, reporting.size());
         // Guards the nearest host: placements that weigh nothing would all go there, hundreds at
         // once where a
         // node that has just started takes in the clients of one that leaves.
-        boolean untold = deployment.reportsCapacity() && young();
-        usualLoadOfOne = untold || tunnels < 1 || loads <= 0 ? 1 / SPAN : loads / tunnels;
-        mean = sound.stream().mapToDouble(Host::expectedLoad).sum() / counted;
-        double sumOfRoom =
+        boolean tooFewTunnels = deployment.reportsCapacity() && hasJustStarted();
+        averageTunnelLoad =
+                tooFewTunnels || totalTunnels < 1 || totalLoad <= 0
+                        ? 1 / DRAW_RANGE
+                        : totalLoad / totalTunnels;
+        meanLoad = responsive.stream().mapToDouble(Host::expectedLoad).sum() / hostsInMean;
+        double totalRoom =
                 healthy.stream()
-                        .filter(Host::heard)
-                        .mapToDouble(host -> Math.max(0, BRIMFUL - host.expectedLoad()))
+                        .filter(Host::hasReport)
+                        .mapToDouble(host -> Math.max(0, FULL_LOAD - host.expectedLoad()))
                         .sum();
-        fewHeard = heard < Math.min(active, FEW);
-        if (fewHeard) {
+        fewReports = reportCount < Math.min(activeHosts, MIN_SAMPLES);
+        if (fewReports) {
             // A few hosts don't tell that the fleet is busy: tunnels would be declined unasked.
-            mean = Math.min(mean, ROOMY);
+            meanLoad = Math.min(meanLoad, MODERATE_LOAD);
         }
-        boolean known = deployment.reportsCapacity() && heard > 0;
-        double load = known ? Math.min(1, Math.max(IDLE, usualLoad)) : 1;
+        boolean capacityKnown = deployment.reportsCapacity() && reportCount > 0;
+        double fleetLoad = capacityKnown ? Math.min(1, Math.max(IDLE_LOAD, averageLoad)) : 1;
         // Nodes that all see the same little room would fill it many times over before a report
         // shows it:
         // hosts would sink, shed and be filled again. So each keeps to its share of the room.
-        double room = ROOM_PROMISED * sumOfRoom / Math.max(1, heard) * active / deployment.nodes();
-        double inflow = arrived.rate(now) * PERIOD * usualLoadOfOne;
-        admitted = !known || fewHeard || room >= inflow ? 1 : room / inflow;
+        double roomForThisNode =
+                ROOM_OVERCOMMIT
+                        * totalRoom
+                        / Math.max(1, reportCount)
+                        * activeHosts
+                        / deployment.nodeCount();
+        double arrivingLoad = arrivals.rate(now) * PERIOD_SECONDS * averageTunnelLoad;
+        admittedShare =
+                !capacityKnown || fewReports || roomForThisNode >= arrivingLoad
+                        ? 1
+                        : roomForThisNode / arrivingLoad;
         // With all hosts new at once, what ended did so on as many others.
         // Where tunnels last long, what ends tells too little: a host takes what fills it over its
         // warm-up.
-        warmHostCanTake =
+        warmHostRate =
                 Math.max(
-                        completed.rate(now) / Math.max(1, warm > 0 ? warm : active) / load,
-                        filling.aSecond(young()));
+                        completions.rate(now)
+                                / Math.max(1, warm > 0 ? warm : activeHosts)
+                                / fleetLoad,
+                        capacityEstimate.placementsPerSecond(hasJustStarted()));
     }
 
     /**
      * Whether the node has started among others: its own tunnels are no measure of all that there
      * are.
      */
-    private boolean young() {
-        return !stood && now < startedAt + 2 * KEPT * PERIOD;
+    private boolean hasJustStarted() {
+        return !hasResumedTunnels && now < nodeStartedAt + 2 * EXPIRY_PERIODS * PERIOD_SECONDS;
     }
 
     /** The design's count_i; warming hosts that report less take the mean. */
-    private double count(Host host) {
-        return host.cold() ? Math.max(mean, host.expectedLoad()) : host.expectedLoad();
+    private double drawLoad(Host host) {
+        return host.isCold() ? Math.max(meanLoad, host.expectedLoad()) : host.expectedLoad();
     }
 
     /**
      * Who counts as active for this tunnel: hosts no busier than the mean, and near if there are
      * any.
      */
-    private List<Host> narrowed(List<Host> eligible) {
-        List<Host> level =
-                eligible.stream().filter(host -> count(host) <= mean * LEVEL_SLACK).toList();
-        List<Host> near = level.stream().filter(Host::near).toList();
-        return !near.isEmpty() ? near : !level.isEmpty() ? level : eligible;
+    private List<Host> preferredHosts(List<Host> eligible) {
+        List<Host> belowMean =
+                eligible.stream()
+                        .filter(host -> drawLoad(host) <= meanLoad * ACTIVE_LOAD_SLACK)
+                        .toList();
+        List<Host> near = belowMean.stream().filter(Host::isNear).toList();
+        return !near.isEmpty() ? near : !belowMean.isEmpty() ? belowMean : eligible;
     }
 
-    private Host drawn(List<Host> active, double mark) {
-        int n = active.size();
-        double total = active.stream().mapToDouble(this::count).sum();
-        for (Host host : active) {
-            mark -= weight(count(host), total, n);
-            if (mark < 0) {
+    private Host drawByWeight(List<Host> candidates, double number) {
+        int n = candidates.size();
+        double total = candidates.stream().mapToDouble(this::drawLoad).sum();
+        for (Host host : candidates) {
+            number -= weight(drawLoad(host), total, n);
+            if (number < 0) {
                 return host;
             }
         }
-        return active.get(n - 1);
+        return candidates.get(n - 1);
     }
 
     /** The design's w_i = 256 (total - count_i) / (total (n - 1)). */
-    static double weight(double count, double total, int n) {
-        return n == 1 ? SPAN : total <= 0 ? SPAN / n : SPAN * (total - count) / (total * (n - 1));
+    static double weight(double load, double total, int n) {
+        return n == 1
+                ? DRAW_RANGE
+                : total <= 0 ? DRAW_RANGE / n : DRAW_RANGE * (total - load) / (total * (n - 1));
     }
 
     // ---- Probes, reports and the hosts' health ----
@@ -894,49 +939,51 @@
      * that are declined come again many times: they are worth none. Returns when the next probe is
      * due.
      */
-    private double probe() {
+    private double probeDueHosts() {
         double next = Double.POSITIVE_INFINITY;
-        double rate = placed.count(now) / Math.min(8 * PERIOD, now - startedAt + PERIOD);
-        double round = Math.max(PERIOD, roll.size() / (PROBES_EACH * rate));
-        if (!deployment.mayProbe() || round > PERIOD * 2) {
+        double rate =
+                placements.count(now)
+                        / Math.min(8 * PERIOD_SECONDS, now - nodeStartedAt + PERIOD_SECONDS);
+        double interval = Math.max(PERIOD_SECONDS, hostsByName.size() / (PROBES_PER_TUNNEL * rate));
+        if (!deployment.mayProbe() || interval > PERIOD_SECONDS * 2) {
             return next;
         }
-        for (Host host : roll) {
-            if (host.here() && !host.byHand && !host.probing) {
-                if (now >= host.nextProbe) {
-                    ask(host, false);
-                    host.nextProbe = now + round * (0.9 + 0.2 * chance.next());
+        for (Host host : hostsByName) {
+            if (host.isPresent() && !host.outOfService && !host.probeInFlight) {
+                if (now >= host.nextProbeAt) {
+                    probeHost(host, false);
+                    host.nextProbeAt = now + interval * (0.9 + 0.2 * random.nextDouble());
                 } else {
-                    next = Math.min(next, host.nextProbe);
+                    next = Math.min(next, host.nextProbeAt);
                 }
             }
         }
         return next;
     }
 
-    private void ask(Host host, boolean noted) {
-        host.noted = noted;
-        if (!host.probing) {
-            host.probing = true;
+    private void probeHost(Host host, boolean forOverload) {
+        host.probedForOverload = forOverload;
+        if (!host.probeInFlight) {
+            host.probeInFlight = true;
             decisions.probe(host.id);
         }
     }
 
     @Override
-    public void probeEnded(HostId at, boolean answered, double took) {
-        Host host = hosts.get(at);
+    public void probeEnded(HostId hostId, boolean answered, double duration) {
+        Host host = hosts.get(hostId);
         if (host != null) {
-            host.probing = false;
-            host.reportedAt = answered ? now : host.reportedAt;
-            host.silentUntil = answered ? now : now + SHUN * PERIOD;
-            host.away |= !answered;
+            host.probeInFlight = false;
+            host.lastReportAt = answered ? now : host.lastReportAt;
+            host.silentUntil = answered ? now : now + FAILURE_BACKOFF_PERIODS * PERIOD_SECONDS;
+            host.wasUnreachable |= !answered;
         }
     }
 
     @Override
     public void hostReported(
-            HostId at, double loadOverCapacity, double openTunnels, double queued) {
-        Host host = hosts.get(at);
+            HostId hostId, double loadOverCapacity, double openTunnels, double queued) {
+        Host host = hosts.get(hostId);
         if (host != null) {
             double load =
                     !Double.isNaN(loadOverCapacity)
@@ -944,16 +991,19 @@
                             : (!Double.isNaN(openTunnels) ? openTunnels : queued) / host.weight;
             if (load >= 0 && load < Double.POSITIVE_INFINITY) { // else senseless: the figure before
                 // stands
-                doubt(host, load);
-                host.load = load;
-                host.openThere = openTunnels >= 0 ? openTunnels : Double.NaN;
-                host.reportedAt = now;
-                host.grownAtReport = grown;
+                checkForRestart(host, load);
+                host.reportedLoad = load;
+                host.reportedTunnels = openTunnels >= 0 ? openTunnels : Double.NaN;
+                host.lastReportAt = now;
+                host.netPlacementsAtReport = netPlacements;
                 // A setup that is still out is in no report: a rush of them would look like idle
                 // hosts.
                 host.placedSinceReport =
-                        (int) host.own.values().stream().filter(tun -> tun.out).count();
-                moveOffSinking(host);
+                        (int)
+                                host.tunnels.values().stream()
+                                        .filter(tun -> tun.setupInFlight)
+                                        .count();
+                moveOffOverloaded(host);
             }
         }
     }
@@ -962,52 +1012,56 @@
      * Rule 4: a host that came back from death looks idle; a roster that is away or late does not
      * tell.
      */
-    private void doubt(Host host, double load) {
+    private void checkForRestart(Host host, double load) {
         boolean rosterAway =
-                Double.isFinite(rosterCallAt) && host.slowStart.beganBefore(rosterLostAt);
+                Double.isFinite(rosterCallAt) && host.slowStart.hostStartedBefore(rosterLostAt);
         surveyed = false;
-        if ((host.away || rosterAway) && !host.cold()) {
-            host.load = Double.NaN; // what it was before is no measure
-            survey();
+        if ((host.wasUnreachable || rosterAway) && !host.isCold()) {
+            host.reportedLoad = Double.NaN; // what it was before is no measure
+            surveyHosts();
             surveyed = false;
-            if (load < Math.min(usualLoad, ROOMY) / 2) {
-                host.slowStart.begin(host.id, now, now);
-                host.back = true;
+            if (load < Math.min(averageLoad, MODERATE_LOAD) / 2) {
+                host.slowStart.hostStarted(host.id, now, now);
+                host.hasRestarted = true;
             }
         }
-        host.away = false;
+        host.wasUnreachable = false;
     }
 
     /** A host that fails looks idle and would keep a wide interval: it weighs zero for a while. */
-    private void judge(Host host, SetupEnd end, boolean stood) {
-        switch (end) {
+    private void recordOutcome(Host host, SetupOutcome outcome, boolean wasOpen) {
+        switch (outcome) {
             case ERROR, BROKEN, TIMED_OUT -> {
-                if (stood) {
+                if (wasOpen) {
                     // A host that sheds tunnels tells it by its load, one that died by not
                     // answering.
-                    host.nextProbe = Math.min(host.nextProbe, now);
-                    host.away |= end == SetupEnd.BROKEN;
+                    host.nextProbeAt = Math.min(host.nextProbeAt, now);
+                    host.wasUnreachable |= outcome == SetupOutcome.BROKEN;
                     return;
                 }
-                host.failuresInRow++;
-                host.shunnedUntil = now + SHUN * PERIOD * Math.min(4, host.failuresInRow);
+                host.consecutiveFailures++;
+                host.avoidedUntil =
+                        now
+                                + FAILURE_BACKOFF_PERIODS
+                                        * PERIOD_SECONDS
+                                        * Math.min(4, host.consecutiveFailures);
             }
             case NO_CONNECTION -> {
-                host.silentUntil = now + SHUN * PERIOD;
-                host.away = true;
-                host.nextProbe = Math.min(host.nextProbe, now);
+                host.silentUntil = now + FAILURE_BACKOFF_PERIODS * PERIOD_SECONDS;
+                host.wasUnreachable = true;
+                host.nextProbeAt = Math.min(host.nextProbeAt, now);
             }
-            case FULL -> host.shunnedUntil = Math.max(host.shunnedUntil, now + PERIOD / 2);
+            case FULL -> host.avoidedUntil = Math.max(host.avoidedUntil, now + PERIOD_SECONDS / 2);
             default -> {}
         }
     }
 
     @Override
-    public void messageDelayNoted(HostId at, double delay) {
-        Host host = hosts.get(at);
+    public void messageDelayMeasured(HostId hostId, double delay) {
+        Host host = hosts.get(hostId);
         if (host != null) {
-            host.lateness.note(now, delay, shortestMessage, 2 * longestMessage);
-            askSinking(host, false);
+            host.lateness.record(now, delay, shortestMessageGoal, 2 * longestMessageGoal);
+            probeForOverload(host, false);
             moveOffLate(host, delay);
         }
     }
@@ -1016,43 +1070,55 @@
      * Guards hosts that sink unasked as no tunnel is to go there; nodes tell each other of them
      * alone.
      */
-    private void askSinking(Host host, boolean told) {
+    private void probeForOverload(Host host, boolean toldByNode) {
         // Hundreds of nodes with a tunnel or two there would cost it more than they could move.
         if (host != null
                 && deployment.mayProbe()
-                && now >= host.nextNoted
-                && now > host.reportedAt + (told ? PERIOD * FEW / host.own.size() : PERIOD)) {
-            host.nextNoted = now + MOVE_PAUSE * PERIOD;
-            ask(host, true); // in the mean, noted hosts would make the fleet look busy
+                && now >= host.nextOverloadProbeAt
+                && now
+                        > host.lastReportAt
+                                + (toldByNode
+                                        ? PERIOD_SECONDS * MIN_SAMPLES / host.tunnels.size()
+                                        : PERIOD_SECONDS)) {
+            host.nextOverloadProbeAt = now + MOVE_INTERVAL_PERIODS * PERIOD_SECONDS;
+            probeHost(host, true); // in the mean, noted hosts would make the fleet look busy
         }
     }
 
     @Override
-    public void nodeHeard(int node, byte[] content) {
-        if (!farewell.heard(node, content, now, decisions)) {
-            askSinking(hosts.get(new HostId(new String(content, StandardCharsets.UTF_8))), true);
+    public void nodeMessageReceived(int node, byte[] content) {
+        if (!nodeDeparture.handleMessage(node, content, now, decisions)) {
+            probeForOverload(
+                    hosts.get(new HostId(new String(content, StandardCharsets.UTF_8))), true);
         }
     }
 
     // ---- Moves ----
 
     /** Moves some tunnels off a host that can't serve those it has. */
-    private void moveOffSinking(Host host) {
-        host.movedInRow = host.load > SINKING ? host.movedInRow : 0;
-        if (host.load > SINKING
-                && now >= host.nextMove
+    private void moveOffOverloaded(Host host) {
+        host.consecutiveMoves = host.reportedLoad > OVERLOADED_LOAD ? host.consecutiveMoves : 0;
+        if (host.reportedLoad > OVERLOADED_LOAD
+                && now >= host.nextMoveAt
                 && deployment.reportsCapacity()
-                && !host.cold()) {
+                && !host.isCold()) {
             // Reports lag: what was moved since shows only in later ones.
-            host.nextMove = now + MOVE_PAUSE * PERIOD;
-            if (deployment.mayTellNodes() && !host.noted && host.own.size() >= FEW) {
-                decisions.tellAllNodes(host.id.name().getBytes(StandardCharsets.UTF_8));
+            host.nextMoveAt = now + MOVE_INTERVAL_PERIODS * PERIOD_SECONDS;
+            if (deployment.mayMessageNodes()
+                    && !host.probedForOverload
+                    && host.tunnels.size() >= MIN_SAMPLES) {
+                decisions.sendToAllNodes(host.id.name().getBytes(StandardCharsets.UTF_8));
             }
             // Every node moves the same part of its own, so together they move what is too much.
             // What comes from elsewhere does not fall with them: who sinks on loses more of them
             // each time.
-            double share = Math.min(1, ++host.movedInRow * (host.load - BRIMFUL) / host.load);
-            moveSome(host, share, Double.POSITIVE_INFINITY);
+            double share =
+                    Math.min(
+                            1,
+                            ++host.consecutiveMoves
+                                    * (host.reportedLoad - FULL_LOAD)
+                                    / host.reportedLoad);
+            moveShare(host, share, Double.POSITIVE_INFINITY);
         }
     }
 
@@ -1063,31 +1129,34 @@
      * so not while messages come late from all.
      */
     private void moveOffLate(Host host, double delay) {
-        if (host.lateness.persists(now)
-                && !(host.heard() && host.load > SINKING)
-                && now >= host.nextMove) {
-            survey();
-            if (!noneTimely) {
-                host.nextMove = now + MOVE_PAUSE * PERIOD;
-                moveSome(host, LATE_SHARE, delay);
+        if (host.lateness.isSustained(now)
+                && !(host.hasReport() && host.reportedLoad > OVERLOADED_LOAD)
+                && now >= host.nextMoveAt) {
+            surveyHosts();
+            if (!allHostsLate) {
+                host.nextMoveAt = now + MOVE_INTERVAL_PERIODS * PERIOD_SECONDS;
+                moveShare(host, LATE_MOVE_SHARE, delay);
             }
         }
     }
 
     /** Moves part of a host's tunnels, of those that want their messages sooner than they come. */
-    private void moveSome(Host host, double share, double delay) {
-        List<Tunnel> standing = new ArrayList<>(host.own.values());
-        standing.removeIf(
+    private void moveShare(Host host, double share, double delay) {
+        List<Tunnel> movable = new ArrayList<>(host.tunnels.values());
+        movable.removeIf(
                 tunnel -> !tunnel.open || tunnel.moving || tunnel.profile.messageGoal() > delay);
         // The last of a group to leave takes the group's cost along, so tunnels with few of theirs
         // here
         // go first.
-        standing.sort(
-                Comparator.<Tunnel>comparingInt(tunnel -> holders.held(tunnel.group, host))
+        movable.sort(
+                Comparator.<Tunnel>comparingInt(
+                                tunnel -> groupHosts.tunnelCount(tunnel.group, host))
                         .thenComparingDouble(tunnel -> tunnel.profile.credit()));
-        double part = share * standing.size();
-        int many = (int) part + (chance.next() < part - (int) part ? 1 : 0);
-        for (Tunnel tunnel : standing.subList(0, Math.min(many, standing.size()))) {
+        double expectedMoves = share * movable.size();
+        int moves =
+                (int) expectedMoves
+                        + (random.nextDouble() < expectedMoves - (int) expectedMoves ? 1 : 0);
+        for (Tunnel tunnel : movable.subList(0, Math.min(moves, movable.size()))) {
             tunnel.moving = true;
             decisions.move(tunnel.id);
         }
@@ -1099,14 +1168,21 @@
      */
     @Override
     public void nodeLeaving(boolean replaced) {
-        double longest =
+        double longestClientTimeout =
                 profiles.values().stream().mapToDouble(Profile::clientTimeout).max().orElse(0);
-        farewell.begin(table.values(), now, longest, deployment.mayTellNodes(), replaced);
+        nodeDeparture.begin(
+                tunnels.values(),
+                now,
+                longestClientTimeout,
+                deployment.mayMessageNodes(),
+                replaced);
     }
 
-    private void moveDeparting() {
-        farewell.ask(now, decisions);
-        for (Tunnel tunnel = departures.due(now); tunnel != null; tunnel = departures.due(now)) {
+    private void moveDueTunnels() {
+        nodeDeparture.askOtherNodes(now, decisions);
+        for (Tunnel tunnel = moveQueue.pollDue(now);
+                tunnel != null;
+                tunnel = moveQueue.pollDue(now)) {
             tunnel.moving = true;
             decisions.move(tunnel.id);
         }
@@ -1114,113 +1190,114 @@
 
     // ---- Time ----
 
-    private void wake(double asked) {
-        double next = Math.min(Math.min(rosterCallAt, asked), departures.next());
-        if (!waiting.isEmpty()) {
-            next = Math.min(next, now + PERIOD / 10);
+    private void scheduleWakeUp(double probeAt) {
+        double next = Math.min(Math.min(rosterCallAt, probeAt), moveQueue.nextMoveAt());
+        if (!waitingTunnels.isEmpty()) {
+            next = Math.min(next, now + PERIOD_SECONDS / 10);
         }
-        for (Tunnel tunnel : asking) {
-            next = Math.min(next, tunnel.askedUntil);
+        for (Tunnel tunnel : awaitingProbe) {
+            next = Math.min(next, tunnel.probeWaitUntil);
         }
-        if (next < wokenAt && next < Double.POSITIVE_INFINITY) {
-            wokenAt = next;
+        if (next < nextWakeAt && next < Double.POSITIVE_INFINITY) {
+            nextWakeAt = next;
             decisions.wakeAfter(Math.max(0, next - now));
         }
     }
 
     final class Host {
         final HostId id;
-        final Map<TunnelId, Tunnel> own = new LinkedHashMap<>();
+        final Map<TunnelId, Tunnel> tunnels = new LinkedHashMap<>();
         boolean listed;
 
         /** Whether staff have taken it out: no list brings it back, only they do. */
-        boolean byHand;
+        boolean outOfService;
 
-        Listing.State state = Listing.State.GONE;
+        RosterEntry.State state = RosterEntry.State.GONE;
         ZoneId zone;
         int cell;
         double weight = 1;
         double launchedAt;
-        final SlowStart slowStart = new SlowStart(deployment, chance, startedAt);
-        final Lateness lateness = new Lateness(PERIOD);
+        final SlowStart slowStart = new SlowStart(deployment, random, nodeStartedAt);
+        final LatenessDetector lateness = new LatenessDetector(PERIOD_SECONDS);
 
         /**
          * Whether it was here before it last started: what ends in the fleet ended on it as well.
          */
-        boolean back;
+        boolean hasRestarted;
 
-        double load = Double.NaN;
-        double openThere = Double.NaN;
-        double reportedAt = Double.NEGATIVE_INFINITY;
+        double reportedLoad = Double.NaN;
+        double reportedTunnels = Double.NaN;
+        double lastReportAt = Double.NEGATIVE_INFINITY;
         int placedSinceReport;
-        int grownAtReport;
-        double nextMove = Double.NEGATIVE_INFINITY;
-        int failuresInRow;
-        int movedInRow;
-        double shunnedUntil = Double.NEGATIVE_INFINITY;
-        boolean noted;
+        int netPlacementsAtReport;
+        double nextMoveAt = Double.NEGATIVE_INFINITY;
+        int consecutiveFailures;
+        int consecutiveMoves;
+        double avoidedUntil = Double.NEGATIVE_INFINITY;
+        boolean probedForOverload;
         double silentUntil = Double.NEGATIVE_INFINITY;
-        boolean away;
-        double nextNoted = Double.NEGATIVE_INFINITY;
-        boolean probing;
-        double nextProbe = now;
+        boolean wasUnreachable;
+        double nextOverloadProbeAt = Double.NEGATIVE_INFINITY;
+        boolean probeInFlight;
+        double nextProbeAt = now;
 
         Host(HostId id) {
             this.id = id;
         }
 
-        void startsAnew(double at) {
-            slowStart.begin(id, at, now);
-            load = Double.NaN;
-            reportedAt = Double.NEGATIVE_INFINITY;
-            shunnedUntil = now;
-            lateness.forget();
-            failuresInRow = 0;
-            nextProbe = now;
+        void resetAfterStart(double startedAt) {
+            slowStart.hostStarted(id, startedAt, now);
+            reportedLoad = Double.NaN;
+            lastReportAt = Double.NEGATIVE_INFINITY;
+            avoidedUntil = now;
+            lateness.reset();
+            consecutiveFailures = 0;
+            nextProbeAt = now;
         }
 
-        boolean here() {
-            return listed && state != Listing.State.GONE;
+        boolean isPresent() {
+            return listed && state != RosterEntry.State.GONE;
         }
 
-        boolean takesNew() {
-            return listed && state == Listing.State.READY && !byHand;
+        boolean acceptsNew() {
+            return listed && state == RosterEntry.State.READY && !outOfService;
         }
 
-        boolean leaving() {
-            return byHand || state == Listing.State.DRAINING;
+        boolean isDraining() {
+            return outOfService || state == RosterEntry.State.DRAINING;
         }
 
-        boolean near() {
+        boolean isNear() {
             return deployment.zone().equals(zone);
         }
 
-        boolean shunned() {
-            return now < shunnedUntil;
+        boolean isAvoided() {
+            return now < avoidedUntil;
         }
 
-        boolean silent() {
+        boolean isSilent() {
             return now < silentUntil;
         }
 
-        boolean heard() {
-            return !Double.isNaN(load) && now <= reportedAt + KEPT * PERIOD;
+        boolean hasReport() {
+            return !Double.isNaN(reportedLoad)
+                    && now <= lastReportAt + EXPIRY_PERIODS * PERIOD_SECONDS;
         }
 
         /**
          * One that hangs tells ten times its tunnels' load: in a mean, all look full and one tunnel
          * huge.
          */
-        boolean overwhelmed() {
-            return deployment.reportsCapacity() && heard() && load > OVERWHELMED;
+        boolean isStalled() {
+            return deployment.reportsCapacity() && hasReport() && reportedLoad > STALLED_LOAD;
         }
 
-        boolean fresh() {
-            return now <= reportedAt + FRESH * PERIOD;
+        boolean hasFreshReport() {
+            return now <= lastReportAt + FRESH_PERIODS * PERIOD_SECONDS;
         }
 
-        boolean cold() {
-            return slowStart.lasts(now);
+        boolean isCold() {
+            return slowStart.isActive(now);
         }
 
         /**
@@ -1229,36 +1306,46 @@
          * hosts since then, each other node has as well.
          */
         double expectedLoad() {
-            int others = Math.max(0, grown - grownAtReport) * (deployment.nodes() - 1) / counted;
-            double known = heard() ? load + others * usualLoadOfOne : cold() ? 0 : usualLoad;
-            return known + placedSinceReport * loadOfOne();
+            int placedByOtherNodes =
+                    Math.max(0, netPlacements - netPlacementsAtReport)
+                            * (deployment.nodeCount() - 1)
+                            / hostsInMean;
+            double baseLoad =
+                    hasReport()
+                            ? reportedLoad + placedByOtherNodes * averageTunnelLoad
+                            : isCold() ? 0 : averageLoad;
+            return baseLoad + placedSinceReport * loadPerPlacement();
         }
 
         /**
          * What one of this node's tunnels adds to the load figure, and those that other nodes place
          * meanwhile: a node that has few tunnels there can't tell either by them.
          */
-        double loadOfOne() {
-            int least = Double.isNaN(openThere) ? FEW * deployment.nodes() : 1;
-            boolean few = young() || !heard() || tunnelsThere() < least;
-            return (few || load < IDLE / 2 ? usualLoadOfOne : load / tunnelsThere())
-                    * Math.min(deployment.nodes(), OTHERS);
+        double loadPerPlacement() {
+            int minTunnels =
+                    Double.isNaN(reportedTunnels) ? MIN_SAMPLES * deployment.nodeCount() : 1;
+            boolean tooFewTunnels =
+                    hasJustStarted() || !hasReport() || tunnelEstimate() < minTunnels;
+            return (tooFewTunnels || reportedLoad < IDLE_LOAD / 2
+                            ? averageTunnelLoad
+                            : reportedLoad / tunnelEstimate())
+                    * Math.min(deployment.nodeCount(), MAX_PLACEMENT_MULTIPLIER);
         }
 
-        double tunnelsThere() {
-            return Double.isNaN(openThere)
-                    ? Math.max(0, own.size() - placedSinceReport) * deployment.nodes()
-                    : openThere;
+        double tunnelEstimate() {
+            return Double.isNaN(reportedTunnels)
+                    ? Math.max(0, tunnels.size() - placedSinceReport) * deployment.nodeCount()
+                    : reportedTunnels;
         }
 
-        void admit(Tunnel tunnel) {
-            own.put(tunnel.id, tunnel);
-            holders.add(tunnel.group, this);
+        void addTunnel(Tunnel tunnel) {
+            tunnels.put(tunnel.id, tunnel);
+            groupHosts.add(tunnel.group, this);
         }
 
-        void dismiss(Tunnel tunnel) {
-            if (own.remove(tunnel.id) != null) {
-                holders.remove(tunnel.group, this);
+        void removeTunnel(Tunnel tunnel) {
+            if (tunnels.remove(tunnel.id) != null) {
+                groupHosts.remove(tunnel.group, this);
             }
         }
     }
--- a/core/src/main/java/embershift/policy/Allowance.java
+++ b/core/src/main/java/embershift/policy/RetryLimiter.java
@@ -1,13 +1,13 @@
 package embershift.policy;
 
-import embershift.model.Deployment.Budget;
+import embershift.model.Deployment.RetryBudget;
 
 /**
  * Guards the budget of setups beyond each tunnel's first (rule 5), in every window that ends at
  * such a setup. Buckets that straddle the window's edge count against the node: their further
  * setups whole, their tunnels taken not at all.
  */
-final class Allowance {
+final class RetryLimiter {
 
     /**
      * Buckets in a window: each one counted against the node costs this part of what its tunnels
@@ -15,32 +15,32 @@
      */
     private static final int BUCKETS = 32;
 
-    private final Budget budget;
-    private final Ring taken;
-    private final Ring further;
+    private final RetryBudget budget;
+    private final TimeBuckets acceptedTunnels;
+    private final TimeBuckets retries;
 
-    Allowance(Budget budget) {
+    RetryLimiter(RetryBudget budget) {
         this.budget = budget;
-        double bucket = budget.span() / BUCKETS;
-        this.taken = new Ring(BUCKETS, bucket);
+        double bucketSeconds = budget.window() / BUCKETS;
+        this.acceptedTunnels = new TimeBuckets(BUCKETS, bucketSeconds);
         // One bucket for the edge, and one as clocks round.
-        this.further = new Ring(BUCKETS + 2, bucket);
+        this.retries = new TimeBuckets(BUCKETS + 2, bucketSeconds);
     }
 
     /** A tunnel was taken, whatever becomes of it; one that stood when the node started was not. */
-    void took(double now) {
-        taken.add(now, 0, 1);
+    void tunnelAccepted(double now) {
+        acceptedTunnels.add(now, 0, 1);
     }
 
     /**
      * A further setup goes out: no end of it, nor one that says it was never sent, gives it back.
      */
-    void spent(double now) {
-        further.add(now, 0, 1);
+    void retrySent(double now) {
+        retries.add(now, 0, 1);
     }
 
     /** Further setups that may go out now; unlimited where no budget is stated. */
-    double left(double now) {
-        return budget.free() + budget.perTunnel() * taken.count(now) - further.count(now);
+    double remaining(double now) {
+        return budget.base() + budget.perTunnel() * acceptedTunnels.count(now) - retries.count(now);
     }
 }
--- a/core/src/main/java/embershift/policy/Chance.java
+++ b/core/src/main/java/embershift/policy/SeededRandom.java
@@ -4,18 +4,18 @@
 import java.util.zip.CRC32;
 
 /** Chance that is the same again for the same seed: a checksum over it and a counter. */
-public final class Chance {
+public final class SeededRandom {
 
     private final long seed;
     private long draws;
 
-    public Chance(long seed) {
+    public SeededRandom(long seed) {
         this.seed = seed;
     }
 
     /** A number from [0, 1). */
-    public double next() {
-        return sum() / (double) (1L << 32);
+    public double nextDouble() {
+        return nextChecksum() / (double) (1L << 32);
     }
 
     /**
@@ -23,13 +23,13 @@
      * draw, so that what one waits less now it often waits more next time, and who called together
      * would again; multiplied and folded they don't.
      */
-    public double nextApart() {
-        int mixed = (int) sum() * 0x9E3779B1;
+    public double nextDecorrelatedDouble() {
+        int mixed = (int) nextChecksum() * 0x9E3779B1;
         mixed = (mixed ^ mixed >>> 15) * 0x85EBCA6B;
         return ((mixed ^ mixed >>> 16) & 0xFFFFFFFFL) / (double) (1L << 32);
     }
 
-    private long sum() {
+    private long nextChecksum() {
         CRC32 crc = new CRC32();
         crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(draws++).array());
         return crc.getValue();
--- a/core/src/main/java/embershift/policy/Tunnel.java
+++ b/core/src/main/java/embershift/policy/Tunnel.java
@@ -15,29 +15,29 @@
     final Profile profile;
     final SubjectId subject;
     final GroupId group;
-    final double clientGivesUpAt;
-    final List<Host> tried = new ArrayList<>(2);
+    final double clientTimeoutAt;
+    final List<Host> triedHosts = new ArrayList<>(2);
     Host host;
-    int setups;
-    boolean out;
+    int setupsSent;
+    boolean setupInFlight;
     boolean open;
     boolean moving;
     boolean mayHaveRun;
-    Host mayHaveRunAt;
+    Host mayHaveRunOn;
     double firstSentAt;
-    int asks;
-    Host asked;
-    double askedUntil;
+    int hostProbes;
+    Host probedHost;
+    double probeWaitUntil;
 
     /** Why it can't be sent now; counted where it is declined. */
-    DeclineReason obstacle;
+    DeclineReason declineReason;
 
-    Tunnel(TunnelId id, Profile profile, SubjectId subject, GroupId group, double clientGivesUpAt) {
+    Tunnel(TunnelId id, Profile profile, SubjectId subject, GroupId group, double clientTimeoutAt) {
         this.id = id;
         this.profile = profile;
         this.subject = subject;
         this.group = group;
-        this.clientGivesUpAt = clientGivesUpAt;
+        this.clientTimeoutAt = clientTimeoutAt;
     }
 
     /** When hosts stop dropping repeats of this tunnel. */
--- a/core/src/test/java/embershift/policy/FloorsTest.java
+++ b/core/src/test/java/embershift/policy/FairnessTest.java
@@ -2,14 +2,14 @@
 
 import static org.testng.Assert.assertTrue;
 
-import embershift.model.Deployment.Budget;
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Profile;
 import embershift.model.Deployment.Repeat;
-import embershift.model.News;
+import embershift.model.Deployment.RetryBudget;
+import embershift.model.NodeEvents;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.SetupOutcome;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,7 +19,7 @@
 import org.testng.annotations.Test;
 
 /** What the least served of all get where hosts can take a part of the tunnels only. */
-public class FloorsTest {
+public class FairnessTest {
 
     private static final int HOSTS = 8;
 
@@ -84,23 +84,23 @@
      * One node and its hosts, which answer its questions a step later and tell their load as it is.
      */
     private static final class Day {
-        private final Node node;
+        private final PolicyHarness node;
         private final int[] open = new int[HOSTS];
         private final Map<String, Share> shares = new TreeMap<>();
         private final List<List<Share>> kinds = new ArrayList<>();
         private final List<int[]> ending = new ArrayList<>();
-        private final List<Consumer<News>> next = new ArrayList<>();
+        private final List<Consumer<NodeEvents>> next = new ArrayList<>();
         private double longestPause;
 
         Day(long seed) {
-            node = new Node(PROFILES, HOSTS, seed, Budget.NONE, 1);
+            node = new PolicyHarness(PROFILES, HOSTS, seed, RetryBudget.NONE, 1);
         }
 
         private Share share(String kind) {
             return shares.computeIfAbsent(kind, name -> new Share());
         }
 
-        private void arrive(News news, double begun) {
+        private void arrive(NodeEvents news, double begun) {
             int number = kinds.size();
             Profile profile = PROFILES.get(number % PROFILES.size());
             String tenant = number / PROFILES.size() % 10 == 0 ? "small" : "large";
@@ -114,7 +114,7 @@
             kind.forEach(share -> share.came++);
             kinds.add(kind);
             news.tunnelArrived(
-                    Node.tun(number),
+                    PolicyHarness.tunnel(number),
                     profile.id(),
                     new ParticipantId(tenant),
                     null,
@@ -128,7 +128,7 @@
             double sentAt = begun;
             for (int step = 0; step < (FILLING + DAY) / STEP; step++) {
                 node.now = begun - FILLING + (step + 0.5) * STEP;
-                List<Consumer<News>> heard = List.copyOf(next);
+                List<Consumer<NodeEvents>> heard = List.copyOf(next);
                 next.clear();
                 List<String> said =
                         node.round(
@@ -145,15 +145,15 @@
             }
         }
 
-        private void end(News news) {
+        private void end(NodeEvents news) {
             while (!ending.isEmpty() && ending.get(0)[2] <= node.now * 1000) {
                 int[] tunnel = ending.remove(0);
                 open[tunnel[1]]--;
                 news.setupEnded(
-                        Node.tun(tunnel[0]),
+                        PolicyHarness.tunnel(tunnel[0]),
                         0,
-                        Node.host(tunnel[1]),
-                        SetupEnd.COMPLETED,
+                        PolicyHarness.host(tunnel[1]),
+                        SetupOutcome.COMPLETED,
                         LIFE,
                         true);
             }
@@ -167,13 +167,20 @@
                 kinds.get(tunnel).forEach(share -> share.sent++);
                 open[host]++;
                 ending.add(new int[] {tunnel, host, (int) ((node.now + LIFE) * 1000)});
-                next.add(news -> news.tunnelOpened(Node.tun(tunnel), 0, Node.host(host), STEP));
+                next.add(
+                        news ->
+                                news.tunnelOpened(
+                                        PolicyHarness.tunnel(tunnel),
+                                        0,
+                                        PolicyHarness.host(host),
+                                        STEP));
             } else if (decision.startsWith("probe")) {
                 int host = Integer.parseInt(words[1].substring(1));
                 next.add(
                         news -> {
-                            news.probeEnded(Node.host(host), true, STEP);
-                            news.hostReported(Node.host(host), open[host] * EACH, open[host], 0);
+                            news.probeEnded(PolicyHarness.host(host), true, STEP);
+                            news.hostReported(
+                                    PolicyHarness.host(host), open[host] * EACH, open[host], 0);
                         });
             } else if (decision.startsWith("watch roster")) {
                 next.add(news -> news.rosterChanged(List.of()));
--- a/core/src/test/java/embershift/policy/SeatsTest.java
+++ b/core/src/test/java/embershift/policy/HostSlotsTest.java
@@ -11,21 +11,23 @@
 import java.util.stream.IntStream;
 import org.testng.annotations.Test;
 
-public class SeatsTest {
+public class HostSlotsTest {
 
     private static final int HOSTS = 700;
 
-    private final Policy policy = new Node(1).policy;
+    private final Policy policy = new PolicyHarness(1).policy;
 
-    private static List<Policy.Host> enrolled(Seats seats, List<Policy.Host> hosts) {
+    private static List<Policy.Host> enrolled(HostSlots seats, List<Policy.Host> hosts) {
         List<Policy.Host> roll = new ArrayList<>();
-        hosts.forEach(host -> seats.enrol(host, roll));
+        hosts.forEach(host -> seats.addHost(host, roll));
         return roll;
     }
 
     private List<Policy.Host> hosts() {
         return new ArrayList<>(
-                IntStream.range(0, HOSTS).mapToObj(i -> policy.new Host(Node.host(i))).toList());
+                IntStream.range(0, HOSTS)
+                        .mapToObj(i -> policy.new Host(PolicyHarness.host(i)))
+                        .toList());
     }
 
     /**
@@ -34,18 +36,18 @@
      */
     @Test
     public void hostsOfOneListAreSeatedOnce() {
-        Seats seats = new Seats();
+        HostSlots seats = new HostSlots();
         enrolled(seats, hosts());
-        seats.under(1);
-        assertEquals(seats.size(), 2048);
-        assertEquals(seats.fillings(), 1);
+        seats.hostAt(1);
+        assertEquals(seats.slotCount(), 2048);
+        assertEquals(seats.rebuilds(), 1);
     }
 
     /** Nodes hear of hosts in unlike orders, and numbers still fall on the same hosts. */
     @Test
     public void numbersFallOnTheSameHostsWhateverTheOrder() {
         List<Policy.Host> hosts = hosts();
-        Seats here = new Seats();
+        HostSlots here = new HostSlots();
         List<Policy.Host> roll = enrolled(here, hosts);
         assertEquals(
                 roll,
@@ -53,10 +55,10 @@
                         .sorted(Comparator.comparing((Policy.Host host) -> host.id.name()))
                         .toList());
         Collections.shuffle(hosts, new Random(5));
-        Seats there = new Seats();
+        HostSlots there = new HostSlots();
         assertEquals(enrolled(there, hosts), roll);
         for (long number = 0; number < 5000; number++) {
-            assertSame(there.under(Seats.scattered(number)), here.under(Seats.scattered(number)));
+            assertSame(there.hostAt(HostSlots.mix(number)), here.hostAt(HostSlots.mix(number)));
         }
     }
 }
--- a/core/src/test/java/embershift/policy/Node.java
+++ b/core/src/test/java/embershift/policy/PolicyHarness.java
@@ -3,16 +3,16 @@
 import embershift.model.Decisions;
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
-import embershift.model.Deployment.Budget;
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Profile;
 import embershift.model.Deployment.Repeat;
+import embershift.model.Deployment.RetryBudget;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
 import java.util.ArrayList;
@@ -23,38 +23,39 @@
  * A module with hosts h0, h1, ... in zone near (even) or far (odd), and its decisions as lines, for
  * the tests.
  */
-final class Node implements Decisions {
+final class PolicyHarness implements Decisions {
 
-    private static final double MUST_ASK = 10;
+    private static final double ROSTER_CALL_DEADLINE = 10;
 
     final Policy policy;
-    final Filling filling;
+    final HostCapacityEstimate capacityEstimate;
 
     /** Setups sent from the start on. */
-    int placed;
+    int setupsSent;
 
-    final List<String> said = new ArrayList<>();
+    final List<String> decisions = new ArrayList<>();
 
     /** Why tunnels were declined, from the start on. */
-    final List<DeclineReason> reasons = new ArrayList<>();
+    final List<DeclineReason> declineReasons = new ArrayList<>();
 
     double now = 100;
-    double lastTimeOut;
+    double lastTimeout;
 
-    Node(Repeat repeat, DedupScope scope, int hosts, long seed) {
-        this(repeat, scope, hosts, seed, Budget.NONE, 1);
+    PolicyHarness(Repeat repeat, DedupScope scope, int hosts, long seed) {
+        this(repeat, scope, hosts, seed, RetryBudget.NONE, 1);
     }
 
-    Node(Repeat repeat, DedupScope scope, int hosts, long seed, Budget budget, int nodes) {
+    PolicyHarness(
+            Repeat repeat, DedupScope scope, int hosts, long seed, RetryBudget budget, int nodes) {
         this(profiles(repeat, scope), hosts, seed, budget, nodes, 0, true);
     }
 
-    Node(
+    PolicyHarness(
             Repeat repeat,
             DedupScope scope,
             int hosts,
             long seed,
-            Budget budget,
+            RetryBudget budget,
             int nodes,
             int rank) {
         this(profiles(repeat, scope), hosts, seed, budget, nodes, rank, true);
@@ -64,29 +65,29 @@
      * {@code reportsCapacity}: whether hosts tell load over capacity, else they tell numbers of
      * tunnels.
      */
-    Node(
+    PolicyHarness(
             Repeat repeat,
             DedupScope scope,
             int hosts,
             long seed,
-            Budget budget,
+            RetryBudget budget,
             int nodes,
             boolean reportsCapacity) {
         this(profiles(repeat, scope), hosts, seed, budget, nodes, 0, reportsCapacity);
     }
 
-    Node(List<Profile> profiles, int hosts, long seed, Budget budget, int nodes) {
+    PolicyHarness(List<Profile> profiles, int hosts, long seed, RetryBudget budget, int nodes) {
         this(profiles, hosts, seed, budget, nodes, 0, true);
     }
 
     /** A node of a hundred that has to ask the roster within {@code mustAsk} seconds. */
-    static Node asking(double mustAsk, long seed) {
-        return new Node(
+    static PolicyHarness withRosterCallDeadline(double mustAsk, long seed) {
+        return new PolicyHarness(
                 deployment(
                         profiles(Repeat.REPEATABLE, DedupScope.ALL),
                         mustAsk,
                         seed,
-                        Budget.NONE,
+                        RetryBudget.NONE,
                         100,
                         0,
                         true,
@@ -97,18 +98,18 @@
                 2);
     }
 
-    private Node(
+    private PolicyHarness(
             List<Profile> profiles,
             int hosts,
             long seed,
-            Budget budget,
+            RetryBudget budget,
             int nodes,
             int rank,
             boolean reportsCapacity) {
         this(
                 deployment(
                         profiles,
-                        MUST_ASK,
+                        ROSTER_CALL_DEADLINE,
                         seed,
                         budget,
                         nodes,
@@ -121,17 +122,17 @@
                 hosts);
     }
 
-    private Node(Deployment deployment, int hosts) {
-        filling = new Filling(deployment);
-        policy = new Policy(deployment, filling);
-        List<Listing> listings = new ArrayList<>();
+    private PolicyHarness(Deployment deployment, int hosts) {
+        capacityEstimate = new HostCapacityEstimate(deployment);
+        policy = new Policy(deployment, capacityEstimate);
+        List<RosterEntry> listings = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            listings.add(listing(i, Listing.State.READY, 0));
+            listings.add(entry(i, RosterEntry.State.READY, 0));
         }
-        round(news -> news.rosterListed(listings, true));
+        round(news -> news.rosterReplaced(listings, true));
     }
 
-    Node(int hosts) {
+    PolicyHarness(int hosts) {
         this(Repeat.REPEATABLE, DedupScope.ALL, hosts, 1);
     }
 
@@ -139,7 +140,7 @@
             Repeat repeat,
             DedupScope scope,
             long seed,
-            Budget budget,
+            RetryBudget budget,
             int nodes,
             int rank,
             double coldFrom,
@@ -148,7 +149,7 @@
             double fallAfter) {
         return deployment(
                 profiles(repeat, scope),
-                MUST_ASK,
+                ROSTER_CALL_DEADLINE,
                 seed,
                 budget,
                 nodes,
@@ -164,7 +165,7 @@
             List<Profile> profiles,
             double mustAsk,
             long seed,
-            Budget budget,
+            RetryBudget budget,
             int nodes,
             int rank,
             boolean reportsCapacity,
@@ -204,31 +205,31 @@
         return List.of(new Profile(new ProfileId("p"), repeat, scope, 2, 0.5, 3, 0.1, 1));
     }
 
-    static Listing listing(int host, Listing.State state, double launchedAt) {
+    static RosterEntry entry(int host, RosterEntry.State state, double launchedAt) {
         ZoneId zone = new ZoneId(host % 2 == 0 ? "near" : "far");
-        return new Listing(host(host), state, zone, 1, host / 2, launchedAt);
+        return new RosterEntry(host(host), state, zone, 1, host / 2, launchedAt);
     }
 
     static HostId host(int i) {
         return new HostId("h" + i);
     }
 
-    static TunnelId tun(int i) {
+    static TunnelId tunnel(int i) {
         return new TunnelId("t" + i);
     }
 
     /** Plays one round and returns what was decided in it. */
-    List<String> round(Consumer<News> arrivals) {
-        said.clear();
+    List<String> round(Consumer<NodeEvents> arrivals) {
+        decisions.clear();
         policy.round(now, arrivals, this);
-        return List.copyOf(said);
+        return List.copyOf(decisions);
     }
 
     /** A listing of a host that started long ago, with the weight that the roster gives it. */
-    static Listing weighed(int host, double weight) {
-        return new Listing(
+    static RosterEntry entryWithWeight(int host, double weight) {
+        return new RosterEntry(
                 host(host),
-                Listing.State.READY,
+                RosterEntry.State.READY,
                 new ZoneId(host % 2 == 0 ? "near" : "far"),
                 weight,
                 0,
@@ -236,7 +237,7 @@
     }
 
     /** One round in which hosts 0, 1, ... report these numbers of tunnels. */
-    Node numbers(int... open) {
+    PolicyHarness reportTunnelCounts(int... open) {
         round(
                 news -> {
                     for (int i = 0; i < open.length; i++) {
@@ -248,7 +249,7 @@
     }
 
     /** One round in which hosts 0, 1, ... report these loads over capacity. */
-    Node loads(double... loads) {
+    PolicyHarness reportLoads(double... loads) {
         round(
                 news -> {
                     for (int i = 0; i < loads.length; i++) {
@@ -259,12 +260,12 @@
         return this;
     }
 
-    List<String> arrive(int first, int many, String group) {
+    List<String> arriveTunnels(int first, int many, String group) {
         return round(
                 news -> {
                     for (int i = first; i < first + many; i++) {
                         news.tunnelArrived(
-                                tun(i),
+                                tunnel(i),
                                 new ProfileId("p"),
                                 null,
                                 null,
@@ -276,12 +277,12 @@
     }
 
     /** One round in which tunnels are told to stand at a host. */
-    void stand(int first, int many, int host) {
+    void resumeTunnels(int first, int many, int host) {
         round(
                 news -> {
                     for (int i = first; i < first + many; i++) {
-                        news.tunnelStanding(
-                                tun(i), new ProfileId("p"), null, null, null, host(host));
+                        news.tunnelResumed(
+                                tunnel(i), new ProfileId("p"), null, null, null, host(host));
                     }
                 });
     }
@@ -290,7 +291,7 @@
      * Lets time pass with a round each hundredth of a second, and returns how many moves came in
      * it.
      */
-    int later(double seconds) {
+    int advance(double seconds) {
         int moves = 0;
         for (int i = 0; i < Math.round(seconds * 100); i++) {
             now += 0.01;
@@ -300,102 +301,102 @@
         return moves;
     }
 
-    List<String> end(int tunnel, int setup, int host, SetupEnd end) {
-        return round(news -> news.setupEnded(tun(tunnel), setup, host(host), end, 0.1, false));
+    List<String> endSetup(int tunnel, int setup, int host, SetupOutcome end) {
+        return round(news -> news.setupEnded(tunnel(tunnel), setup, host(host), end, 0.1, false));
     }
 
     /** The host of the last setup sent, -1 if there was none. */
-    int lastHost() {
-        for (int i = said.size() - 1; i >= 0; i--) {
-            if (said.get(i).startsWith("set up")) {
-                return Integer.parseInt(said.get(i).split(" h")[1]);
+    int lastSetupHost() {
+        for (int i = decisions.size() - 1; i >= 0; i--) {
+            if (decisions.get(i).startsWith("set up")) {
+                return Integer.parseInt(decisions.get(i).split(" h")[1]);
             }
         }
         return -1;
     }
 
-    int lastProbed() {
-        List<String> probes = said.stream().filter(line -> line.startsWith("probe")).toList();
+    int lastProbedHost() {
+        List<String> probes = decisions.stream().filter(line -> line.startsWith("probe")).toList();
         return probes.isEmpty()
                 ? -1
                 : Integer.parseInt(probes.get(probes.size() - 1).split(" h")[1]);
     }
 
-    long sentTo(int host) {
-        return said.stream()
+    long setupsSentTo(int host) {
+        return decisions.stream()
                 .filter(line -> line.startsWith("set up") && line.endsWith(" h" + host))
                 .count();
     }
 
     int count(String start) {
-        return (int) said.stream().filter(line -> line.startsWith(start)).count();
+        return (int) decisions.stream().filter(line -> line.startsWith(start)).count();
     }
 
     @Override
-    public void setUp(TunnelId id, HostId host, double timeOut) {
-        lastTimeOut = timeOut;
-        placed++;
-        said.add("set up " + id.name() + " " + host.name());
+    public void sendSetup(TunnelId id, HostId host, double timeOut) {
+        lastTimeout = timeOut;
+        setupsSent++;
+        decisions.add("set up " + id.name() + " " + host.name());
     }
 
     @Override
-    public void cancel(TunnelId id, int setup) {
-        said.add("cancel " + id.name() + " " + setup);
+    public void cancelSetup(TunnelId id, int setup) {
+        decisions.add("cancel " + id.name() + " " + setup);
     }
 
     @Override
     public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
-        reasons.add(reason);
-        said.add("decline " + id.name() + (returnAfter > 0 ? " with advice" : ""));
+        declineReasons.add(reason);
+        decisions.add("decline " + id.name() + (returnAfter > 0 ? " with advice" : ""));
     }
 
     @Override
     public void closeWithError(TunnelId id) {
-        said.add("close " + id.name());
+        decisions.add("close " + id.name());
     }
 
     @Override
     public void move(TunnelId id) {
-        said.add("move " + id.name());
+        decisions.add("move " + id.name());
     }
 
     @Override
     public void probe(HostId host) {
-        said.add("probe " + host.name());
+        decisions.add("probe " + host.name());
     }
 
     @Override
     public void closeIdle(HostId host) {
-        said.add("close idle " + host.name());
+        decisions.add("close idle " + host.name());
     }
 
     @Override
     public void watchRoster(boolean on) {
-        said.add("watch roster");
+        decisions.add("watch roster");
     }
 
     @Override
-    public void askRoster() {
-        said.add("ask roster");
+    public void requestRoster() {
+        decisions.add("ask roster");
     }
 
     @Override
-    public void tellNode(int node, byte[] content) {
-        said.add("tell " + node);
+    public void sendToNode(int node, byte[] content) {
+        decisions.add("tell " + node);
     }
 
     @Override
-    public void tellAllNodes(byte[] content) {
-        said.add("tell all");
+    public void sendToAllNodes(byte[] content) {
+        decisions.add("tell all");
     }
 
     @Override
     public void wakeAfter(double delay) {
-        said.add("wake");
+        decisions.add("wake");
     }
 
     @Override
-    public void note(String line) {
-        said.add("note " + line);
+    public void logForOperators(String line) {
+        decisions.add("note " + line);
     }
 }
--- a/core/src/test/java/embershift/policy/ColdHostSumTest.java
+++ b/core/src/test/java/embershift/policy/SlowStartFleetTest.java
@@ -3,11 +3,11 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.model.Deployment;
-import embershift.model.Deployment.Budget;
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Repeat;
+import embershift.model.Deployment.RetryBudget;
 import embershift.model.HostId;
-import embershift.model.Listing;
+import embershift.model.RosterEntry;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -22,7 +22,7 @@
  * it may be pushed over, against what the settings allow in that span and chance: N and twice its
  * root and 2.
  */
-public class ColdHostSumTest {
+public class SlowStartFleetTest {
 
     private static final double COLD_FROM = 0.2;
     private static final double WARM_AFTER = 12;
@@ -75,18 +75,18 @@
 
         SlowStart node(int believes, int rank, double bornAt) {
             Deployment deployment =
-                    Node.deployment(
+                    PolicyHarness.deployment(
                             Repeat.REPEATABLE,
                             DedupScope.ALL,
                             random.nextLong(),
-                            Budget.NONE,
+                            RetryBudget.NONE,
                             believes,
                             rank,
                             COLD_FROM,
                             WARM_AFTER,
                             MULTIPLE,
                             SPAN);
-            return new SlowStart(deployment, new Chance(deployment.seed()), bornAt);
+            return new SlowStart(deployment, new SeededRandom(deployment.seed()), bornAt);
         }
 
         /** Lets all nodes meet their clients in steps, until the host is warm. */
@@ -115,7 +115,7 @@
                     }
                     if (!begun[i] && now >= told[i]) {
                         begun[i] = true;
-                        nodes[i].begin(new HostId(host), START, told[i]);
+                        nodes[i].hostStarted(new HostId(host), START, told[i]);
                     }
                     double tries =
                             switch (traffic) {
@@ -129,8 +129,8 @@
                             };
                     while (begun[i]
                             && tries-- > 0
-                            && nodes[i].mayTake(now, warmHostCanTake * shares[i])) {
-                        nodes[i].took(now);
+                            && nodes[i].maySend(now, warmHostCanTake * shares[i])) {
+                        nodes[i].tunnelSent(now);
                         sent[many++] = now;
                     }
                 }
@@ -343,24 +343,28 @@
      */
     @Test
     public void thirtyModulesThatWereQuietMeetTheirClientsTogether() {
-        List<Node> nodes = new ArrayList<>();
+        List<PolicyHarness> nodes = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            Node node = new Node(Repeat.REPEATABLE, DedupScope.ALL, 4, i + 1, Budget.NONE, 30, i);
-            node.filling.told(40);
+            PolicyHarness node =
+                    new PolicyHarness(
+                            Repeat.REPEATABLE, DedupScope.ALL, 4, i + 1, RetryBudget.NONE, 30, i);
+            node.capacityEstimate.adopt(40);
             node.now = 110;
             node.round(
-                    news -> news.rosterChanged(List.of(Node.listing(0, Listing.State.READY, 110))));
+                    news ->
+                            news.rosterChanged(
+                                    List.of(PolicyHarness.entry(0, RosterEntry.State.READY, 110))));
             nodes.add(node);
         }
         List<Double> sent = new ArrayList<>();
         for (int step = 0; step < 16; step++) {
             double now = 113 + 0.25 * step;
-            for (Node node : nodes) {
-                int before = node.placed;
+            for (PolicyHarness node : nodes) {
+                int before = node.setupsSent;
                 node.now = now;
-                node.loads(0.1, 0.85, 0.85, 0.85);
-                node.arrive(100 * step, 10, null);
-                sent.addAll(Collections.nCopies(node.placed - before, now));
+                node.reportLoads(0.1, 0.85, 0.85, 0.85);
+                node.arriveTunnels(100 * step, 10, null);
+                sent.addAll(Collections.nCopies(node.setupsSent - before, now));
             }
         }
         double worst = -1;
--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -5,7 +5,7 @@
 import embershift.fleet.endpoints.EndpointUpdate;
 import embershift.fleet.lease.FencingToken;
 import embershift.model.HostId;
-import embershift.model.Listing;
+import embershift.model.RosterEntry;
 import embershift.program.Companion;
 import embershift.protocol.RosterPage;
 import embershift.protocol.Unreadable;
@@ -127,14 +127,14 @@
         if (update.removed().isEmpty()) {
             return page;
         }
-        List<Listing> listings = new ArrayList<>(page.listings());
+        List<RosterEntry> listings = new ArrayList<>(page.listings());
         update.removed().forEach(host -> listings.add(gone(host)));
         return new RosterPage(
                 page.generation(), false, listings, page.addresses(), page.unreadable());
     }
 
-    private static Listing gone(String host) {
-        return new Listing(new HostId(host), Listing.State.GONE, null, 1, 0, 0);
+    private static RosterEntry gone(String host) {
+        return new RosterEntry(new HostId(host), RosterEntry.State.GONE, null, 1, 0, 0);
     }
 
     private RosterPage page(boolean isFull, Map<String, String> entries) {
--- a/emulator/src/main/java/embershift/emulator/baseline/Baselines.java
+++ b/emulator/src/main/java/embershift/emulator/baseline/Baselines.java
@@ -3,7 +3,7 @@
 import embershift.emulator.world.Module;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -21,7 +21,9 @@
 
     static {
         MAKERS.put(
-                OWN, (deployment, truth) -> new Policy(deployment, new Filling(deployment))::round);
+                OWN,
+                (deployment, truth) ->
+                        new Policy(deployment, new HostCapacityEstimate(deployment))::round);
         MAKERS.put("random", (deployment, truth) -> new Plain(deployment, random(deployment)));
         MAKERS.put(
                 "round-robin",
--- a/emulator/src/main/java/embershift/emulator/baseline/Plain.java
+++ b/emulator/src/main/java/embershift/emulator/baseline/Plain.java
@@ -9,11 +9,11 @@
 import embershift.model.Deployment.Repeat;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
 import java.util.ArrayList;
@@ -31,7 +31,7 @@
  * up, tried again elsewhere, declined or closed with error - and leaves the choice of host to a
  * {@link Choice}.
  */
-final class Plain implements Module, News {
+final class Plain implements Module, NodeEvents {
 
     /** How a host is chosen; {@code eligible} is never empty, in the order of names. */
     interface Choice {
@@ -61,8 +61,8 @@
     /** What is known of a host. */
     static final class Host {
         final HostId id;
-        Listing.State state = Listing.State.GONE;
-        Listing listing;
+        RosterEntry.State state = RosterEntry.State.GONE;
+        RosterEntry listing;
         final Map<TunnelId, Row> own = new LinkedHashMap<>();
         double load = Double.NaN;
 
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void round(double at, Consumer<News> arrivals, Decisions out) {
+    public void round(double at, Consumer<NodeEvents> arrivals, Decisions out) {
         if (now == Double.NEGATIVE_INFINITY) {
             movesAt = at + 1;
         }
@@ -138,7 +138,7 @@
         if (every > 0 && now >= probesAt) {
             probesAt = now + every;
             hosts.values().stream()
-                    .filter(host -> host.state == Listing.State.READY)
+                    .filter(host -> host.state == RosterEntry.State.READY)
                     .forEach(host -> out.probe(host.id));
         }
         if (now >= movesAt) {
@@ -168,14 +168,14 @@
     // ---- The roster ----
 
     @Override
-    public void rosterListed(List<Listing> listings, boolean remembered) {
-        hosts.values().forEach(host -> host.state = Listing.State.GONE);
+    public void rosterReplaced(List<RosterEntry> listings, boolean remembered) {
+        hosts.values().forEach(host -> host.state = RosterEntry.State.GONE);
         rosterChanged(listings);
     }
 
     @Override
-    public void rosterChanged(List<Listing> listings) {
-        for (Listing listing : listings) {
+    public void rosterChanged(List<RosterEntry> listings) {
+        for (RosterEntry listing : listings) {
             Host host =
                     hosts.computeIfAbsent(listing.host().name(), name -> new Host(listing.host()));
             host.state = listing.state();
@@ -184,8 +184,8 @@
     }
 
     @Override
-    public void rosterLost() {
-        rosterAt = now + deployment.mustAskWithin() / 8 * (0.5 + chance.nextDouble());
+    public void rosterWatchLost() {
+        rosterAt = now + deployment.rosterCallDeadline() / 8 * (0.5 + chance.nextDouble());
     }
 
     // ---- Tunnels ----
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public void tunnelStanding(
+    public void tunnelResumed(
             TunnelId id,
             ProfileId profile,
             ParticipantId participant,
@@ -255,10 +255,10 @@
     private void place(Row row) {
         double left = row.until - now;
         Host host = null;
-        if (row.setups < deployment.mostSetups() && left > LEAST_LEFT && mayRunAgain(row)) {
+        if (row.setups < deployment.maxSetups() && left > LEAST_LEFT && mayRunAgain(row)) {
             List<Host> eligible = new ArrayList<>();
             for (Host one : hosts.values()) {
-                if (one.state == Listing.State.READY && dropsRepeats(row, one)) {
+                if (one.state == RosterEntry.State.READY && dropsRepeats(row, one)) {
                     eligible.add(one);
                 }
             }
@@ -280,7 +280,7 @@
             return;
         }
         boolean last =
-                row.setups + 1 >= deployment.mostSetups()
+                row.setups + 1 >= deployment.maxSetups()
                         || row.profile.repeat() == Repeat.ONCE_ONLY;
         if (row.setups == 0) {
             row.firstSentAt = now;
@@ -288,7 +288,7 @@
         row.setups++;
         row.host = host;
         host.own.put(row.id, row);
-        decisions.setUp(
+        decisions.sendSetup(
                 row.id,
                 host.id,
                 last ? 0 : Math.min(left, choice.patience() * row.profile.setupGoal()));
@@ -303,12 +303,12 @@
     }
 
     @Override
-    public void tunnelLeft(TunnelId id) {
+    public void tunnelAbandoned(TunnelId id) {
         Row row = rows.remove(id);
         if (row != null) {
             leave(row);
             if (!row.open && row.setups > 0 && deployment.mayCancel()) {
-                decisions.cancel(id, row.setups - 1);
+                decisions.cancelSetup(id, row.setups - 1);
             }
         }
     }
@@ -321,7 +321,7 @@
 
     @Override
     public void setupEnded(
-            TunnelId id, int setup, HostId at, SetupEnd end, double took, boolean over) {
+            TunnelId id, int setup, HostId at, SetupOutcome end, double took, boolean over) {
         Row row = rows.get(id);
         if (row == null || setup != row.setups - 1) {
             return;
@@ -342,7 +342,7 @@
     // ---- Probes ----
 
     @Override
-    public void messageDelayNoted(HostId host, double delay) {
+    public void messageDelayMeasured(HostId host, double delay) {
         // Plain nodes know only their probes.
     }
 
@@ -361,7 +361,7 @@
     }
 
     @Override
-    public void nodeHeard(int node, byte[] content) {
+    public void nodeMessageReceived(int node, byte[] content) {
         // Plain nodes don't tell each other anything.
     }
 
--- a/emulator/src/main/java/embershift/emulator/world/Module.java
+++ b/emulator/src/main/java/embershift/emulator/world/Module.java
@@ -3,7 +3,7 @@
 import embershift.model.Decisions;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import java.util.function.Consumer;
 
 /**
@@ -14,7 +14,7 @@
 public interface Module {
 
     /** One round, as {@code Policy.round} has it. */
-    void round(double now, Consumer<News> arrivals, Decisions decisions);
+    void round(double now, Consumer<NodeEvents> arrivals, Decisions decisions);
 
     /**
      * Makes the module of one node at each of its starts; {@code truth} is for the baseline that
--- a/emulator/src/main/java/embershift/emulator/world/NodeShell.java
+++ b/emulator/src/main/java/embershift/emulator/world/NodeShell.java
@@ -4,11 +4,11 @@
 import embershift.model.DeclineReason;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
 import java.util.ArrayList;
@@ -42,7 +42,7 @@
     private final Map<TunnelId, Attempt> attempts = new LinkedHashMap<>();
     private final Map<HostId, Boolean> answeredProbe = new HashMap<>();
     private final Map<HostId, Double> notedAt = new HashMap<>();
-    private List<Consumer<News>> inbox = new ArrayList<>();
+    private List<Consumer<NodeEvents>> inbox = new ArrayList<>();
     private boolean roundPlanned;
     private boolean alive = true;
     private boolean leaving;
@@ -50,7 +50,7 @@
     private double lastRosterCall;
 
     /** What it was last told of each host, as the judge's word for it goes. */
-    private final Map<HostId, Listing> told = new LinkedHashMap<>();
+    private final Map<HostId, RosterEntry> told = new LinkedHashMap<>();
 
     private long nanos;
 
@@ -97,7 +97,7 @@
 
     // ---- News ----
 
-    void hear(Consumer<News> news) {
+    void hear(Consumer<NodeEvents> news) {
         if (alive) {
             inbox.add(news);
             plan(world.now() + world.day().node().wakes());
@@ -105,7 +105,7 @@
     }
 
     /** News that a round takes along but that wakes nobody. */
-    void hearLater(Consumer<News> news) {
+    void hearLater(Consumer<NodeEvents> news) {
         if (alive) {
             inbox.add(news);
         }
@@ -127,13 +127,13 @@
         if (!alive) {
             return;
         }
-        List<Consumer<News>> arrivals = inbox;
+        List<Consumer<NodeEvents>> arrivals = inbox;
         inbox = new ArrayList<>();
         long before = System.nanoTime();
         module.round(
                 world.now(),
                 news -> {
-                    for (Consumer<News> arrival : arrivals) {
+                    for (Consumer<NodeEvents> arrival : arrivals) {
                         arrival.accept(news);
                     }
                 },
@@ -142,9 +142,9 @@
         world.counts().rounds++;
     }
 
-    void begin(List<Listing> remembered) {
+    void begin(List<RosterEntry> remembered) {
         tell(remembered, true);
-        hear(news -> news.rosterListed(remembered, true));
+        hear(news -> news.rosterReplaced(remembered, true));
     }
 
     void standing(Attempt attempt) {
@@ -154,7 +154,7 @@
         Caller caller = attempt.caller;
         hear(
                 news ->
-                        news.tunnelStanding(
+                        news.tunnelResumed(
                                 attempt.id,
                                 world.profileId(caller.profile),
                                 world.participantId(caller.participant),
@@ -194,44 +194,44 @@
         return Math.min(MARGIN, patience / 10);
     }
 
-    void rosterSays(List<Listing> listings, boolean whole) {
+    void rosterSays(List<RosterEntry> listings, boolean whole) {
         tell(listings, whole);
         hear(
                 news -> {
                     if (whole) {
-                        news.rosterListed(listings, false);
+                        news.rosterReplaced(listings, false);
                     } else {
                         news.rosterChanged(listings);
                     }
                 });
     }
 
-    private void tell(List<Listing> listings, boolean whole) {
+    private void tell(List<RosterEntry> listings, boolean whole) {
         if (whole) {
-            Map<HostId, Listing> absent = new LinkedHashMap<>(told);
+            Map<HostId, RosterEntry> absent = new LinkedHashMap<>(told);
             listings.forEach(listing -> absent.remove(listing.host()));
             absent.keySet()
                     .forEach(host -> world.witness().told(world.now(), name, host.name(), true));
             told.keySet().removeAll(absent.keySet());
         }
-        for (Listing listing : listings) {
+        for (RosterEntry listing : listings) {
             told.put(listing.host(), listing);
             world.witness()
                     .told(
                             world.now(),
                             name,
                             listing.host().name(),
-                            listing.state() != Listing.State.READY);
+                            listing.state() != RosterEntry.State.READY);
         }
     }
 
     /** The list that it would remember, were it started again. */
-    List<Listing> known() {
+    List<RosterEntry> known() {
         return new ArrayList<>(told.values());
     }
 
     void rosterLost() {
-        hear(News::rosterLost);
+        hear(NodeEvents::rosterWatchLost);
     }
 
     void leave() {
@@ -240,17 +240,17 @@
     }
 
     void datagram(int from, byte[] content) {
-        hear(news -> news.nodeHeard(from, content));
+        hear(news -> news.nodeMessageReceived(from, content));
     }
 
     /** The client has ended its side. */
     void clientLeft(Attempt attempt) {
         if (attempts.containsKey(attempt.id)) {
             attempt.left = true;
-            hear(news -> news.tunnelLeft(attempt.id));
+            hear(news -> news.tunnelAbandoned(attempt.id));
             if (attempt.setup != null && !attempt.setup.ended) {
                 close(attempt.setup);
-                ended(attempt.setup, SetupEnd.CANCELLED);
+                ended(attempt.setup, SetupOutcome.CANCELLED);
             }
         }
     }
@@ -259,7 +259,7 @@
     void slow(HostId host, double takes) {
         if (world.now() >= notedAt.getOrDefault(host, Double.NEGATIVE_INFINITY) + 1) {
             notedAt.put(host, world.now());
-            hear(news -> news.messageDelayNoted(host, takes));
+            hear(news -> news.messageDelayMeasured(host, takes));
         }
     }
 
@@ -276,7 +276,7 @@
     // ---- Ends of setups ----
 
     /** A setup, or the tunnel that came of it, is over at this node. */
-    void ended(Setup setup, SetupEnd end) {
+    void ended(Setup setup, SetupOutcome end) {
         Attempt attempt = setup.attempt;
         if (setup.ended || !alive) {
             return;
@@ -309,7 +309,7 @@
     // ---- Decisions ----
 
     @Override
-    public void setUp(TunnelId id, HostId to, double timeOut) {
+    public void sendSetup(TunnelId id, HostId to, double timeOut) {
         Attempt attempt = attempts.get(id);
         Host host = world.host(to);
         if (attempt == null || host == null) {
@@ -346,12 +346,12 @@
                 return;
             }
             close(setup);
-            ended(setup, SetupEnd.TIMED_OUT);
+            ended(setup, SetupOutcome.TIMED_OUT);
         }
     }
 
     @Override
-    public void cancel(TunnelId id, int number) {
+    public void cancelSetup(TunnelId id, int number) {
         Attempt attempt = attempts.get(id);
         if (attempt != null
                 && attempt.setup != null
@@ -359,7 +359,7 @@
                 && !attempt.up()
                 && !attempt.setup.ended) {
             close(attempt.setup);
-            ended(attempt.setup, SetupEnd.CANCELLED);
+            ended(attempt.setup, SetupOutcome.CANCELLED);
         }
     }
 
@@ -394,7 +394,7 @@
             attempt.left = true;
             world.trace().of(world.now(), attempt, attempt.host, name + " moves it off");
             close(attempt.setup);
-            ended(attempt.setup, SetupEnd.CANCELLED);
+            ended(attempt.setup, SetupOutcome.CANCELLED);
             world.broken(attempt);
         }
     }
@@ -450,22 +450,22 @@
     }
 
     @Override
-    public void askRoster() {
+    public void requestRoster() {
         lastRosterCall = world.now();
         world.roster().call(this, false);
     }
 
     @Override
-    public void tellNode(int node, byte[] content) {
+    public void sendToNode(int node, byte[] content) {
         world.counts().datagrams++;
         world.tellNode(this, node, content);
     }
 
     @Override
-    public void tellAllNodes(byte[] content) {
+    public void sendToAllNodes(byte[] content) {
         for (int node = 0; node < world.day().fleet().nodes(); node++) {
             if (node != number) {
-                tellNode(node, content);
+                sendToNode(node, content);
             }
         }
     }
@@ -483,7 +483,7 @@
     }
 
     @Override
-    public void note(String line) {
+    public void logForOperators(String line) {
         world.trace().of(world.now(), name, "notes: " + line);
     }
 }
--- a/emulator/src/main/java/embershift/emulator/world/Roster.java
+++ b/emulator/src/main/java/embershift/emulator/world/Roster.java
@@ -2,7 +2,7 @@
 
 import embershift.emulator.day.Day;
 import embershift.model.HostId;
-import embershift.model.Listing;
+import embershift.model.RosterEntry;
 import embershift.model.ZoneId;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -18,13 +18,13 @@
  */
 final class Roster extends Place {
 
-    private record Version(double at, Map<HostId, Listing> list) {}
+    private record Version(double at, Map<HostId, RosterEntry> list) {}
 
     private final Day.Roster figures;
     private final Agenda agenda;
     private final Network network;
     private final Dice dice;
-    private final Map<HostId, Listing> list = new LinkedHashMap<>();
+    private final Map<HostId, RosterEntry> list = new LinkedHashMap<>();
     private final Map<HostId, Double> changedAt = new LinkedHashMap<>();
     private final List<Version> versions = new ArrayList<>();
     private final Set<NodeShell> watchers = new LinkedHashSet<>();
@@ -33,7 +33,7 @@
     private final Map<NodeShell, Wire> wires = new LinkedHashMap<>();
 
     private final Set<HostId> leftOut = new LinkedHashSet<>();
-    private Map<HostId, Listing> older;
+    private Map<HostId, RosterEntry> older;
     private int away;
     private double busyUntil;
     long calls;
@@ -47,8 +47,8 @@
         this.dice = dice;
     }
 
-    private static Listing listing(Host host, HostId address, Listing.State state) {
-        return new Listing(
+    private static RosterEntry listing(Host host, HostId address, RosterEntry.State state) {
+        return new RosterEntry(
                 address,
                 state,
                 new ZoneId(host.zone),
@@ -59,33 +59,33 @@
 
     void begin(List<Host> hosts) {
         for (Host host : hosts) {
-            list.put(host.address(), listing(host, host.address(), Listing.State.READY));
+            list.put(host.address(), listing(host, host.address(), RosterEntry.State.READY));
         }
         versions.add(new Version(agenda.now(), Map.copyOf(list)));
     }
 
-    List<Listing> present() {
+    List<RosterEntry> present() {
         return new ArrayList<>(list.values());
     }
 
     /** A host's program has changed: the roster will see it, late. */
     void changed(Host host) {
         HostId address = host.address();
-        Listing.State state =
+        RosterEntry.State state =
                 switch (host.state()) {
-                    case RUNNING -> Listing.State.READY;
-                    case DRAINING -> Listing.State.DRAINING;
-                    case DOWN, SILENT -> Listing.State.GONE;
+                    case RUNNING -> RosterEntry.State.READY;
+                    case DRAINING -> RosterEntry.State.DRAINING;
+                    case DOWN, SILENT -> RosterEntry.State.GONE;
                 };
-        Listing seen = listing(host, address, state);
+        RosterEntry seen = listing(host, address, state);
         agenda.in(
                 dice.within(figures.lag()),
                 () -> {
-                    Listing before = list.get(address);
+                    RosterEntry before = list.get(address);
                     if (before != null && before.launchedAt() > seen.launchedAt()) {
                         return;
                     }
-                    if (state == Listing.State.GONE) {
+                    if (state == RosterEntry.State.GONE) {
                         list.remove(address);
                     } else {
                         list.put(address, seen);
@@ -105,15 +105,15 @@
 
     /** Whether by its true list this host is wanted. */
     boolean lists(HostId address) {
-        Listing listing = list.get(address);
-        return listing != null && listing.state() == Listing.State.READY;
+        RosterEntry listing = list.get(address);
+        return listing != null && listing.state() == RosterEntry.State.READY;
     }
 
     boolean reachable() {
         return away == 0;
     }
 
-    private void push(List<Listing> changes) {
+    private void push(List<RosterEntry> changes) {
         if (away > 0) {
             return;
         }
@@ -123,16 +123,16 @@
         }
     }
 
-    private void deliver(NodeShell node, List<Listing> listings, boolean whole) {
+    private void deliver(NodeShell node, List<RosterEntry> listings, boolean whole) {
         if (node.runs()) {
             node.rosterSays(listings, whole);
         }
     }
 
     /** What it would answer now. */
-    private List<Listing> whole() {
-        List<Listing> all = new ArrayList<>();
-        for (Listing listing : (older != null ? older : list).values()) {
+    private List<RosterEntry> whole() {
+        List<RosterEntry> all = new ArrayList<>();
+        for (RosterEntry listing : (older != null ? older : list).values()) {
             if (!leftOut.contains(listing.host())) {
                 all.add(listing);
             }
@@ -172,7 +172,7 @@
                                     network.stream(this, node, () -> lost(node));
                                     return;
                                 }
-                                List<Listing> all = whole();
+                                List<RosterEntry> all = whole();
                                 entries += all.size();
                                 if (watch && node.runs() && wires.get(node) == wire) {
                                     watchers.add(node);
@@ -237,7 +237,7 @@
      */
     void older(double ago, double until) {
         double then = agenda.now() - ago;
-        Map<HostId, Listing> found = versions.get(0).list;
+        Map<HostId, RosterEntry> found = versions.get(0).list;
         for (Version version : versions) {
             if (version.at <= then) {
                 found = version.list;
@@ -259,7 +259,7 @@
             leftOut.removeAll(hosts);
         }
         if (away == 0) {
-            List<Listing> all = whole();
+            List<RosterEntry> all = whole();
             for (NodeShell node : List.copyOf(watchers)) {
                 wires.get(node).send(network, this, node, () -> deliver(node, all, true));
             }
--- a/emulator/src/main/java/embershift/emulator/world/World.java
+++ b/emulator/src/main/java/embershift/emulator/world/World.java
@@ -4,10 +4,10 @@
 import embershift.emulator.day.Trouble.Direction;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.Listing;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
 import java.util.ArrayList;
@@ -219,13 +219,13 @@
                 day.host().warmAfter(),
                 day.rules().fallMultiple(),
                 day.rules().fallAfter(),
-                Deployment.Budget.NONE,
+                Deployment.RetryBudget.NONE,
                 false,
                 0);
     }
 
     /** Starts a node's program; its clients come once the front has had its answer. */
-    void startNode(int number, List<Listing> remembered) {
+    void startNode(int number, List<RosterEntry> remembered) {
         String zone = day.fleet().zones().get(number % day.fleet().zones().size());
         NodeShell node =
                 new NodeShell(
@@ -438,7 +438,7 @@
         if (host.state() == Host.State.SILENT
                 || !setup.address.equals(host.address())
                 || !network.openBothWays(node, host)) {
-            agenda.in(timeout, () -> node.ended(setup, SetupEnd.NO_CONNECTION));
+            agenda.in(timeout, () -> node.ended(setup, SetupOutcome.NO_CONNECTION));
             return;
         }
         double there = network.delay(node, host);
@@ -447,13 +447,13 @@
                 there,
                 () -> {
                     if (host.state() == Host.State.SILENT) {
-                        agenda.in(timeout, () -> node.ended(setup, SetupEnd.NO_CONNECTION));
+                        agenda.in(timeout, () -> node.ended(setup, SetupOutcome.NO_CONNECTION));
                     } else if (host.state() == Host.State.DOWN || host.refusing) {
                         setup.toNode.send(
                                 network,
                                 host,
                                 node,
-                                () -> node.ended(setup, SetupEnd.NO_CONNECTION));
+                                () -> node.ended(setup, SetupOutcome.NO_CONNECTION));
                     } else {
                         agenda.in(
                                 back,
@@ -467,7 +467,7 @@
                 });
     }
 
-    private void reply(Setup setup, SetupEnd end) {
+    private void reply(Setup setup, SetupOutcome end) {
         setup.toNode.send(network, setup.host, setup.node, () -> setup.node.ended(setup, end));
     }
 
@@ -479,7 +479,7 @@
         setup.arrived = true;
         if (!host.runs()) {
             if (host.state() == Host.State.DOWN) {
-                reply(setup, SetupEnd.BROKEN);
+                reply(setup, SetupOutcome.BROKEN);
             }
             return;
         }
@@ -488,11 +488,11 @@
             witness.pushedOver(now(), host.name, host.pushRate(), allowed);
             trace.of(now(), host.name, "is pushed over");
             stopHost(host, false);
-            reply(setup, SetupEnd.BROKEN);
+            reply(setup, SetupOutcome.BROKEN);
             return;
         }
         if (host.state() == Host.State.DRAINING || !host.hasRoom()) {
-            reply(setup, SetupEnd.FULL);
+            reply(setup, SetupOutcome.FULL);
             return;
         }
         witness.ran(now(), setup.attempt.id.name(), host.name, host.zone, host.cell);
@@ -500,7 +500,7 @@
             return;
         }
         if (host.failing > 0 && setupLuck.part() < host.failing) {
-            reply(setup, SetupEnd.ERROR);
+            reply(setup, SetupOutcome.ERROR);
             return;
         }
         boolean half = host.halving > 0 && setupLuck.part() < host.halving;
@@ -522,7 +522,7 @@
         if (store.full()) {
             host.forget();
             counts.wastedWork += work;
-            reply(setup, SetupEnd.ERROR);
+            reply(setup, SetupOutcome.ERROR);
             return;
         }
         store.call(
@@ -536,7 +536,7 @@
                         host.forget();
                         counts.wastedWork += work;
                         if (!setup.closedAtHost) {
-                            reply(setup, SetupEnd.BROKEN);
+                            reply(setup, SetupOutcome.BROKEN);
                         }
                         return;
                     }
@@ -626,7 +626,8 @@
                                             * attempt.caller.cost
                                             * loadLuck.spread(day.traffic().loadSpread());
                             attempt.host.loadChanges(attempt, load);
-                            attempt.node.hearLater(news -> news.tunnelLoadNoted(attempt.id, load));
+                            attempt.node.hearLater(
+                                    news -> news.tunnelLoadMeasured(attempt.id, load));
                             planLoad(attempt);
                         }
                     });
@@ -649,7 +650,7 @@
                     attempt.node,
                     () -> {
                         attempt.left = true;
-                        attempt.node.ended(attempt.setup, SetupEnd.COMPLETED);
+                        attempt.node.ended(attempt.setup, SetupOutcome.COMPLETED);
                     });
         } else {
             agenda.in(network.nearDelay(), () -> attempt.node.clientLeft(attempt));
@@ -858,7 +859,7 @@
                             && setup.arrived
                             && !broken.contains(attempt)) {
                         setup.toNode.send(
-                                network, host, node, () -> node.ended(setup, SetupEnd.BROKEN));
+                                network, host, node, () -> node.ended(setup, SetupOutcome.BROKEN));
                     }
                 }
             }
@@ -881,10 +882,10 @@
                         if (attempt.up()) {
                             attempt.left = true;
                             counts.breaks++;
-                            node.ended(setup, SetupEnd.BROKEN);
+                            node.ended(setup, SetupOutcome.BROKEN);
                             broken(attempt);
                         } else {
-                            node.ended(setup, SetupEnd.BROKEN);
+                            node.ended(setup, SetupOutcome.BROKEN);
                         }
                     }
                 });
@@ -952,7 +953,7 @@
                         if (!attempt.left && attempt.node.runs() && !setup.ended) {
                             attempt.left = true;
                             counts.breaks++;
-                            attempt.node.ended(setup, SetupEnd.CANCELLED);
+                            attempt.node.ended(setup, SetupOutcome.CANCELLED);
                             broken(attempt);
                         }
                     });
@@ -1003,7 +1004,7 @@
     public void crashNode(int number, double lasts) {
         NodeShell node = nodes[number];
         if (node.runs()) {
-            List<Listing> known = node.known();
+            List<RosterEntry> known = node.known();
             killNode(node, false);
             agenda.in(lasts + nodeLuck.within(day.node().starts()), () -> startNode(number, known));
         }
@@ -1021,7 +1022,7 @@
                 day.node().leaves(),
                 () -> {
                     if (node.runs()) {
-                        List<Listing> known = node.known();
+                        List<RosterEntry> known = node.known();
                         killNode(node, true);
                         agenda.in(
                                 nodeLuck.within(day.node().starts()),
--- a/emulator/src/test/java/embershift/emulator/MutationsTest.java
+++ b/emulator/src/test/java/embershift/emulator/MutationsTest.java
@@ -12,10 +12,10 @@
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Repeat;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
+import embershift.model.RosterEntry;
 import embershift.model.TunnelId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import java.lang.reflect.InvocationTargetException;
 import java.lang.reflect.Proxy;
@@ -62,16 +62,18 @@
     }
 
     private static Module.Maker maker(
-            UnaryOperator<Deployment> told, Fault<News> hears, Fault<Decisions> says) {
+            UnaryOperator<Deployment> told, Fault<NodeEvents> hears, Fault<Decisions> says) {
         return (deployment, truth) -> {
             Deployment heard = told.apply(deployment);
-            Policy policy = new Policy(heard, new Filling(heard));
+            Policy policy = new Policy(heard, new HostCapacityEstimate(heard));
             return (now, arrivals, decisions) ->
                     policy.round(
                             now,
                             news ->
                                     arrivals.accept(
-                                            hears == null ? news : faulty(News.class, news, hears)),
+                                            hears == null
+                                                    ? news
+                                                    : faulty(NodeEvents.class, news, hears)),
                             says == null ? decisions : faulty(Decisions.class, decisions, says));
         };
     }
@@ -80,7 +82,7 @@
         return maker(UnaryOperator.identity(), null, fault);
     }
 
-    private static Module.Maker hears(Fault<News> fault) {
+    private static Module.Maker hears(Fault<NodeEvents> fault) {
         return maker(UnaryOperator.identity(), fault, null);
     }
 
@@ -89,7 +91,7 @@
                 deployment ->
                         other(
                                 deployment,
-                                deployment.warmAfter(),
+                                deployment.warmUpTime(),
                                 row ->
                                         new Deployment.Profile(
                                                 row.id(),
@@ -112,30 +114,30 @@
             Deployment of, double warmAfter, UnaryOperator<Deployment.Profile> profile) {
         return new Deployment(
                 of.seed(),
-                of.nodes(),
-                of.rank(),
+                of.nodeCount(),
+                of.nodeIndex(),
                 of.zone(),
                 of.profiles().stream().map(profile).toList(),
                 of.rosterOnRequest(),
-                of.mustAskWithin(),
+                of.rosterCallDeadline(),
                 of.mayProbe(),
-                of.mayTellNodes(),
+                of.mayMessageNodes(),
                 of.reportsCapacity(),
                 of.mayCancel(),
                 of.mayOverlap(),
-                of.mostSetups(),
-                of.adviceOnReturn(),
-                of.longestReturn(),
+                of.maxSetups(),
+                of.supportsRetryAfter(),
+                of.maxRetryAfter(),
                 of.connectTimeout(),
                 of.answerSlack(),
                 of.drainGrace(),
-                of.coldFrom(),
+                of.coldCapacityShare(),
                 warmAfter,
-                of.fallMultiple(),
-                of.fallAfter(),
-                of.budget(),
+                of.overloadMultiple(),
+                of.overloadWindow(),
+                of.retryBudget(),
                 of.tunnelsPassThrough(),
-                of.parkedFor());
+                of.parkTime());
     }
 
     /**
@@ -195,8 +197,8 @@
     private static void twoAtOnce(
             Decisions behind, String method, Object[] arguments, Runnable unchanged) {
         unchanged.run();
-        if (method.equals("setUp")) {
-            behind.setUp((TunnelId) arguments[0], new HostId("h0"), 0);
+        if (method.equals("sendSetup")) {
+            behind.sendSetup((TunnelId) arguments[0], new HostId("h0"), 0);
         }
     }
 
@@ -209,13 +211,13 @@
     }
 
     private static void openThenDecline(
-            News behind, String method, Object[] arguments, Runnable unchanged) {
+            NodeEvents behind, String method, Object[] arguments, Runnable unchanged) {
         if (method.equals("tunnelOpened")) {
             behind.setupEnded(
                     (TunnelId) arguments[0],
                     (Integer) arguments[1],
                     (HostId) arguments[2],
-                    embershift.model.SetupEnd.FULL,
+                    embershift.model.SetupOutcome.FULL,
                     0,
                     false);
         } else {
@@ -226,14 +228,14 @@
     /** Hears of each host only that it is there, as if it neither drained nor went. */
     @SuppressWarnings("unchecked")
     private static void deafToDrains(
-            News behind, String method, Object[] arguments, Runnable unchanged) {
+            NodeEvents behind, String method, Object[] arguments, Runnable unchanged) {
         if (method.equals("rosterChanged")) {
             behind.rosterChanged(
-                    ((List<Listing>) arguments[0])
+                    ((List<RosterEntry>) arguments[0])
                             .stream()
-                                    .filter(listing -> listing.state() == Listing.State.READY)
+                                    .filter(listing -> listing.state() == RosterEntry.State.READY)
                                     .toList());
-        } else if (!method.equals("rosterListed") || (Boolean) arguments[1]) {
+        } else if (!method.equals("rosterReplaced") || (Boolean) arguments[1]) {
             unchanged.run();
         }
     }
--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -3,15 +3,15 @@
 import embershift.model.Deployment;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -42,7 +42,7 @@
     private final OutputStream out;
     private final PrintStream trouble;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Listing>> lists =
+    private final List<List<RosterEntry>> lists =
             new ArrayList<>(java.util.Collections.nCopies(LISTS, null));
 
     /** The instances with news in the present batch, in the order of their first. */
@@ -80,12 +80,12 @@
 
     private void decide(double now, int number, Instance instance, StringBuilder reply) {
         Replies replies = new Replies(number, reply);
-        List<Consumer<News>> arrivals = instance.arrivals;
+        List<Consumer<NodeEvents>> arrivals = instance.arrivals;
         try {
             instance.module.round(
                     now,
                     news -> {
-                        for (Consumer<News> arrival : arrivals) {
+                        for (Consumer<NodeEvents> arrival : arrivals) {
                             arrival.accept(news);
                         }
                     },
@@ -132,25 +132,25 @@
             throw line.unreadable(
                     "table", "a list number from 0 to " + (LISTS - 1) + " and a count");
         }
-        List<Listing> listings = new ArrayList<>();
+        List<RosterEntry> listings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Fields item = next();
             if (item == null || !item.text("message").equals("ITEM")) {
                 throw (item == null ? line : item)
                         .unreadable("hosts", "as many ITEM lines as were told");
             }
-            Listing.State state =
+            RosterEntry.State state =
                     switch (item.text("health")) {
-                        case "Ready" -> Listing.State.READY;
-                        case "Terminating" -> Listing.State.DRAINING;
-                        case "Gone" -> Listing.State.GONE;
+                        case "Ready" -> RosterEntry.State.READY;
+                        case "Terminating" -> RosterEntry.State.DRAINING;
+                        case "Gone" -> RosterEntry.State.GONE;
                         default -> throw item.unreadable("health", "Ready, Terminating or Gone");
                     };
             HostId host = new HostId(item.text("host"));
             item.optional("class-of-host");
             String zone = item.optional("az");
             listings.add(
-                    new Listing(
+                    new RosterEntry(
                             host,
                             state,
                             zone == null ? null : new ZoneId(zone),
@@ -170,7 +170,7 @@
             instances.put(
                     who,
                     new Instance(
-                            new Policy(deployment, new Filling(deployment)),
+                            new Policy(deployment, new HostCapacityEstimate(deployment)),
                             first.reportColumns()));
             stirred.remove(who);
             stirred.put(who, instances.get(who));
@@ -182,7 +182,7 @@
             return;
         }
         Instance instance = instances.get(who);
-        Consumer<News> arrival = arrival(word, line, instance);
+        Consumer<NodeEvents> arrival = arrival(word, line, instance);
         if (instance != null) {
             stirred.put(who, instance);
             if (arrival != null) {
@@ -192,7 +192,7 @@
     }
 
     /** What the line says, as a call on the module; null where it only stirs the instance. */
-    private Consumer<News> arrival(String word, Fields line, Instance instance) {
+    private Consumer<NodeEvents> arrival(String word, Fields line, Instance instance) {
         return switch (word) {
             case "SYNC" -> sync(line);
             case "ACCEPT", "RESUMED" -> tunnel(word, line);
@@ -207,13 +207,13 @@
             case "REPORT_BACK" -> setupEnd(line, instance);
             case "GONE" -> {
                 TunnelId id = new TunnelId(line.text("handle"));
-                yield news -> news.tunnelLeft(id);
+                yield news -> news.tunnelAbandoned(id);
             }
             case "PROBE_RESULT" -> probeEnd(line, instance);
             case "PEER_DATA" -> {
                 int node = line.whole("src");
                 byte[] content = line.bytes("content");
-                yield news -> news.nodeHeard(node, content);
+                yield news -> news.nodeMessageReceived(node, content);
             }
             case "WAKEUP" -> {
                 line.wide("ctx");
@@ -223,49 +223,49 @@
         };
     }
 
-    private static Consumer<News> hint(Fields line) {
+    private static Consumer<NodeEvents> hint(Fields line) {
         TunnelId id = new TunnelId(line.text("handle"));
         line.whole("trial");
         double value = line.number("value");
         HostId host = new HostId(line.text("host"));
         return switch (line.whole("sort")) {
-            case 1 -> news -> news.tunnelLoadNoted(id, value * MICRO);
-            case 2 -> news -> news.messageDelayNoted(host, value * MILLI);
+            case 1 -> news -> news.tunnelLoadMeasured(id, value * MICRO);
+            case 2 -> news -> news.messageDelayMeasured(host, value * MILLI);
             default -> null;
         };
     }
 
-    private Consumer<News> probeEnd(Fields line, Instance instance) {
+    private Consumer<NodeEvents> probeEnd(Fields line, Instance instance) {
         HostId host = new HostId(line.text("host"));
         boolean answered = line.whole("verdict") == 0;
         double took = line.numberOr("cost-time-s", 0);
-        Consumer<News> report = report(host, line, instance);
+        Consumer<NodeEvents> report = report(host, line, instance);
         return news -> {
             news.probeEnded(host, answered, took);
             report.accept(news);
         };
     }
 
-    private Consumer<News> sync(Fields line) {
+    private Consumer<NodeEvents> sync(Fields line) {
         // A failed call has no list: its number is meaningless and may be absent.
         double table = line.numberOr("table", -1);
         String mode = line.text("mode");
         if (mode.equals("lost")) {
-            return News::rosterLost;
+            return NodeEvents::rosterWatchLost;
         }
-        List<Listing> listings = table < 0 || table >= LISTS ? null : lists.get((int) table);
+        List<RosterEntry> listings = table < 0 || table >= LISTS ? null : lists.get((int) table);
         if (listings == null) {
             throw line.unreadable("table", "the number of a list given before");
         }
         return switch (mode) {
             case "incr" -> news -> news.rosterChanged(listings);
-            case "total" -> news -> news.rosterListed(listings, false);
-            case "warm_copy" -> news -> news.rosterListed(listings, true);
+            case "total" -> news -> news.rosterReplaced(listings, false);
+            case "warm_copy" -> news -> news.rosterReplaced(listings, true);
             default -> throw line.unreadable("mode", "incr, total, warm_copy or lost");
         };
     }
 
-    private Consumer<News> tunnel(String word, Fields line) {
+    private Consumer<NodeEvents> tunnel(String word, Fields line) {
         TunnelId id = new TunnelId(line.text("handle"));
         ProfileId profile = new ProfileId(line.text("category"));
         String team = line.optional("team");
@@ -281,37 +281,37 @@
         line.flag("came-back");
         if (word.equals("RESUMED")) {
             HostId host = new HostId(line.text("host"));
-            return news -> news.tunnelStanding(id, profile, participant, subject, group, host);
+            return news -> news.tunnelResumed(id, profile, participant, subject, group, host);
         }
         return news -> news.tunnelArrived(id, profile, participant, subject, group, left, midFlow);
     }
 
-    private Consumer<News> setupEnd(Fields line, Instance instance) {
+    private Consumer<NodeEvents> setupEnd(Fields line, Instance instance) {
         TunnelId id = new TunnelId(line.text("handle"));
         int setup = line.whole("trial");
         HostId host = new HostId(line.text("host"));
-        SetupEnd end =
+        SetupOutcome end =
                 switch (line.whole("verdict")) {
-                    case 0 -> SetupEnd.COMPLETED;
-                    case 13 -> SetupEnd.ERROR;
-                    case 8 -> SetupEnd.FULL;
-                    case 4 -> SetupEnd.TIMED_OUT;
-                    case 14 -> SetupEnd.NO_CONNECTION;
-                    case 10 -> SetupEnd.BROKEN;
-                    case 1 -> SetupEnd.CANCELLED;
-                    case 9 -> SetupEnd.NOT_SENT;
+                    case 0 -> SetupOutcome.COMPLETED;
+                    case 13 -> SetupOutcome.ERROR;
+                    case 8 -> SetupOutcome.FULL;
+                    case 4 -> SetupOutcome.TIMED_OUT;
+                    case 14 -> SetupOutcome.NO_CONNECTION;
+                    case 10 -> SetupOutcome.BROKEN;
+                    case 1 -> SetupOutcome.CANCELLED;
+                    case 9 -> SetupOutcome.NOT_SENT;
                     default -> throw line.unreadable("verdict", "one of 0, 1, 4, 8, 9, 10, 13, 14");
                 };
         double took = line.numberOr("cost-time-s", 0);
         boolean over = line.flag("no-more");
-        Consumer<News> report = report(host, line, instance);
+        Consumer<NodeEvents> report = report(host, line, instance);
         return news -> {
             report.accept(news);
             news.setupEnded(id, setup, host, end, took, over);
         };
     }
 
-    private Consumer<News> report(HostId host, Fields line, Instance instance) {
+    private Consumer<NodeEvents> report(HostId host, Fields line, Instance instance) {
         double[] row = line.ended() ? new double[0] : line.row("metrics");
         if (row.length == 0 || instance == null) {
             return news -> {};
@@ -326,7 +326,7 @@
     private static final class Instance {
         final Policy module;
         final String[] columns;
-        final List<Consumer<News>> arrivals = new ArrayList<>();
+        final List<Consumer<NodeEvents>> arrivals = new ArrayList<>();
 
         Instance(Policy module, List<String> columns) {
             this.module = module;
--- a/node/src/main/java/embershift/adapter/Replies.java
+++ b/node/src/main/java/embershift/adapter/Replies.java
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void setUp(TunnelId id, HostId host, double timeOut) {
+    public void sendSetup(TunnelId id, HostId host, double timeOut) {
         action("HAND_OFF")
                 .append(' ')
                 .append(id.name())
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void cancel(TunnelId id, int setup) {
+    public void cancelSetup(TunnelId id, int setup) {
         action("CANCEL").append(' ').append(id.name()).append(' ').append(setup).append('\n');
     }
 
@@ -69,17 +69,17 @@
     }
 
     @Override
-    public void askRoster() {
+    public void requestRoster() {
         action("PULL").append('\n');
     }
 
     @Override
-    public void tellNode(int node, byte[] content) {
+    public void sendToNode(int node, byte[] content) {
         action("SHARE").append(' ').append(node).append(' ').append(base64(content)).append('\n');
     }
 
     @Override
-    public void tellAllNodes(byte[] content) {
+    public void sendToAllNodes(byte[] content) {
         action("SHARE").append(" * ").append(base64(content)).append('\n');
     }
 
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public void note(String line) {
+    public void logForOperators(String line) {
         action("JOURNAL_LINE").append(' ').append(line.replaceAll("\\s+", " ")).append('\n');
     }
 
--- a/node/src/main/java/embershift/protocol/DeploymentReader.java
+++ b/node/src/main/java/embershift/protocol/DeploymentReader.java
@@ -1,10 +1,10 @@
 package embershift.protocol;
 
 import embershift.model.Deployment;
-import embershift.model.Deployment.Budget;
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Profile;
 import embershift.model.Deployment.Repeat;
+import embershift.model.Deployment.RetryBudget;
 import embershift.model.ProfileId;
 import embershift.model.ZoneId;
 import java.util.ArrayList;
@@ -129,14 +129,14 @@
     }
 
     /** The budget of further setups: three settings that stand together or not at all. */
-    private Budget budget() throws Unreadable {
+    private RetryBudget budget() throws Unreadable {
         List<String> paths =
                 List.of("rules.extra-free", "rules.repeat-ratio", "rules.resend-span-s");
         if (paths.stream().noneMatch(this::stated)) {
-            return Budget.NONE;
+            return RetryBudget.NONE;
         }
-        Budget budget =
-                new Budget(number(paths.get(0)), number(paths.get(1)), number(paths.get(2)));
+        RetryBudget budget =
+                new RetryBudget(number(paths.get(0)), number(paths.get(1)), number(paths.get(2)));
         for (String path : paths) {
             double least = path.endsWith("span-s") ? Double.MIN_VALUE : 0;
             double value = number(path);
--- a/node/src/main/java/embershift/protocol/RosterPage.java
+++ b/node/src/main/java/embershift/protocol/RosterPage.java
@@ -1,7 +1,7 @@
 package embershift.protocol;
 
 import embershift.model.HostId;
-import embershift.model.Listing;
+import embershift.model.RosterEntry;
 import embershift.model.ZoneId;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
 public record RosterPage(
         long generation,
         boolean whole,
-        List<Listing> listings,
+        List<RosterEntry> listings,
         Map<HostId, InetSocketAddress> addresses,
         int unreadable) {
 
@@ -27,12 +27,12 @@
     /** Reads a page that stands within a larger text. */
     public static RosterPage of(Object json) throws Unreadable {
         JsonObject page = new JsonObject("list of hosts", json);
-        List<Listing> listings = new ArrayList<>();
+        List<RosterEntry> listings = new ArrayList<>();
         Map<HostId, InetSocketAddress> addresses = new LinkedHashMap<>();
         int unreadable = 0;
         for (JsonObject item : page.items("instances")) {
             try {
-                Listing listing = listing(item);
+                RosterEntry listing = listing(item);
                 String address = item.textOr("hostPort", null);
                 if (address != null) {
                     addresses.put(listing.host(), Addresses.read(address));
@@ -51,16 +51,16 @@
                 unreadable);
     }
 
-    private static Listing listing(JsonObject item) throws Unreadable {
-        Listing.State state =
+    private static RosterEntry listing(JsonObject item) throws Unreadable {
+        RosterEntry.State state =
                 switch (item.textOr("lifecycle", "")) {
-                    case "in_service" -> Listing.State.READY;
-                    case "terminating" -> Listing.State.DRAINING;
+                    case "in_service" -> RosterEntry.State.READY;
+                    case "terminating" -> RosterEntry.State.DRAINING;
                     // A state that came up later must not keep the node from all other news.
-                    default -> Listing.State.GONE;
+                    default -> RosterEntry.State.GONE;
                 };
         String zone = item.textOr("zone", null);
-        return new Listing(
+        return new RosterEntry(
                 new HostId(item.text("instanceId")),
                 state,
                 zone == null ? null : new ZoneId(zone),
--- a/node/src/main/java/embershift/routing/Contact.java
+++ b/node/src/main/java/embershift/routing/Contact.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
 import embershift.model.HostId;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.protocol.HostLine;
 import embershift.protocol.Line;
 import embershift.protocol.Report;
@@ -207,7 +207,7 @@
         return unheard;
     }
 
-    void tell(News news, Report report) {
+    void tell(NodeEvents news, Report report) {
         if (!report.empty()) {
             news.hostReported(
                     host, report.loadOverCapacity(), report.openTunnels(), report.queued());
@@ -223,7 +223,7 @@
         if (slow ? now >= messageDelayToldAt + 1 : messagesSlow) {
             messagesSlow = slow;
             messageDelayToldAt = now;
-            router.hear(news -> news.messageDelayNoted(host, delay));
+            router.hear(news -> news.messageDelayMeasured(host, delay));
         }
     }
 
--- a/node/src/main/java/embershift/routing/Passage.java
+++ b/node/src/main/java/embershift/routing/Passage.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
 import embershift.model.DeclineReason;
-import embershift.model.SetupEnd;
+import embershift.model.SetupOutcome;
 import embershift.model.TunnelId;
 import embershift.protocol.HostLine;
 import embershift.protocol.Line;
@@ -140,7 +140,7 @@
      */
     private void failUnasked(String counted, String why) {
         router.tally().count(counted);
-        router.hear(news -> news.tunnelLeft(id));
+        router.hear(news -> news.tunnelAbandoned(id));
         answer("ERR " + why, Outcome.CLOSED_WITH_ERROR);
     }
 
@@ -282,7 +282,7 @@
         if (askingToMove && state == State.OPEN && trail.betweenLines()) {
             router.tally().count("tunnels moved");
             client.write(Line.of("MOVE"));
-            finish(SetupEnd.CANCELLED, Report.NONE);
+            finish(SetupOutcome.CANCELLED, Report.NONE);
             client.finish();
             setup.link.finish();
         }
@@ -321,20 +321,20 @@
             if (trail.betweenLines()) {
                 client.write(Line.of("MOVE"));
             }
-            finish(SetupEnd.BROKEN, Report.NONE);
+            finish(SetupOutcome.BROKEN, Report.NONE);
             client.finish();
             setup.link.close();
         }
     }
 
     /** The open tunnel has ended; the module hears it once. */
-    private void finish(SetupEnd end, Report report) {
+    private void finish(SetupOutcome end, Report report) {
         over();
         tellEnd(setup, end, report, true);
         router.forget(this);
     }
 
-    private void tellEnd(Setup of, SetupEnd end, Report report, boolean last) {
+    private void tellEnd(Setup of, SetupOutcome end, Report report, boolean last) {
         double took = router.now() - of.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
         router.hear(
@@ -424,7 +424,7 @@
         State was = state;
         if (was == State.OPEN || was == State.ENDING) {
             router.endings().end(this);
-            finish(SetupEnd.CANCELLED, Report.NONE);
+            finish(SetupOutcome.CANCELLED, Report.NONE);
             if (reset) {
                 setup.link.reset();
             } else {
@@ -439,7 +439,7 @@
             router.tally().count("tunnels left early");
             router.tally()
                     .count("tunnels left early " + (setup == null ? "unplaced" : setup.stage()));
-            router.hear(news -> news.tunnelLeft(id));
+            router.hear(news -> news.tunnelAbandoned(id));
             if (setup != null) {
                 setup.cancel();
             }
@@ -455,7 +455,7 @@
                 if (trail.betweenLines()) {
                     client.write(Line.of("MOVE"));
                 }
-                finish(SetupEnd.CANCELLED, Report.NONE);
+                finish(SetupOutcome.CANCELLED, Report.NONE);
                 client.finish();
                 setup.link.close();
             }
@@ -475,7 +475,7 @@
 
     private void close() {
         router.endings().end(this);
-        finish(SetupEnd.CANCELLED, Report.NONE);
+        finish(SetupOutcome.CANCELLED, Report.NONE);
         client.finish();
         setup.link.finish();
     }
@@ -493,14 +493,14 @@
         // A host that takes its leave while a client's line is under way has its end turned into a
         // reset.
         boolean tookLeave = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
-        SetupEnd end =
+        SetupOutcome end =
                 last == HostLine.Word.BYE
-                        ? SetupEnd.COMPLETED
+                        ? SetupOutcome.COMPLETED
                         : tookLeave || (state == State.ENDING && !reset)
-                                ? SetupEnd.CANCELLED
-                                : SetupEnd.BROKEN;
+                                ? SetupOutcome.CANCELLED
+                                : SetupOutcome.BROKEN;
         router.endings().end(this);
-        finish(end, end == SetupEnd.COMPLETED ? trail.last().report() : Report.NONE);
+        finish(end, end == SetupOutcome.COMPLETED ? trail.last().report() : Report.NONE);
         if (reset && !tookLeave) {
             client.reset();
         } else {
@@ -530,7 +530,7 @@
         /**
          * How it will end once its connection has, where this node has given it up; null before.
          */
-        private SetupEnd givenUp;
+        private SetupOutcome givenUp;
 
         Setup(Contact contact, int number) {
             this.contact = contact;
@@ -541,7 +541,7 @@
             router.tally().count("setups sent");
             waitsUntil = sentAt + wait;
             if (wait <= 0 || contact.address() == null) {
-                router.loop().execute(() -> end(SetupEnd.NOT_SENT, Report.NONE));
+                router.loop().execute(() -> end(SetupOutcome.NOT_SENT, Report.NONE));
                 return;
             }
             unlinked(false);
@@ -550,7 +550,7 @@
                     router.loop()
                             .after(
                                     Math.min(wait, router.connectTimeout()),
-                                    () -> end(SetupEnd.NO_CONNECTION, Report.NONE));
+                                    () -> end(SetupOutcome.NO_CONNECTION, Report.NONE));
         }
 
         @Override
@@ -568,7 +568,7 @@
                 // connection took, the grace may be over, and so may the time in which a repeat is
                 // dropped (rule 2).
                 // None of these is a host out of reach.
-                end(SetupEnd.NOT_SENT, Report.NONE);
+                end(SetupOutcome.NOT_SENT, Report.NONE);
                 return;
             }
             timer = router.loop().after(wait, this::timedOut);
@@ -609,16 +609,16 @@
         @Override
         public void notConnected() {
             link = null;
-            end(SetupEnd.NO_CONNECTION, Report.NONE);
+            end(SetupOutcome.NO_CONNECTION, Report.NONE);
         }
 
         private void timedOut() {
-            giveUp(SetupEnd.TIMED_OUT);
+            giveUp(SetupOutcome.TIMED_OUT);
         }
 
         void cancel() {
             if (!answered && givenUp == null) {
-                giveUp(SetupEnd.CANCELLED);
+                giveUp(SetupOutcome.CANCELLED);
             }
         }
 
@@ -626,12 +626,12 @@
          * Ends the sending and waits a moment for the host's end: a setup is out until then, and no
          * other may follow before. A final answer that is due does not wait.
          */
-        private void giveUp(SetupEnd as) {
+        private void giveUp(SetupOutcome as) {
             if (answered) {
                 return;
             }
             if (!written || state != State.TAKEN || timeLeft(router.now()) < router.endPatience()) {
-                end(written ? as : SetupEnd.NO_CONNECTION, Report.NONE);
+                end(written ? as : SetupOutcome.NO_CONNECTION, Report.NONE);
                 return;
             }
             givenUp = as;
@@ -640,7 +640,7 @@
             link.endSending();
         }
 
-        private void end(SetupEnd end, Report report) {
+        private void end(SetupOutcome end, Report report) {
             if (answered) {
                 return;
             }
@@ -691,7 +691,7 @@
             try {
                 line = lines.next(bytes);
             } catch (Unreadable e) {
-                end(SetupEnd.ERROR, Report.NONE);
+                end(SetupOutcome.ERROR, Report.NONE);
                 return;
             }
             if (line == null) {
@@ -700,8 +700,8 @@
             HostLine said = HostLine.read(Line.text(line));
             switch (said.word()) {
                 case UP -> up(line);
-                case BUSY -> end(SetupEnd.FULL, said.report());
-                default -> end(SetupEnd.ERROR, said.report());
+                case BUSY -> end(SetupOutcome.FULL, said.report());
+                default -> end(SetupOutcome.ERROR, said.report());
             }
         }
 
@@ -709,7 +709,7 @@
             if (givenUp != null || state != State.TAKEN) {
                 // It came too late: this node has ended its sending, and the tunnel could not live
                 // so.
-                end(givenUp == null ? SetupEnd.CANCELLED : givenUp, Report.NONE);
+                end(givenUp == null ? SetupOutcome.CANCELLED : givenUp, Report.NONE);
                 return;
             }
             answered = true;
@@ -752,7 +752,7 @@
             trail.follow(bytes);
             double load = trail.takeLoad();
             if (!Double.isNaN(load)) {
-                router.hear(news -> news.tunnelLoadNoted(id, load * 1e-6));
+                router.hear(news -> news.tunnelLoadMeasured(id, load * 1e-6));
             }
             client.write(bytes);
         }
@@ -763,7 +763,7 @@
                 end(
                         givenUp != null
                                 ? givenUp
-                                : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                                : written ? SetupOutcome.BROKEN : SetupOutcome.NO_CONNECTION,
                         Report.NONE);
             } else {
                 hostEnded(false);
@@ -776,7 +776,7 @@
                 end(
                         givenUp != null
                                 ? givenUp
-                                : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                                : written ? SetupOutcome.BROKEN : SetupOutcome.NO_CONNECTION,
                         Report.NONE);
             } else {
                 hostEnded(true);
--- a/node/src/main/java/embershift/routing/Peers.java
+++ b/node/src/main/java/embershift/routing/Peers.java
@@ -64,7 +64,7 @@
             return;
         }
         router.tally().count("datagrams received");
-        router.hear(news -> news.nodeHeard(node, content));
+        router.hear(news -> news.nodeMessageReceived(node, content));
     }
 
     void tell(int node, byte[] content) {
--- a/node/src/main/java/embershift/routing/Roster.java
+++ b/node/src/main/java/embershift/routing/Roster.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
-import embershift.model.News;
-import embershift.policy.Chance;
+import embershift.model.NodeEvents;
+import embershift.policy.SeededRandom;
 import embershift.protocol.HttpReply;
 import embershift.protocol.RosterPage;
 import embershift.protocol.Unreadable;
@@ -43,7 +43,7 @@
     Roster(Router router, InetSocketAddress address, boolean byItself, long seed) {
         this.router = router;
         this.byItself = byItself;
-        schedule = new WatchSchedule(byItself, new Chance(~seed)::nextApart);
+        schedule = new WatchSchedule(byItself, new SeededRandom(~seed)::nextDecorrelatedDouble);
         at(address);
     }
 
@@ -187,7 +187,7 @@
         router.tally().count("roster calls failed");
         goOn();
         if (!byItself) {
-            router.hear(News::rosterLost);
+            router.hear(NodeEvents::rosterWatchLost);
         }
     }
 
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -4,11 +4,11 @@
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ProfileId;
+import embershift.model.RosterEntry;
 import embershift.model.TunnelId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Opening;
@@ -87,7 +87,7 @@
 
     private final Loop loop;
     private final Deployment deployment;
-    private final Filling filling;
+    private final HostCapacityEstimate filling;
     private final Policy module;
     private final Consumer<String> log;
     private final Tally tally;
@@ -112,7 +112,7 @@
     private Lists lists;
     private final double connectTimeout;
     private final double slowMessage;
-    private List<Consumer<News>> arrivals = new ArrayList<>();
+    private List<Consumer<NodeEvents>> arrivals = new ArrayList<>();
     private boolean roundDue;
 
     /** Places in the code whose faults have been told: each is told once. */
@@ -142,7 +142,7 @@
         this.loop = loop;
         this.log = log;
         deployment = configuration.deployment();
-        filling = new Filling(deployment);
+        filling = new HostCapacityEstimate(deployment);
         module = new Policy(deployment, filling);
         tally = new Tally(deployment);
         connectTimeout = deployment.connectTimeout() > 0 ? deployment.connectTimeout() : 0.25;
@@ -168,7 +168,7 @@
             RosterPage known = configuration.known();
             roster.known(known.generation());
             addresses(known);
-            hear(news -> news.rosterListed(known.listings(), true));
+            hear(news -> news.rosterReplaced(known.listings(), true));
         }
         if (!deployment.rosterOnRequest()) {
             roster.watch(true);
@@ -254,12 +254,12 @@
      * Tunnels that fill a host, as far as this process has learned: one that follows wants to know.
      */
     public double tunnelsThatFill() {
-        return filling.tunnels();
+        return filling.tunnelsPerWarmHost();
     }
 
     /** What another process at this address has learned of that. */
     public void toldOfFilling(double tunnels) {
-        filling.told(tunnels);
+        filling.adopt(tunnels);
     }
 
     /**
@@ -352,7 +352,7 @@
     /** Staff take a host out, or back; {@code done} runs once that holds. */
     public void byHand(HostId host, boolean out, Runnable done) {
         contact(host).byHand = out;
-        hear(news -> news.hostByHand(host, out));
+        hear(news -> news.hostAdminStateChanged(host, out));
         log.accept("by hand: " + host.name() + (out ? " out" : " back"));
         // Behind the round that takes it.
         loop.execute(done);
@@ -445,8 +445,8 @@
         silences.expire(now, Passage::quiet);
         longSilences.expire(now, Passage::silent);
         endings.expire(now, Passage::endingTooLong);
-        listedHosts = module.listed(false);
-        avoidedHosts = module.listed(true);
+        listedHosts = module.listedHostCount(false);
+        avoidedHosts = module.listedHostCount(true);
         serveLine();
         loop.after(SWEEP, this::sweep);
     }
@@ -454,7 +454,7 @@
     // ---- News ----
 
     /** Keeps a piece of news for the round that follows this wake-up. */
-    void hear(Consumer<News> arrival) {
+    void hear(Consumer<NodeEvents> arrival) {
         arrivals.add(arrival);
         if (!roundDue) {
             roundDue = true;
@@ -464,7 +464,7 @@
 
     private void round() {
         roundDue = false;
-        List<Consumer<News>> news = arrivals;
+        List<Consumer<NodeEvents>> news = arrivals;
         arrivals = new ArrayList<>();
         try {
             module.round(now(), heard -> news.forEach(arrival -> tell(heard, arrival)), this);
@@ -474,7 +474,7 @@
     }
 
     /** Guards the rest of a round's news from a piece that the module stumbles over. */
-    private void tell(News heard, Consumer<News> arrival) {
+    private void tell(NodeEvents heard, Consumer<NodeEvents> arrival) {
         try {
             arrival.accept(heard);
         } catch (RuntimeException e) {
@@ -605,7 +605,7 @@
         if (opening.standingAt() != null) {
             hear(
                     news ->
-                            news.tunnelStanding(
+                            news.tunnelResumed(
                                     passage.id(),
                                     opening.profile(),
                                     opening.participant(),
@@ -630,7 +630,7 @@
         addresses(page);
         hear(
                 page.whole()
-                        ? news -> news.rosterListed(page.listings(), false)
+                        ? news -> news.rosterReplaced(page.listings(), false)
                         : news -> news.rosterChanged(page.listings()));
         // Over a copy: a client that is found to have left takes its tunnel off the list by itself.
         for (Passage passage : List.copyOf(unplaced)) {
@@ -655,10 +655,10 @@
                     });
         }
         page.addresses().forEach((host, address) -> contact(host).reachedAt(address));
-        for (Listing listing : page.listings()) {
+        for (RosterEntry listing : page.listings()) {
             Contact contact = contact(listing.host());
-            contact.listedReady = listing.state() == Listing.State.READY;
-            if (listing.state() == Listing.State.GONE) {
+            contact.listedReady = listing.state() == RosterEntry.State.READY;
+            if (listing.state() == RosterEntry.State.GONE) {
                 contact.hangUp();
             }
         }
@@ -667,7 +667,7 @@
     // ---- Decisions ----
 
     @Override
-    public void setUp(TunnelId id, HostId host, double timeOut) {
+    public void sendSetup(TunnelId id, HostId host, double timeOut) {
         Passage passage = passages.get(id);
         if (passage != null && passage.setUp(contact(host), timeOut)) {
             contact(host).setUps++;
@@ -675,7 +675,7 @@
     }
 
     @Override
-    public void cancel(TunnelId id, int setup) {
+    public void cancelSetup(TunnelId id, int setup) {
         Passage passage = passages.get(id);
         if (passage != null) {
             passage.cancel(setup);
@@ -726,17 +726,17 @@
     }
 
     @Override
-    public void askRoster() {
+    public void requestRoster() {
         roster.ask();
     }
 
     @Override
-    public void tellNode(int node, byte[] content) {
+    public void sendToNode(int node, byte[] content) {
         peers.tell(node, content);
     }
 
     @Override
-    public void tellAllNodes(byte[] content) {
+    public void sendToAllNodes(byte[] content) {
         peers.tellAll(content);
     }
 
@@ -747,7 +747,7 @@
     }
 
     @Override
-    public void note(String line) {
+    public void logForOperators(String line) {
         log.accept(line);
     }
 }
