--- a/node/src/test/java/embershift/protocol/ProtocolTest.java
+++ b/node/src/test/java/embershift/protocol/ProtocolTest.java
@@ -9,8 +9,8 @@
 import embershift.model.Deployment;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
 import embershift.model.ProfileId;
+import embershift.model.RosterEntry;
 import embershift.model.TunnelId;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -194,7 +194,7 @@
     @Test
     public void pageTellsHostsAndTheirAddresses() throws Unreadable {
         RosterPage page = RosterPage.read(PAGE);
-        Listing listing = page.listings().get(0);
+        RosterEntry listing = page.listings().get(0);
         assertEquals(
                 List.of(
                         page.generation(),
@@ -202,7 +202,7 @@
                         listing.state(),
                         listing.launchedAt(),
                         listing.cell()),
-                List.of(43L, false, Listing.State.DRAINING, 1.5, 3));
+                List.of(43L, false, RosterEntry.State.DRAINING, 1.5, 3));
         assertEquals(page.addresses().get(new HostId("s-1")).getPort(), 3000);
     }
 
@@ -210,7 +210,7 @@
     public void hostInAnUnheardOfStateGetsNothingNew() throws Unreadable {
         assertEquals(
                 RosterPage.read(PAGE.replace("terminating", "asleep")).listings().get(0).state(),
-                Listing.State.GONE);
+                RosterEntry.State.GONE);
     }
 
     @DataProvider
@@ -355,36 +355,36 @@
         assertEquals(deployment.seed(), 0x8c1f30d27a5be964L);
         assertEquals(
                 List.of(
-                        deployment.nodes(),
+                        deployment.nodeCount(),
                         deployment.mayProbe(),
-                        deployment.mayTellNodes(),
+                        deployment.mayMessageNodes(),
                         deployment.reportsCapacity(),
-                        deployment.mustAskWithin(),
+                        deployment.rosterCallDeadline(),
                         configuration.sockets()),
                 List.of(5, false, true, true, 10.0, 4096));
         assertEquals(deployment.profiles().get(0).dedupScope(), Deployment.DedupScope.CELL);
         assertEquals(deployment.profiles().get(0).messageGoal(), 0.06);
-        assertEquals(deployment.rank(), -1, "not told");
+        assertEquals(deployment.nodeIndex(), -1, "not told");
         String ranked = CONFIGURATION.replace("\"az\"", "\"rank\":3,\"az\"");
-        assertEquals(NodeConfiguration.read(ranked, null).deployment().rank(), 3);
+        assertEquals(NodeConfiguration.read(ranked, null).deployment().nodeIndex(), 3);
     }
 
     @DataProvider
     public Object[][] budgets() {
         return new Object[][] {
-            {"", Deployment.Budget.NONE},
+            {"", Deployment.RetryBudget.NONE},
             {
                 "\"extra-free\":10,\"repeat-ratio\":0.05,\"resend-span-s\":2,",
-                new Deployment.Budget(10, 0.05, 2)
+                new Deployment.RetryBudget(10, 0.05, 2)
             }
         };
     }
 
     @Test(dataProvider = "budgets")
-    public void budgetOfFurtherSetupsIsReadOrThereIsNone(String rules, Deployment.Budget budget)
-            throws Unreadable {
+    public void budgetOfFurtherSetupsIsReadOrThereIsNone(
+            String rules, Deployment.RetryBudget budget) throws Unreadable {
         String text = CONFIGURATION.replace("\"rules\":{", "\"rules\":{" + rules);
-        assertEquals(NodeConfiguration.read(text, null).deployment().budget(), budget);
+        assertEquals(NodeConfiguration.read(text, null).deployment().retryBudget(), budget);
     }
 
     @DataProvider
--- a/node/src/test/java/embershift/routing/CrossingsTest.java
+++ b/node/src/test/java/embershift/routing/CrossingsTest.java
@@ -436,7 +436,7 @@
         call(watch);
         on(
                 () -> {
-                    router.askRoster();
+                    router.requestRoster();
                     return null;
                 });
         page(watch, list(2, false));
--- a/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
@@ -9,13 +9,13 @@
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ProfileId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Chance;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
+import embershift.policy.SeededRandom;
 import embershift.protocol.WatchSchedule;
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -90,7 +90,9 @@
         /** {@code begun}: when the watch's last call began, up to three seconds before. */
         Caller(long seed, double mustAsk, Fault fault, double begun) {
             this.fault = fault;
-            schedule = new WatchSchedule(mustAsk == 0, new Chance(~seed)::nextApart);
+            schedule =
+                    new WatchSchedule(
+                            mustAsk == 0, new SeededRandom(~seed)::nextDecorrelatedDouble);
             module = mustAsk == 0 ? null : watching(seed, mustAsk);
             now = begun;
             schedule.called(now, true);
@@ -133,11 +135,11 @@
                             8,
                             3,
                             2,
-                            Deployment.Budget.NONE,
+                            Deployment.RetryBudget.NONE,
                             false,
                             0);
-            Policy policy = new Policy(deployment, new Filling(deployment));
-            policy.round(-100, news -> news.rosterListed(List.of(), true), this);
+            Policy policy = new Policy(deployment, new HostCapacityEstimate(deployment));
+            policy.round(-100, news -> news.rosterReplaced(List.of(), true), this);
             policy.round(-50, news -> {}, this);
             policy.round(-49, news -> news.rosterChanged(List.of()), this);
             calls.clear();
@@ -154,7 +156,7 @@
                 if (next == fails || (next == schedule.due() && schedule.calling())) {
                     fails = Double.POSITIVE_INFINITY;
                     schedule.failed(now);
-                    round(News::rosterLost);
+                    round(NodeEvents::rosterWatchLost);
                 } else if (next == schedule.due()) {
                     call();
                 } else {
@@ -164,7 +166,7 @@
             }
         }
 
-        private void round(Consumer<News> arrivals) {
+        private void round(Consumer<NodeEvents> arrivals) {
             if (module != null) {
                 module.round(now, arrivals, this);
             }
@@ -195,10 +197,10 @@
         }
 
         @Override
-        public void setUp(TunnelId id, HostId host, double timeOut) {}
+        public void sendSetup(TunnelId id, HostId host, double timeOut) {}
 
         @Override
-        public void cancel(TunnelId id, int setup) {}
+        public void cancelSetup(TunnelId id, int setup) {}
 
         @Override
         public void decline(TunnelId id, double returnAfter, DeclineReason reason) {}
@@ -216,16 +218,16 @@
         public void closeIdle(HostId host) {}
 
         @Override
-        public void askRoster() {}
+        public void requestRoster() {}
 
         @Override
-        public void tellNode(int node, byte[] content) {}
+        public void sendToNode(int node, byte[] content) {}
 
         @Override
-        public void tellAllNodes(byte[] content) {}
+        public void sendToAllNodes(byte[] content) {}
 
         @Override
-        public void note(String line) {}
+        public void logForOperators(String line) {}
     }
 
     /**
--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.Loopback;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -425,7 +425,7 @@
         // once.
         on(
                 () -> {
-                    router.hear(News::rosterLost);
+                    router.hear(NodeEvents::rosterWatchLost);
                     return null;
                 });
         assertEquals(hear(client("PING\r\n")), "PONG");
--- a/rig/src/main/java/embershift/rig/scale/GroupCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/GroupCosts.java
@@ -3,10 +3,10 @@
 import embershift.model.Deployment;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
+import embershift.model.RosterEntry;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import java.util.ArrayList;
 import java.util.List;
@@ -31,16 +31,21 @@
     private static double[] standing(int tunnels, int groups) {
         long before = Cpu.heap();
         Deployment deployment = ModuleSimulation.deployment(1);
-        Policy module = new Policy(deployment, new Filling(deployment));
+        Policy module = new Policy(deployment, new HostCapacityEstimate(deployment));
         ModuleSimulation quiet = new ModuleSimulation(1, 1, 0, 1, 0);
         int hosts = Math.min(HOSTS, tunnels);
-        List<Listing> listings = new ArrayList<>();
+        List<RosterEntry> listings = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
             listings.add(
-                    new Listing(
-                            new HostId("h" + i), Listing.State.READY, new ZoneId("z0"), 1, 0, 0));
+                    new RosterEntry(
+                            new HostId("h" + i),
+                            RosterEntry.State.READY,
+                            new ZoneId("z0"),
+                            1,
+                            0,
+                            0));
         }
-        module.round(0, news -> news.rosterListed(listings, false), quiet);
+        module.round(0, news -> news.rosterReplaced(listings, false), quiet);
         long listed = Cpu.heap();
         double[] took = new double[1];
         module.round(
@@ -48,7 +53,7 @@
                 news -> {
                     long from = Cpu.now();
                     for (int i = 0; i < tunnels; i++) {
-                        news.tunnelStanding(
+                        news.tunnelResumed(
                                 new TunnelId("s" + i),
                                 ModuleSimulation.PROFILE,
                                 null,
@@ -83,7 +88,7 @@
                                 false),
                 quiet);
         double arrival = Cpu.since(from);
-        if (module.listed(false) != hosts || before > listed) {
+        if (module.listedHostCount(false) != hosts || before > listed) {
             // Read, so that the module is reachable until here.
             return new double[] {took[0] / SECOND, Math.max(0, heap), arrival / MICRO};
         }
--- a/rig/src/main/java/embershift/rig/scale/ModuleSimulation.java
+++ b/rig/src/main/java/embershift/rig/scale/ModuleSimulation.java
@@ -5,15 +5,15 @@
 import embershift.model.Deployment;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -96,20 +96,21 @@
         this.groups = groups;
         openThere = (double) nodes * connections / hosts;
         Deployment deployment = deployment(nodes);
-        module = new Policy(deployment, new Filling(deployment));
-        List<Listing> listings = new ArrayList<>();
+        module = new Policy(deployment, new HostCapacityEstimate(deployment));
+        List<RosterEntry> listings = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
             HostId host = new HostId("h" + i);
             this.hosts.add(host);
             loads.put(host, LOAD + SPREAD * (chance.nextDouble() - 0.5));
             listings.add(
-                    new Listing(host, Listing.State.READY, new ZoneId("z" + i % ZONES), 1, i, 0));
+                    new RosterEntry(
+                            host, RosterEntry.State.READY, new ZoneId("z" + i % ZONES), 1, i, 0));
         }
         for (Kind kind : Kind.values()) {
             spent.put(kind, new double[2]);
         }
         long from = Cpu.now();
-        module.round(now, news -> news.rosterListed(listings, false), this);
+        module.round(now, news -> news.rosterReplaced(listings, false), this);
         firstList = Cpu.since(from) / NANOS;
         module.round(
                 now,
@@ -117,7 +118,7 @@
                     for (int i = 0; i < connections; i++) {
                         TunnelId id = new TunnelId("s" + i);
                         HostId host = this.hosts.get(i % hosts);
-                        news.tunnelStanding(id, PROFILE, null, null, group(), host);
+                        news.tunnelResumed(id, PROFILE, null, null, group(), host);
                         standing.add(new Standing(id, host));
                         setups.put(id, 1);
                     }
@@ -161,7 +162,7 @@
                 20,
                 4,
                 1.5,
-                Deployment.Budget.NONE,
+                Deployment.RetryBudget.NONE,
                 false,
                 0);
     }
@@ -170,7 +171,7 @@
         return groups == 0 ? null : new GroupId("g" + chance.nextInt(groups));
     }
 
-    private void report(News news, HostId host) {
+    private void report(NodeEvents news, HostId host) {
         news.hostReported(host, loads.get(host), openThere, 0);
     }
 
@@ -194,7 +195,7 @@
         }
     }
 
-    private void round(Kind kind, Consumer<News> news) {
+    private void round(Kind kind, Consumer<NodeEvents> news) {
         long from = Cpu.now();
         module.round(now, news, this);
         double[] sum = spent.get(kind);
@@ -223,7 +224,12 @@
                     Kind.ENDED,
                     news ->
                             news.setupEnded(
-                                    oldest.id, setup, oldest.host, SetupEnd.COMPLETED, 1, true));
+                                    oldest.id,
+                                    setup,
+                                    oldest.host,
+                                    SetupOutcome.COMPLETED,
+                                    1,
+                                    true));
         }
         agenda.add(new Event(now + 1 / placements, ++order, Kind.ARRIVAL, this::arrive));
     }
@@ -264,7 +270,7 @@
     }
 
     @Override
-    public void setUp(TunnelId id, HostId host, double timeOut) {
+    public void sendSetup(TunnelId id, HostId host, double timeOut) {
         int setup = setups.merge(id, 1, Integer::sum) - 1;
         agenda.add(
                 new Event(
@@ -310,7 +316,7 @@
     }
 
     @Override
-    public void cancel(TunnelId id, int setup) {}
+    public void cancelSetup(TunnelId id, int setup) {}
 
     @Override
     public void move(TunnelId id) {}
@@ -322,16 +328,16 @@
     public void watchRoster(boolean on) {}
 
     @Override
-    public void askRoster() {}
+    public void requestRoster() {}
 
     @Override
-    public void tellNode(int node, byte[] content) {}
+    public void sendToNode(int node, byte[] content) {}
 
     @Override
-    public void tellAllNodes(byte[] content) {}
+    public void sendToAllNodes(byte[] content) {}
 
     @Override
-    public void note(String line) {}
+    public void logForOperators(String line) {}
 
     int nodes() {
         return nodes;
--- a/rig/src/main/java/embershift/rig/scale/WordCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/WordCosts.java
@@ -4,11 +4,11 @@
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
+import embershift.model.RosterEntry;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import java.util.ArrayList;
 import java.util.List;
@@ -44,20 +44,20 @@
 
         Node(int nodes) {
             Deployment deployment = ModuleSimulation.deployment(nodes);
-            module = new Policy(deployment, new Filling(deployment));
+            module = new Policy(deployment, new HostCapacityEstimate(deployment));
         }
 
-        void round(double now, Consumer<News> news) {
+        void round(double now, Consumer<NodeEvents> news) {
             module.round(now, news, this);
         }
 
         @Override
-        public void tellAllNodes(byte[] content) {
+        public void sendToAllNodes(byte[] content) {
             toAll.add(content);
         }
 
         @Override
-        public void tellNode(int node, byte[] content) {
+        public void sendToNode(int node, byte[] content) {
             answered.add(node);
         }
 
@@ -67,10 +67,10 @@
         }
 
         @Override
-        public void setUp(TunnelId id, HostId host, double timeOut) {}
+        public void sendSetup(TunnelId id, HostId host, double timeOut) {}
 
         @Override
-        public void cancel(TunnelId id, int setup) {}
+        public void cancelSetup(TunnelId id, int setup) {}
 
         @Override
         public void decline(TunnelId id, double returnAfter, DeclineReason reason) {}
@@ -88,13 +88,13 @@
         public void watchRoster(boolean on) {}
 
         @Override
-        public void askRoster() {}
+        public void requestRoster() {}
 
         @Override
         public void wakeAfter(double delay) {}
 
         @Override
-        public void note(String line) {}
+        public void logForOperators(String line) {}
     }
 
     private static HostId host(int number) {
@@ -102,9 +102,10 @@
     }
 
     private static List<Node> nodes(int many) {
-        List<Listing> listings = new ArrayList<>();
+        List<RosterEntry> listings = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
-            listings.add(new Listing(host(i), Listing.State.READY, new ZoneId("z0"), 1, 0, 0));
+            listings.add(
+                    new RosterEntry(host(i), RosterEntry.State.READY, new ZoneId("z0"), 1, 0, 0));
         }
         List<Node> nodes = new ArrayList<>();
         for (int n = 0; n < many; n++) {
@@ -113,9 +114,9 @@
             node.round(
                     0,
                     news -> {
-                        news.rosterListed(listings, false);
+                        news.rosterReplaced(listings, false);
                         for (int i = 0; i < HOSTS * TUNNELS; i++) {
-                            news.tunnelStanding(
+                            news.tunnelResumed(
                                     new TunnelId("s" + i),
                                     ModuleSimulation.PROFILE,
                                     null,
@@ -158,7 +159,10 @@
                             .forEach(
                                     words ->
                                             hears.round(
-                                                    later, news -> news.nodeHeard(sender, words)));
+                                                    later,
+                                                    news ->
+                                                            news.nodeMessageReceived(
+                                                                    sender, words)));
                 }
             }
         }
@@ -182,7 +186,11 @@
         }
         double unanswered = (double) leaver.toAll.size() * (many - 1);
         nodes.subList(1, many)
-                .forEach(node -> node.round(2, news -> news.nodeHeard(0, leaver.toAll.get(0))));
+                .forEach(
+                        node ->
+                                node.round(
+                                        2,
+                                        news -> news.nodeMessageReceived(0, leaver.toAll.get(0))));
         double answers = nodes.stream().mapToLong(node -> node.answered.size()).sum();
         return new double[] {unanswered, many - 1 + answers};
     }
--- a/rig/src/test/java/embershift/rig/ScaleTest.java
+++ b/rig/src/test/java/embershift/rig/ScaleTest.java
@@ -57,9 +57,9 @@
             {
                 "module",
                 "core/src/main/java/embershift/policy/Policy.java",
-                "telling.stream().mapToDouble(host -> host.load).sum();",
-                "telling.stream().mapToDouble(host -> host.load + 0 * roll.stream().flatMap(other -> "
-                        + "java.util.stream.Stream.of(other, other, other, other)).mapToDouble(this::count).sum()).sum();"
+                "reporting.stream().mapToDouble(host -> host.reportedLoad).sum();",
+                "reporting.stream().mapToDouble(host -> host.reportedLoad + 0 * hostsByName.stream().flatMap(other -> "
+                        + "java.util.stream.Stream.of(other, other, other, other)).mapToDouble(this::drawLoad).sum()).sum();"
             },
             {
                 "rollout",
