--- a/core/src/main/java/embershift/model/Decisions.java
+++ b/core/src/main/java/embershift/model/Decisions.java
@@ -1,25 +1,29 @@
 package embershift.model;
 
 /**
- * Where a node's decisions go, each taking effect at once, in the order written. Times are seconds.
+ * Receives a node's decisions. Each takes effect at once, in the order of the calls. Times are in
+ * seconds.
  */
 public interface Decisions {
 
-    /** The next setup of this tunnel, numbered 0, 1, 2 in the order sent. */
+    /**
+     * Sends the next setup of this tunnel; setups are numbered 0, 1, 2 in the order sent. A {@code
+     * timeout} of 0 stands for no timeout but the client's.
+     */
     void sendSetup(TunnelId id, HostId host, double timeout);
 
     void cancelSetup(TunnelId id, int setup);
 
     /**
-     * Final answer: not taken, trying again is harmless; 0 gives no advice on when to return. The
-     * reason is only counted.
+     * Final answer: the tunnel was not taken, and trying again is harmless. A {@code retryAfter} of
+     * 0 gives no advice on when to retry. The reason is only counted.
      */
     void decline(TunnelId id, double retryAfter, DeclineReason reason);
 
-    /** Final answer: failed, with no promise about its effect. */
+    /** Final answer: the tunnel failed, with no promise about its effect. */
     void closeWithError(TunnelId id);
 
-    /** Ends a standing tunnel politely; its client comes again. */
+    /** Closes an open tunnel gracefully, so that its client reconnects. */
     void move(TunnelId id);
 
     void probe(HostId host);
@@ -34,9 +38,9 @@
 
     void sendToAllNodes(byte[] content);
 
-    /** Asks for a round no earlier than this, even if there is no news by then. */
+    /** Requests a round after this delay, even if no event has arrived by then. */
     void wakeAfter(double delay);
 
-    /** A line for the operators. */
+    /** Writes a line to the operators' log. */
     void logForOperators(String line);
 }
--- a/core/src/main/java/embershift/model/DeclineReason.java
+++ b/core/src/main/java/embershift/model/DeclineReason.java
@@ -1,32 +1,40 @@
 package embershift.model;
 
-/** Why a tunnel is declined. For the operators' counters alone: nothing is decided by it. */
+/** Why a tunnel is declined. For the operators' counters only: no decision depends on it. */
 public enum DeclineReason {
-    /** This node is to stop. */
+    /** This node is leaving. */
     NODE_LEAVES,
-    /** As many setups as are allowed have failed. */
+    /** All setups that the tunnel may have were used up. */
     SETUPS_SPENT,
-    /** The client waits no longer than a setup takes. */
+    /** The client does not wait long enough for another setup. */
     TIME_SPENT,
-    /** No further setup is left in the budget. */
+    /** The retry budget is used up. */
     BUDGET_SPENT,
-    /** Setups fail at many hosts, so fewer go out together, and its turn would come too late. */
+    /**
+     * Setups fail at many hosts, so fewer are sent at a time, and the tunnel's turn would come too
+     * late.
+     */
     SETUPS_HELD_BACK,
-    /** No host is listed as ready and not out by hand. */
+    /** No host is listed as ready and in service. */
     NO_HOST_READY,
     /**
-     * Where no host takes it, what keeps it off most of those that are ready: they did not answer
-     * when last asked.
+     * The most common reason among the ready hosts, where none takes the tunnel: they did not
+     * answer the last probe.
      */
     HOSTS_SILENT,
-    /** Or setups failed there a moment ago. */
+    /** The most common reason among the ready hosts: setups failed there recently. */
     HOSTS_FAILED,
-    /** Or messages there come too late for it. */
+    /**
+     * The most common reason among the ready hosts: messages there come too late for the tunnel.
+     */
     HOSTS_LATE,
-    /** Or they have just started, or stand out as empty, and got their part. */
+    /**
+     * The most common reason among the ready hosts: they have just started, or stand out as empty,
+     * and have been sent their limit.
+     */
     HOSTS_COLD,
-    /** Or they are as full as they may get. */
+    /** The most common reason among the ready hosts: they are full. */
     HOSTS_FULL,
-    /** Hosts have room, but less than what arrives, of which this is the excess. */
+    /** Hosts have room, but less than what arrives, and this tunnel is part of the excess. */
     EXCESS
 }
--- a/core/src/main/java/embershift/model/Deployment.java
+++ b/core/src/main/java/embershift/model/Deployment.java
@@ -3,8 +3,15 @@
 import java.util.List;
 
 /**
- * What a node is told of its deployment when it starts; {@code rank}: its number among the {@code
- * nodes}, from 0 on, below 0 where it is not told.
+ * What a node is told about its deployment when it starts. Times are in seconds.
+ *
+ * <p>{@code nodeIndex} is this node's number among the {@code nodeCount} nodes, counted from 0, or
+ * negative where it is not told. {@code rosterCallDeadline}: a node that has not been in touch with
+ * the roster for this long counts as informed of what changed there, so it has to call within that
+ * time. A host that has just started can do {@code coldCapacityShare} of what it can do when warm,
+ * which it is after {@code warmUpTime}; it fails if it is sent more than {@code overloadMultiple}
+ * times what it can take for {@code overloadWindow}. {@code parkTime}: how long a host keeps a
+ * passed-through tunnel that has ended.
  */
 public record Deployment(
         long seed,
@@ -34,8 +41,8 @@
         double parkTime) {
 
     /**
-     * One profile's figures: times in seconds, credit as the deployment counts it; {@code
-     * messageGoal} is how long a message of an open tunnel may take, infinite where not stated.
+     * One profile: times in seconds, credit as the deployment counts it. {@code messageGoal} is how
+     * long a message of an open tunnel may take, infinite where not stated.
      */
     public record Profile(
             ProfileId id,
@@ -48,12 +55,13 @@
             double credit) {}
 
     /**
-     * Setups beyond each tunnel's first that a node may send in any {@code span} seconds: {@code
-     * free}, and {@code perTunnel} for each tunnel that it took in that time.
+     * Limit on the setups beyond each tunnel's first that a node may send in any {@code window}
+     * seconds: {@code base}, plus {@code perTunnel} for each tunnel that the node accepted in that
+     * time.
      */
     public record RetryBudget(double base, double perTunnel, double window) {
 
-        /** Where none is stated. */
+        /** Used where no budget is stated. */
         public static final RetryBudget NONE = new RetryBudget(Double.POSITIVE_INFINITY, 0, 1);
     }
 
--- a/core/src/main/java/embershift/model/HostId.java
+++ b/core/src/main/java/embershift/model/HostId.java
@@ -1,4 +1,4 @@
 package embershift.model;
 
-/** A session host, under the name by which setups are sent to it. */
+/** A session host, by the name that setups are sent to. */
 public record HostId(String name) {}
--- a/core/src/main/java/embershift/model/NodeEvents.java
+++ b/core/src/main/java/embershift/model/NodeEvents.java
@@ -3,31 +3,31 @@
 import java.util.List;
 
 /**
- * What a node hears, one call for each piece of news, in the order in which it came in. News of
- * tunnels, setups or hosts that are over or unknown has no effect. Times are seconds.
+ * Receives what happens to a node, one call per event, in the order of arrival. Events about
+ * tunnels, setups or hosts that are unknown or have ended have no effect. Times are in seconds.
  */
 public interface NodeEvents {
 
     /**
-     * The complete roster; {@code remembered} when it is only the copy that the node held before it
+     * The complete roster. {@code fromCache}: it is only the copy that the node held before it
      * started.
      */
     void rosterReplaced(List<RosterEntry> entries, boolean fromCache);
 
     void rosterChanged(List<RosterEntry> entries);
 
-    /** A call to the roster failed, or its watch broke; what was listed before still stands. */
+    /** A call to the roster failed, or its watch broke; the last known roster stays in force. */
     void rosterWatchLost();
 
     /**
-     * Staff take a host out of service, or say that it may serve again, just started; whatever the
-     * roster says.
+     * Operators take a host out of service, or state that it may serve again and has just been
+     * restarted; this overrides the roster.
      */
     default void hostAdminStateChanged(HostId host, boolean outOfService) {}
 
     /**
-     * The node now owes this tunnel one final answer; participant, subject and group are null where
-     * not given.
+     * A tunnel arrived, and the node now owes it one final answer. Participant, subject and group
+     * are null where not given.
      */
     void tunnelArrived(
             TunnelId id,
@@ -38,7 +38,7 @@
             double clientTimeLeft,
             boolean midFlow);
 
-    /** A tunnel that already stood when the node started; its first setup counts as number 0. */
+    /** A tunnel that was already open when the node started; its first setup counts as number 0. */
     void tunnelResumed(
             TunnelId id,
             ProfileId profile,
@@ -50,11 +50,14 @@
     void tunnelOpened(TunnelId id, int setup, HostId host, double duration);
 
     /**
-     * The client left, or the final answer was overdue; setups still out will end by themselves.
+     * The client left, or the final answer was overdue; setups still in flight end by themselves.
      */
     void tunnelAbandoned(TunnelId id);
 
-    /** {@code over}: the tunnel has had its final answer, with this end or before. */
+    /**
+     * A setup ended. {@code tunnelEnded}: the tunnel has had its final answer, with this outcome or
+     * earlier.
+     */
     void setupEnded(
             TunnelId id,
             int setup,
@@ -64,8 +67,8 @@
             boolean tunnelEnded);
 
     /**
-     * A standing tunnel's load now, in seconds of work a second; its host's own figure holds it
-     * already.
+     * An open tunnel's current load, in seconds of work per second; its host's reported load
+     * includes it.
      */
     default void tunnelLoadMeasured(TunnelId id, double load) {}
 
@@ -74,14 +77,14 @@
 
     void probeEnded(HostId host, boolean answered, double duration);
 
-    /** A host's own figures; NaN for each that it does not report. */
+    /** A host's own report; NaN for each figure that it does not report. */
     void hostReported(HostId host, double loadOverCapacity, double openTunnels, double queued);
 
     void nodeMessageReceived(int node, byte[] content);
 
     /**
-     * This node is to stop soon: its front sends it new tunnels only for a moment more, or, where
-     * it is {@code replaced}, to another process that serves at its address already.
+     * This node is to stop soon. Its front sends new tunnels to it only for a moment longer or,
+     * where it is {@code replaced}, to another process that already serves at its address.
      */
     void nodeLeaving(boolean replaced);
 }
--- a/core/src/main/java/embershift/model/ParticipantId.java
+++ b/core/src/main/java/embershift/model/ParticipantId.java
@@ -1,4 +1,4 @@
 package embershift.model;
 
-/** A participant. */
+/** The participant that a tunnel is for. */
 public record ParticipantId(String name) {}
--- a/core/src/main/java/embershift/model/RosterEntry.java
+++ b/core/src/main/java/embershift/model/RosterEntry.java
@@ -1,9 +1,9 @@
 package embershift.model;
 
 /**
- * What the roster says of one host. {@code weight}: what it is sent against other hosts, above 0;
- * its nominal size, and at some deployments that lowered the more tunnels it holds; 1 where not
- * told or senseless. {@code launchedAt} is 0 where it started long ago.
+ * What the roster says about one host. {@code weight} is the host's share relative to other hosts,
+ * above 0: its nominal size, which some deployments lower the more tunnels the host holds, and 1
+ * where not given or invalid. {@code launchedAt} is 0 for a host that started long ago.
  */
 public record RosterEntry(
         HostId host, State state, ZoneId zone, double weight, int cell, double launchedAt) {
@@ -12,7 +12,7 @@
         weight = weight > 0 && weight < Double.POSITIVE_INFINITY ? weight : 1;
     }
 
-    /** Whether the host takes new tunnels, as far as the roster knows. */
+    /** Whether the host takes new tunnels, according to the roster. */
     public enum State {
         READY,
         DRAINING,
--- a/core/src/main/java/embershift/model/SetupOutcome.java
+++ b/core/src/main/java/embershift/model/SetupOutcome.java
@@ -1,6 +1,6 @@
 package embershift.model;
 
-/** How a setup, or the tunnel that came of it, ended. */
+/** How a setup, or the tunnel that it opened, ended. */
 public enum SetupOutcome {
     COMPLETED(false),
     ERROR(false),
@@ -17,7 +17,7 @@
         this.neverRan = neverRan;
     }
 
-    /** Whether this end proves that nothing ran on the host. */
+    /** Whether this outcome proves that nothing ran on the host. */
     public boolean neverRan() {
         return neverRan;
     }
--- a/core/src/main/java/embershift/model/SubjectId.java
+++ b/core/src/main/java/embershift/model/SubjectId.java
@@ -1,4 +1,4 @@
 package embershift.model;
 
-/** What a tunnel is about: the same on each try of one client. */
+/** What a tunnel is about; the same in all attempts of one client. */
 public record SubjectId(String name) {}
--- a/core/src/main/java/embershift/model/TunnelId.java
+++ b/core/src/main/java/embershift/model/TunnelId.java
@@ -1,4 +1,4 @@
 package embershift.model;
 
-/** A tunnel, as its client's try is named; a client that comes again has a new one. */
+/** A tunnel, named after one attempt of its client; a client that reconnects gets a new id. */
 public record TunnelId(String name) {}
--- a/core/src/main/java/embershift/model/ZoneId.java
+++ b/core/src/main/java/embershift/model/ZoneId.java
@@ -1,4 +1,4 @@
 package embershift.model;
 
-/** A place: a data centre or site. */
+/** A zone, such as a data center or site. */
 public record ZoneId(String name) {}
--- a/core/src/main/java/embershift/policy/DeclineReasons.java
+++ b/core/src/main/java/embershift/policy/DeclineReasons.java
@@ -8,17 +8,17 @@
 import java.util.function.Predicate;
 
 /**
- * What kept a tunnel off all hosts, told with its decline: by what the draw went by, and decides
- * nothing.
+ * Finds out what kept a tunnel off all hosts, by the same criteria as the draw. The reason is
+ * reported with the decline; no decision depends on it.
  */
 final class DeclineReasons {
 
     private DeclineReasons() {}
 
     /**
-     * What stands at most of the hosts that are ready, of as many the later in its order. {@code
-     * used}: hosts that get anything new; {@code late}: those whose messages come too late for the
-     * tunnel; {@code taking}: those that would take it if they had room.
+     * The most common reason among the ready hosts; on a tie, the one declared last. {@code
+     * usable}: hosts that get any new tunnels; {@code late}: those whose messages come too late for
+     * the tunnel; {@code accepting}: those that would take it if they had room.
      */
     static DeclineReason mostCommon(
             Collection<Host> hosts,
--- a/core/src/main/java/embershift/policy/GroupHosts.java
+++ b/core/src/main/java/embershift/policy/GroupHosts.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Where this node's tunnels of a group are, and how many; a tunnel of no group counts nowhere. */
+/** Counts this node's tunnels per group and host; tunnels without a group are not counted. */
 final class GroupHosts {
 
     private final Map<GroupId, Map<Host, Integer>> tunnelCounts = new HashMap<>();
@@ -26,13 +26,13 @@
                     group,
                     (key, counts) -> {
                         counts.computeIfPresent(
-                                host, (key2, count) -> count == 1 ? null : count - 1);
+                                host, (holder, count) -> count == 1 ? null : count - 1);
                         return counts.isEmpty() ? null : counts;
                     });
         }
     }
 
-    /** The hosts that hold some of the group, in the order in which they came to it. */
+    /** The hosts that hold tunnels of the group, in the order in which they got their first. */
     Set<Host> hostsOf(GroupId group) {
         return tunnelCounts.getOrDefault(group, Map.of()).keySet();
     }
--- a/core/src/main/java/embershift/policy/HostCapacityEstimate.java
+++ b/core/src/main/java/embershift/policy/HostCapacityEstimate.java
@@ -3,13 +3,13 @@
 import embershift.model.Deployment;
 
 /**
- * How many tunnels fill a warm host, as the hosts' reports tell: what others carry is the guide to
- * what a host that starts can take, also where tunnels last so long that hardly any ends. A process
- * that is replaced tells the one that follows.
+ * Estimates from the hosts' reports how many tunnels fill a warm host. What other hosts carry shows
+ * what a starting host can take, even where tunnels last so long that hardly any ends. A process
+ * that is replaced passes the estimate on to its successor.
  */
 public final class HostCapacityEstimate {
 
-    /** Tunnels and load that tell something: below, a figure is mostly noise. */
+    /** Tunnels and load from which a sum of reports counts: below, it is mostly noise. */
     private static final double MIN_TUNNELS = 4;
 
     private static final double MIN_LOAD = 0.1;
@@ -25,7 +25,7 @@
         this.deployment = deployment;
     }
 
-    /** Forgets the figures of the last survey, not what they told. */
+    /** Clears the sums of the last survey, but not the estimate. */
     void beginSurvey() {
         warmLoad = 0;
         warmTunnels = 0;
@@ -33,11 +33,13 @@
         coldTunnels = 0;
     }
 
-    /** A host's latest report: load over what it can do now, and the tunnels that make it. */
+    /**
+     * Adds a host's latest report: its load over its present capacity, and the tunnels that cause
+     * it.
+     */
     void addReport(Policy.Host host) {
-        // Numbers tell no part of what a host can do: what it carries counts as its fill then, or
-        // one tunnel
-        // would be taken to fill a host.
+        // Where hosts report only tunnel counts, these show no share of their capacity: what a host
+        // carries then counts as its full load, or a single tunnel would be taken to fill a host.
         double load = deployment.reportsCapacity() ? host.reportedLoad : 1;
         if (host.hasReport() && host.isCold() && deployment.reportsCapacity()) {
             coldLoad += load;
@@ -49,25 +51,27 @@
     }
 
     /**
-     * What a warm host could take of this node's tunnels in a second, if it were filled over the
-     * warm-up by all nodes. A {@code young} node sees less than there is by its own tunnels.
+     * Tunnels of this node that a warm host could take per second if all nodes together filled it
+     * over the warm-up time. A node that has just started sees by its own tunnels less than there
+     * is, so its figure can only raise the estimate.
      */
-    double placementsPerSecond(boolean young) {
+    double placementsPerSecond(boolean justStarted) {
         if (warmTunnels >= MIN_TUNNELS && warmLoad >= MIN_LOAD) {
-            tunnelsPerWarmHost = Math.max(young ? tunnelsPerWarmHost : 0, warmTunnels / warmLoad);
+            tunnelsPerWarmHost =
+                    Math.max(justStarted ? tunnelsPerWarmHost : 0, warmTunnels / warmLoad);
         } else if (coldTunnels >= MIN_TUNNELS && coldLoad >= MIN_LOAD) {
-            // What cold ones can do as they are, which is less.
+            // Cold hosts show what they can do at present, which is less than when warm.
             tunnelsPerWarmHost = Math.max(tunnelsPerWarmHost, coldTunnels / coldLoad);
         }
         return tunnelsPerWarmHost / deployment.nodeCount() / deployment.warmUpTime();
     }
 
-    /** Tunnels that fill a warm host; 0 while nothing has told it. */
+    /** Number of tunnels that fill a warm host; 0 while unknown. */
     public double tunnelsPerWarmHost() {
         return tunnelsPerWarmHost;
     }
 
-    /** What the process that this one replaces knew; 0 where it knew nothing. */
+    /** Takes over the estimate of the process that this one replaces; 0 where it had none. */
     public void adopt(double inheritedTunnelsPerWarmHost) {
         if (inheritedTunnelsPerWarmHost > tunnelsPerWarmHost
                 && inheritedTunnelsPerWarmHost < Double.POSITIVE_INFINITY) {
--- a/core/src/main/java/embershift/policy/HostSlots.java
+++ b/core/src/main/java/embershift/policy/HostSlots.java
@@ -8,9 +8,9 @@
 import java.util.zip.CRC32;
 
 /**
- * Hosts in seats by a number of their own, alike at all nodes that know the same hosts. A number
- * falls on a host or on an empty seat; a host that is enrolled or stops taking tunnels shifts only
- * what falls on it.
+ * Maps hash values to hosts, in the same way on all nodes that know the same hosts. A value falls
+ * on a host's slot or on an empty one; a host that is added or stops taking tunnels changes only
+ * the results of values that fall on it.
  */
 final class HostSlots {
 
@@ -18,37 +18,37 @@
 
     private Host[] slots = new Host[MIN_SLOTS];
 
-    /** The roll whose hosts are to be seated anew; null while they sit. */
-    private List<Host> staleHosts;
+    /** Hosts for which the slots are to be rebuilt; null while the slots are up to date. */
+    private List<Host> pendingHosts;
 
     private int rebuilds;
 
     /**
-     * Keeps the roll in one order at all nodes, so that the intervals of the draw lie alike. Hosts
-     * are seated when they are next looked for: a list of thousands is enrolled in one round, and
-     * would be seated as often as it has hosts.
+     * Inserts the host by its name, so that all nodes keep their hosts in one order and the draw's
+     * intervals lie alike. The slots are rebuilt only on the next lookup: a roster of thousands of
+     * hosts is added in one round, and would otherwise cause a rebuild for each of them.
      */
     Host addHost(Host host, List<Host> hostsByName) {
         int index =
                 Collections.binarySearch(
                         hostsByName, host, Comparator.comparing((Host other) -> other.id.name()));
         hostsByName.add(index < 0 ? -index - 1 : index, host);
-        staleHosts = hostsByName;
+        pendingHosts = hostsByName;
         return host;
     }
 
-    /** How often all hosts were seated. */
+    /** How many times the slots were rebuilt. */
     int rebuilds() {
         return rebuilds;
     }
 
-    /** Seats all hosts anew where some were enrolled; at least half of the seats stay empty. */
+    /** Rebuilds the slots if hosts were added; at least half of the slots stay empty. */
     private void rebuildIfStale() {
-        if (staleHosts == null) {
+        if (pendingHosts == null) {
             return;
         }
-        List<Host> hosts = staleHosts;
-        staleHosts = null;
+        List<Host> hosts = pendingHosts;
+        pendingHosts = null;
         rebuilds++;
         slots = new Host[Math.max(MIN_SLOTS, 4 * Integer.highestOneBit(hosts.size()))];
         for (Host host : hosts) {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** The host on whose seat the number falls, or null. */
+    /** The host on whose slot the value falls, or null. */
     Host hostAt(long hash) {
         rebuildIfStale();
         return slots[slotOf(hash)];
@@ -81,7 +81,7 @@
         return crc.getValue() << 16;
     }
 
-    /** Spreads numbers that lie close together or differ in few bits, as CRC32 leaves them. */
+    /** Spreads values that lie close together or differ in few bits, such as those of CRC32. */
     static long mix(long value) {
         long mixed = (value + 1) * 0x9E3779B97F4A7C15L;
         mixed = (mixed ^ mixed >>> 32) * 0xD6E8FEB86659FD93L;
--- a/core/src/main/java/embershift/policy/LatenessDetector.java
+++ b/core/src/main/java/embershift/policy/LatenessDetector.java
@@ -1,25 +1,25 @@
 package embershift.policy;
 
 /**
- * Whether a host's messages come too late for this node, as its own tunnels there tell. That is
- * true where a report is not: a host that reports too little, or one that is well but behind a slow
- * or lossy way. One message that is a little late is a pause.
+ * Detects that a host's messages come too late for this node, by the node's own tunnels there. That
+ * holds where the host's report does not: a host may report too little load, or be healthy but
+ * behind a slow or lossy network path. A single message that is a little late counts as a pause.
  */
 final class LatenessDetector {
 
-    /** Periods in which the next note comes while messages stay late. */
-    private static final double MAX_NOTE_GAP_PERIODS = 1.5;
+    /** Most periods between two late messages while messages stay late. */
+    private static final double MAX_GAP_PERIODS = 1.5;
 
     /** Periods for which messages must have been late. */
     private static final double MIN_LATE_PERIODS = 0.9;
 
     /**
-     * Periods for which a host counts as late after its last note; up to four times as long by
-     * turns.
+     * Periods for which a host counts as late after its last late message; multiplied by the number
+     * of recent episodes, up to 4.
      */
     private static final double HOLD_PERIODS = 4;
 
-    /** Such times after which earlier turns are forgotten. */
+    /** Multiple of the hold time after which earlier episodes are forgotten. */
     private static final double EPISODE_MEMORY_HOLDS = 4;
 
     private final double period;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * A message took this long, where {@code goal} is the shortest that any profile has; over
-     * {@code sure} it is no pause, but late at once.
+     * Records that a message took {@code delay} seconds. {@code goal} is the shortest message goal
+     * of any profile; a delay over {@code certainDelay} is no pause but counts as late at once.
      */
     void record(double now, double delay, double goal, double certainDelay) {
         boolean late = delay > goal;
@@ -45,9 +45,7 @@
             lateSince = Double.POSITIVE_INFINITY;
         } else {
             lateSince =
-                    now > lastLateAt + MAX_NOTE_GAP_PERIODS * period
-                            ? now
-                            : Math.min(lateSince, now);
+                    now > lastLateAt + MAX_GAP_PERIODS * period ? now : Math.min(lateSince, now);
         }
         lastLateAt = late ? now : lastLateAt;
         this.latestDelay = delay;
@@ -64,9 +62,9 @@
         }
     }
 
-    /** Whether messages are late now, and not just for a moment. */
+    /** Whether messages are late now, and have been for more than a moment. */
     boolean isSustained(double now) {
-        return now <= lastLateAt + MAX_NOTE_GAP_PERIODS * period
+        return now <= lastLateAt + MAX_GAP_PERIODS * period
                 && now >= lateSince + MIN_LATE_PERIODS * period;
     }
 
--- a/core/src/main/java/embershift/policy/MoveQueue.java
+++ b/core/src/main/java/embershift/policy/MoveQueue.java
@@ -15,8 +15,8 @@
     private double endAt;
 
     /**
-     * Queues those that are open: all that wait go evenly over this time, what comes after it at
-     * once.
+     * Queues the open tunnels among these. All queued tunnels are moved evenly over {@code
+     * duration}; those added after it are moved at once.
      */
     void addOpenTunnels(Collection<Tunnel> tunnels, double from, double duration) {
         tunnels.stream().filter(tunnel -> tunnel.open && !tunnel.moving).forEach(queue::add);
@@ -24,17 +24,17 @@
         endAt = from + duration;
     }
 
-    /** Lets the turns begin sooner, and go evenly until the same end. */
-    void bringForward(double from) {
-        nextMoveAt = Math.min(nextMoveAt, from);
+    /** Starts the moves earlier, spread evenly until the same end. */
+    void bringForward(double startAt) {
+        nextMoveAt = Math.min(nextMoveAt, startAt);
     }
 
     /**
-     * No turn comes before this, as tunnels find no host now: who is moved would be declined, and
-     * fares better where it stands. All that wait are that much later.
+     * Postpones the next move to this time, as tunnels find no host now: a moved one would be
+     * declined, and is better off where it is. The end is postponed by as much.
      */
-    void delayUntil(double from) {
-        double delay = Math.max(0, from - nextMoveAt);
+    void delayUntil(double earliest) {
+        double delay = Math.max(0, earliest - nextMoveAt);
         nextMoveAt += delay;
         endAt += delay;
     }
@@ -43,9 +43,9 @@
         queue.add(tunnel);
     }
 
-    /** The tunnel whose turn has come, or null. */
+    /** Removes and returns the tunnel whose move is due, or null. */
     Tunnel pollDue(double now) {
-        // Those that have ended or been moved meanwhile take no turn.
+        // Tunnels that have ended or been moved meanwhile are skipped.
         while (!queue.isEmpty() && (queue.peek().host == null || queue.peek().moving)) {
             queue.remove();
         }
@@ -57,7 +57,7 @@
         return tunnel;
     }
 
-    /** When the next turn comes; never, while none waits. */
+    /** When the next move is due; infinite while none is queued. */
     double nextMoveAt() {
         return queue.isEmpty() ? Double.POSITIVE_INFINITY : nextMoveAt;
     }
--- a/core/src/main/java/embershift/policy/NodeDeparture.java
+++ b/core/src/main/java/embershift/policy/NodeDeparture.java
@@ -4,26 +4,31 @@
 import java.util.Collection;
 
 /**
- * A node that leaves asks the others whether one of them is here, again and again, and keeps its
- * tunnels until one says so: moved while all others are away, clients would find nobody to come
- * back to. It keeps them no longer than leaves time to move them all.
+ * The departure of this node. A leaving node repeatedly asks the others whether one of them is
+ * available, and keeps its tunnels until one answers: if they were moved while all other nodes are
+ * down, clients would find no node to reconnect to. It keeps them no longer than leaves time to
+ * move them all.
  */
 final class NodeDeparture {
 
     /**
-     * Words between nodes; the id of a host, which is what else they tell, is never one such byte.
+     * Messages between nodes. The only other message is the id of a host, which is never one of
+     * these single bytes.
      */
     private static final byte[] QUESTION = {1};
 
     private static final byte[] ANSWER = {2};
 
-    /** Periods that a node which leaves is given at the most; less where clients wait for less. */
+    /** Most periods that a leaving node is given; fewer where clients wait for less. */
     private static final double MAX_STAY_PERIODS = 3;
 
-    /** Part of that for which it keeps its tunnels while no other node is here to take them. */
+    /**
+     * Share of that time for which it keeps its tunnels while no other node is available to take
+     * them.
+     */
     private static final double HOLD_SHARE = 0.75;
 
-    /** Periods for which the front may still send to a node that leaves. */
+    /** Periods for which the front may still send new tunnels to a leaving node. */
     private static final double FRONT_LAG_PERIODS = 0.5;
 
     /** Periods between two questions: datagrams get lost, and a node may come back meanwhile. */
@@ -45,7 +50,9 @@
         return hasBegun;
     }
 
-    /** Leaving has begun, with these tunnels, whose clients wait no longer than that. */
+    /**
+     * Begins to leave. {@code longestTimeout}: no client of these tunnels waits longer than this.
+     */
     void begin(
             Collection<Tunnel> tunnels,
             double now,
@@ -55,7 +62,8 @@
         hasBegun = true;
         double stay = Math.min(MAX_STAY_PERIODS * period, longestTimeout);
         if (replaced) {
-            // Who takes them is here, and no front has to notice: all the time is theirs.
+            // The successor is already running, and no front has to notice: all the time is left
+            // for moves.
             moveQueue.addOpenTunnels(tunnels, now, stay);
             return;
         }
@@ -81,7 +89,7 @@
         return nextQuestionAt;
     }
 
-    /** Takes what another node said if it is about leaving. */
+    /** Handles a message from another node, and returns whether it was one about leaving. */
     boolean handleMessage(int node, byte[] content, double now, Decisions decisions) {
         if (content.length != 1 || content[0] > ANSWER[0]) {
             return false;
--- a/core/src/main/java/embershift/policy/ParkedTunnels.java
+++ b/core/src/main/java/embershift/policy/ParkedTunnels.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 
 /**
- * Where the packets of each passed-through tunnel last went, for as long as their host keeps them.
+ * Remembers the host to which each passed-through tunnel's packets last went, for as long as that
+ * host keeps the tunnel.
  */
 final class ParkedTunnels {
 
@@ -27,7 +28,7 @@
         }
     }
 
-    /** The host that still keeps the subject's tunnel, or null; it is told once. */
+    /** The host that still keeps the subject's tunnel, or null; the entry is removed. */
     Host recall(SubjectId subject, double now) {
         ParkedTunnel parkedTunnel = subject == null ? null : parkedTunnels.remove(subject);
         return parkedTunnel != null && now - parkedTunnel.parkedAt < parkTime
--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -28,141 +28,168 @@
 import java.util.function.Consumer;
 
 /**
- * Every decision of one embershift node. Make one from the node's {@link Deployment}, then call
- * {@link #round} whenever there is news or a wake-up asked for has come: it takes the news as calls
- * of {@link NodeEvents}, in order, and writes what is to be done into {@link Decisions}. Both
- * interfaces are in embershift.model. The mechanism, a weighted draw over the hosts' reported load,
- * and each departure from it are told in docs/design.md.
+ * Makes every decision of one embershift node. Create one from the node's {@link Deployment}, then
+ * call {@link #round} whenever events have arrived or a requested wake-up is due: it takes the
+ * events as calls of {@link NodeEvents}, in order, and writes its decisions to {@link Decisions}.
+ * Both interfaces are in embershift.model. The mechanism, a weighted draw over the hosts' reported
+ * load, and each departure from it are described in docs/design.md.
+ *
+ * <p>Comments refer to these rules by number:
+ *
+ * <ol>
+ *   <li>Each tunnel gets one final answer, before its client times out.
+ *   <li>A setup that may have run is sent again only where that is harmless.
+ *   <li>A draining host gets no new tunnels.
+ *   <li>A cold host, one that has started recently, is sent no more than it can take.
+ *   <li>Setups beyond each tunnel's first stay within the retry budget.
+ * </ol>
  */
 public final class Policy implements NodeEvents {
 
     /** Seconds between two probes of a host, where tunnels arrive often enough to be worth it. */
     private static final double PERIOD_SECONDS = 1.0;
 
-    /** Periods for which a host's figure can be placed by without asking the host again. */
+    /** Periods for which a host's report can be used for placement without probing it again. */
     private static final double FRESH_PERIODS = 1.2;
 
-    /** Periods after which a figure tells nothing any more. */
+    /** Periods after which a host's report is no longer used. */
     private static final double EXPIRY_PERIODS = 4;
 
-    /** Hosts whose figures together tell of the fleet. */
+    /**
+     * Number of reporting hosts, or of tunnels on a host, from which their figures are taken as
+     * representative.
+     */
     private static final int MIN_SAMPLES = 4;
 
     /**
-     * Probes that a placed tunnel is worth; where they can't keep all figures fresh, hosts are
-     * asked.
+     * Periodic probes that a node spends for each tunnel it places. Where these cannot keep all
+     * reports fresh, hosts are probed on demand instead.
      */
     private static final double PROBES_PER_TUNNEL = 5;
 
-    /** Hosts asked for one tunnel, and the part of its setup goal that an answer may take. */
+    /** Most hosts probed on demand for one tunnel. */
     private static final int MAX_PROBES_PER_TUNNEL = 4;
 
     private static final double PROBE_WAIT_GOAL_SHARE = 0.25;
 
     /**
-     * What a node's own placement stands for at the most, with those that other nodes make
-     * meanwhile.
+     * Upper bound on the placements, of this node and concurrently of others, that one placement by
+     * this node is taken to stand for.
      */
     private static final int MAX_PLACEMENT_MULTIPLIER = 5;
 
     private static final double DRAW_RANGE = 256;
 
-    /** Load over capacity up to which a host that holds the tunnel's group counts as active. */
+    /**
+     * Load over capacity up to which a host that holds the tunnel's group always counts as active.
+     */
     private static final double MODERATE_LOAD = 0.6;
 
     /** Hosts drawn for a group before its tunnel is placed like any other. */
     private static final int GROUP_DRAWS = 2;
 
-    /** Mean load over capacity below which a group's cost matters less than a crossing. */
+    /**
+     * Mean load over capacity below which the cost of spreading a group matters less than that of a
+     * tunnel crossing zones.
+     */
     private static final double IDLE_LOAD = 0.35;
 
-    /** Mean load over capacity from which tunnels go to their groups' hosts or nowhere. */
+    /**
+     * Mean load over capacity from which a tunnel of a group goes to a host of its group or an idle
+     * one, or is declined.
+     */
     private static final double BUSY_LOAD = 0.7;
 
     /** Load over capacity from which a host's messages come too late, so that it loses tunnels. */
     private static final double OVERLOADED_LOAD = 0.9;
 
-    /** Load over capacity from which a host takes no more: past it all its tunnels fare badly. */
+    /**
+     * Load over capacity from which a host takes no more tunnels: past it, all its tunnels are
+     * served badly.
+     */
     private static final double FULL_LOAD = 0.8;
 
     /**
-     * Load over capacity past which a host's figure tells of its own trouble, and nothing of the
-     * fleet.
+     * Load over capacity past which a report shows trouble of that host alone and says nothing
+     * about the fleet.
      */
     private static final double STALLED_LOAD = 2;
 
     /**
-     * How often a period's room may be given away: some tunnels end, and some hosts' room is not
-     * found.
+     * How many times the room of one period may be given away: some tunnels end meanwhile, and some
+     * hosts' room is not found.
      */
     private static final double ROOM_OVERCOMMIT = 2;
 
     /** Periods over which the tunnels of a draining host are moved. */
     private static final double DRAIN_PERIODS = 1.5;
 
-    /** Periods between two moves off a host. */
+    /** Periods between two rounds of moves off a host. */
     private static final double MOVE_INTERVAL_PERIODS = 2;
 
     /** A host is active while its load is no more than this multiple of the mean. */
     private static final double ACTIVE_LOAD_SLACK = 1.05;
 
-    /** The same for hosts that hold the tunnel's group: elsewhere it would cost more. */
+    /** The same for hosts that hold the tunnel's group: placing it elsewhere would cost more. */
     private static final double GROUP_HOST_LOAD_SLACK = 1.15;
 
     /**
-     * How much longer than its goal, or the recent mean, a setup may take before it is tried
-     * elsewhere.
+     * Setup timeout as a multiple of the profile's setup goal or the recent mean duration,
+     * whichever is longer. The tunnel is then tried on another host.
      */
     private static final double SETUP_TIMEOUT_MULTIPLE = 3;
 
-    /** A setup that has little time left, against its goal, is not worth sending. */
+    /**
+     * Share of the setup goal that must be left until the client times out for a setup to be worth
+     * sending.
+     */
     private static final double MIN_TIME_LEFT_GOAL_SHARE = 0.1;
 
     /**
-     * Periods for which a host that has just failed weighs zero; doubled at each failure that
-     * follows.
+     * Periods for which a host that has just failed gets no tunnels; multiplied by the number of
+     * consecutive failures, up to 4.
      */
     private static final double FAILURE_BACKOFF_PERIODS = 4;
 
-    /** Hosts at most that a node which declines tunnels asks in a period. */
+    /** Most hosts that a node which declines tunnels probes per period to find new room. */
     private static final double RECHECKS_PER_PERIOD = 5;
 
     /**
-     * Seconds between calls at the roster: its news count as told after six, and an answer may take
-     * two.
+     * Most seconds between two calls to the roster: a node has to know what the roster lists within
+     * six seconds of the roster's return, and an answer may take two.
      */
     private static final double MAX_ROSTER_CALL_INTERVAL = 3.8;
 
-    /** Part of a late host's tunnels that are moved at a time. */
+    /** Share of a late host's tunnels that is moved at a time. */
     private static final double LATE_MOVE_SHARE = 0.5;
 
     private final Deployment deployment;
     private final Map<ProfileId, Profile> profiles = new HashMap<>();
     private final Map<HostId, Host> hosts = new HashMap<>();
 
-    /** The hosts by name: the one order of every loop. */
+    /** The hosts in order of their names; every loop iterates in this order. */
     private final List<Host> hostsByName = new ArrayList<>();
 
     private final Map<TunnelId, Tunnel> tunnels = new LinkedHashMap<>();
     private final ParkedTunnels parkedTunnels;
     private final GroupHosts groupHosts = new GroupHosts();
 
-    /** The hosts by a number of their own: what a group's numbers fall on, alike at all nodes. */
+    /** Maps the hash of a group to hosts, in the same way on all nodes. */
     private final HostSlots hostSlots = new HostSlots();
 
     private final TimeBuckets arrivals = new TimeBuckets(8, PERIOD_SECONDS);
     private final RetryLimiter retryLimiter;
     private double nodeStartedAt;
 
-    /** Whether it was told of tunnels that stood before. */
+    /** Whether tunnels that were open before the node started have been reported. */
     private boolean hasResumedTunnels;
 
     private final TimeBuckets placements = new TimeBuckets(8, PERIOD_SECONDS);
 
-    /** The part of arriving tunnels that the fleet has room for. */
+    /** Share of arriving tunnels that the fleet has room for. */
     private double admittedShare = 1;
 
-    /** Tunnels for which a host has been asked for its figures. */
+    /** Tunnels that wait for the report of a host probed for them. */
     private List<Tunnel> awaitingProbe = new ArrayList<>();
 
     private double nextRecheckAt = Double.NEGATIVE_INFINITY;
@@ -173,7 +200,10 @@
     private boolean fewReports;
     private boolean nearHostAvailable;
 
-    /** Whether most hosts look bad: then it is the view that is bad. */
+    /**
+     * Whether most reachable hosts look faulty; then the node's view is taken to be wrong, not the
+     * hosts.
+     */
     private boolean mostHostsFailing;
 
     private boolean allHostsSilent;
@@ -188,14 +218,14 @@
             new SetupConcurrencyLimiter(PERIOD_SECONDS);
 
     /**
-     * What a tunnel adds to a host's load figure in the mean: an empty host can't tell it by its
-     * own.
+     * Load that one tunnel adds to a host's reported load, as the mean over the fleet: an empty
+     * host's own report cannot tell.
      */
     private double averageTunnelLoad;
 
     private double averageLoad;
 
-    /** Tunnels placed so far, less those that ended on hosts that still stand. */
+    /** Tunnels placed so far, less those that ended while their host stayed up. */
     private int netPlacements;
 
     private final HostCapacityEstimate capacityEstimate;
@@ -210,9 +240,9 @@
     private double rosterBackoff;
     private double rosterLostAt;
 
-    public Policy(Deployment deployment, HostCapacityEstimate filling) {
+    public Policy(Deployment deployment, HostCapacityEstimate capacityEstimate) {
         this.deployment = deployment;
-        this.capacityEstimate = filling;
+        this.capacityEstimate = capacityEstimate;
         this.random = new SeededRandom(deployment.seed());
         this.parkedTunnels = new ParkedTunnels(deployment.parkTime());
         this.retryLimiter = new RetryLimiter(deployment.retryBudget());
@@ -224,7 +254,10 @@
         }
     }
 
-    /** One round: takes in all news, then decides; {@code now} never runs backwards. */
+    /**
+     * Runs one round: takes in all events, then decides. {@code now} is in seconds and never
+     * decreases.
+     */
     public void round(double now, Consumer<NodeEvents> events, Decisions decisions) {
         boolean first = this.now == Double.NEGATIVE_INFINITY;
         this.now = now;
@@ -232,13 +265,13 @@
         surveyed = false;
         nodeStartedAt = first ? now : nodeStartedAt;
         if (now >= nextWakeAt - PERIOD_SECONDS / 1000) {
-            // A clock of whole steps may wake the node a step early: without a new wake-up it would
-            // sleep
-            // past its tunnels' client timeouts (rule 1).
+            // A clock with a coarse step may wake the node one step early: without a new wake-up,
+            // the node would sleep past its tunnels' client timeouts (rule 1).
             nextWakeAt = Double.POSITIVE_INFINITY;
         }
         if (first && deployment.rosterOnRequest()) {
-            // Nodes restarted together would call together, and the roster turn all of them away.
+            // Nodes restarted together would call at the same time, and the roster would refuse
+            // them all.
             rosterCallAt = now + random.nextDouble() * rosterBackoff / 2;
         }
         events.accept(this);
@@ -249,7 +282,7 @@
         scheduleWakeUp(Math.min(probeDueHosts(), nodeDeparture.nextQuestionAt()));
     }
 
-    // ---- The roster ----
+    // ---- Roster ----
 
     @Override
     public void rosterReplaced(List<RosterEntry> entries, boolean fromCache) {
@@ -285,7 +318,8 @@
     public void hostAdminStateChanged(HostId id, boolean outOfService) {
         Host host = findOrAddHost(id);
         if (!outOfService && host.outOfService) {
-            // Staff restart what they take out: it is cold, and what it did before tells nothing.
+            // Operators restart a host that they take out of service: it is cold, and its earlier
+            // reports and failures no longer apply.
             host.hasRestarted = true;
             host.resetAfterStart(now);
         }
@@ -296,8 +330,8 @@
         boolean wasDraining = host.isDraining();
         host.state = state;
         host.outOfService = outOfService;
-        // A node that leaves has an end by which all are moved: a host's own time would put that
-        // off.
+        // A leaving node has its own deadline for moving all tunnels: a draining host's schedule
+        // would postpone that.
         if (host.isDraining() && !wasDraining && !nodeDeparture.hasBegun()) {
             moveQueue.addOpenTunnels(host.tunnels.values(), now, DRAIN_PERIODS * PERIOD_SECONDS);
         }
@@ -309,8 +343,8 @@
 
     @Override
     public void rosterWatchLost() {
-        // Ask anew, later each time, out of step with other nodes; a call that took long was wait
-        // enough.
+        // Calls again after growing, randomized pauses, so that nodes do not call in step; the time
+        // that a slow call took counts as part of the pause.
         double callDuration =
                 watchingRoster
                         ? Math.max(0, now + deployment.rosterCallDeadline() - rosterCallAt)
@@ -330,8 +364,8 @@
         if (now >= rosterCallAt) {
             decisions.watchRoster(true);
             watchingRoster = true;
-            rosterCallAt = now + deployment.rosterCallDeadline(); // an answer that never comes is a
-            // failure
+            // An answer that never comes counts as a failed call.
+            rosterCallAt = now + deployment.rosterCallDeadline();
         }
     }
 
@@ -354,9 +388,9 @@
         tunnels.put(id, tunnel);
         arrivals.add(now, 0, 1);
         retryLimiter.tunnelAccepted(now);
-        Host last = midFlow ? parkedTunnels.recall(subject, now) : null;
-        if (last != null && last.acceptsNew()) {
-            send(tunnel, last);
+        Host parkedHost = midFlow ? parkedTunnels.recall(subject, now) : null;
+        if (parkedHost != null && parkedHost.acceptsNew()) {
+            send(tunnel, parkedHost);
         } else {
             place(tunnel);
         }
@@ -469,7 +503,7 @@
     }
 
     /**
-     * Sends the tunnel's next setup, or gives its final answer at once where none can or may be
+     * Sends the tunnel's next setup, or gives its final answer at once where no setup can or may be
      * sent.
      */
     private void place(Tunnel tunnel) {
@@ -484,19 +518,19 @@
                                         : tunnel.setupsSent > 0 && retryLimiter.remaining(now) < 1
                                                 ? DeclineReason.BUDGET_SPENT // rule 5
                                                 : null;
-        boolean worthSending = tunnel.declineReason == null && mayRunAgain(tunnel);
+        boolean maySend = tunnel.declineReason == null && mayRunAgain(tunnel);
         tunnel.declineReason =
-                worthSending && setupLimiter.isFull()
+                maySend && setupLimiter.isFull()
                         ? DeclineReason.SETUPS_HELD_BACK
                         : tunnel.declineReason;
-        if (worthSending && setupLimiter.isFull() && mayWait(tunnel)) {
+        if (maySend && setupLimiter.isFull() && mayWait(tunnel)) {
             waitingTunnels.add(tunnel);
             return;
         }
-        Host host = worthSending && !setupLimiter.isFull() ? drawHost(tunnel) : null;
+        Host host = maySend && !setupLimiter.isFull() ? drawHost(tunnel) : null;
         if (host == null) {
             giveFinalAnswer(tunnel);
-            if (worthSending) {
+            if (maySend) {
                 recheckHost();
             }
         } else if (mayProbeFirst(tunnel) && !host.hasFreshReport()) {
@@ -511,7 +545,8 @@
     }
 
     /**
-     * No host for a tunnel. Guards against a dark view: who never asks would not hear of new room.
+     * Probes one host without a fresh report after a tunnel found no host, and postpones moves. A
+     * node that never probed would not hear of new room.
      */
     private void recheckHost() {
         moveQueue.delayUntil(now + PERIOD_SECONDS);
@@ -532,14 +567,17 @@
         }
     }
 
-    /** A figure is worth a wait while the setup that follows still has time for its goal. */
+    /**
+     * Whether a host may be probed before the tunnel is placed there: that is worth the wait while
+     * the setup that follows still has time for its goal.
+     */
     private boolean mayProbeFirst(Tunnel tunnel) {
         return deployment.mayProbe()
                 && tunnel.hostProbes < MAX_PROBES_PER_TUNNEL
                 && now + 2 * tunnel.profile.setupGoal() < tunnel.clientTimeoutAt;
     }
 
-    /** Places the tunnels whose asked hosts have answered, or have not for too long. */
+    /** Places the tunnels whose probed hosts have answered, or have taken too long to answer. */
     private void placeProbed() {
         List<Tunnel> probed = awaitingProbe;
         awaitingProbe = new ArrayList<>();
@@ -569,7 +607,8 @@
     }
 
     /**
-     * Whether its turn is likely to come while the client still waits and a setup still has time.
+     * Whether the tunnel's turn is likely to come while its client still waits and a setup still
+     * has time.
      */
     private boolean mayWait(Tunnel tunnel) {
         double expectedWait = (waitingTunnels.size() + 1) / Math.max(1, openings.rate(now));
@@ -577,7 +616,8 @@
     }
 
     private void placeWaiting() {
-        // Rule 1: tunnels wait with unlike time left, so any of them may run out of it first.
+        // Waiting tunnels differ in the time that their clients wait, so any of them may run out of
+        // it first (rule 1).
         List<Tunnel> outOfTime = new ArrayList<>(waitingTunnels);
         outOfTime.removeIf(
                 tunnel ->
@@ -590,7 +630,7 @@
         }
     }
 
-    /** Rule 2: what may have run is not sent again unless that is harmless. */
+    /** Rule 2: a setup that may have run is not sent again unless that is harmless. */
     private boolean mayRunAgain(Tunnel tunnel) {
         return switch (tunnel.profile.repeat()) {
             case REPEATABLE -> true;
@@ -607,7 +647,7 @@
                         || tunnel.profile.dedupScope() == DedupScope.ALL);
     }
 
-    /** Rule 2: a referenced tunnel that may have run goes only where its repeats are dropped. */
+    /** Rule 2: a referenced tunnel that may have run goes only to hosts that drop its repeats. */
     private boolean dropsRepeats(Tunnel tunnel, Host host) {
         if (!tunnel.mayHaveRun || tunnel.profile.repeat() != Repeat.REFERENCED) {
             return true;
@@ -628,20 +668,20 @@
         } else {
             retryLimiter.retrySent(now);
         }
-        // A slow session store, or whatever all setups share, only queues those cut off at the goal
-        // again.
+        // Where a slow session store, or anything else that all setups share, delays all setups,
+        // those cut off at their goal would only be queued again; hence the recent mean.
         double averageDuration = openings.sum(now) / Math.max(1, openings.count(now));
-        double patience =
+        double maxDuration =
                 SETUP_TIMEOUT_MULTIPLE * Math.max(tunnel.profile.setupGoal(), averageDuration);
-        // Timed out, a once-only tunnel, or one past its window, could neither go again nor be
-        // declined.
+        // After a timeout, a once-only tunnel, or a referenced one past its dedup window, could
+        // neither be sent again nor declined; its setup has no timeout of its own.
         Repeat repeat = tunnel.profile.repeat();
-        boolean last =
+        boolean isLastSetup =
                 tunnel.setupsSent + 1 >= deployment.maxSetups()
                         || repeat == Repeat.ONCE_ONLY
                         || (repeat == Repeat.REFERENCED
-                                && now + patience >= tunnel.dedupWindowEnd());
-        double timeout = last ? 0 : Math.min(tunnel.clientTimeoutAt - now, patience);
+                                && now + maxDuration >= tunnel.dedupWindowEnd());
+        double timeout = isLastSetup ? 0 : Math.min(tunnel.clientTimeoutAt - now, maxDuration);
         tunnel.setupsSent++;
         tunnel.setupInFlight = true;
         setupLimiter.setupSent();
@@ -662,16 +702,16 @@
         }
     }
 
-    // ---- The draw ----
+    // ---- Weighted draw ----
 
     /**
-     * The host that this tunnel's number falls on, drawn from [0, 256) over the hosts' weights, or
-     * null where none should take it.
+     * Draws a number from [0, 256) and returns the host on whose weight interval it falls, or null
+     * where no host should take the tunnel.
      */
     private Host drawHost(Tunnel tunnel) {
         surveyHosts();
-        // What is too much for the warm hosts' room may still go where a cold one waits for its
-        // part.
+        // Arrivals in excess of the warm hosts' room may still go to a cold host that is below its
+        // limit.
         boolean excess =
                 tunnel.hostProbes == 0 && admittedShare < 1 && random.nextDouble() >= admittedShare;
         Host groupHost = excess || tunnel.group == null ? null : drawHostForGroup(tunnel);
@@ -684,18 +724,16 @@
             eligible.removeAll(tunnel.triedHosts);
         }
         if (deployment.reportsCapacity()) {
-            // One tunnel too many ends in hosts that shed tunnels, whose clients come again at
-            // once:
-            // declines cost less. In a busy fleet one more host to pay for a group costs more than
-            // a
-            // tunnel earns, but on idle hosts.
+            // A host filled beyond its limit sheds tunnels, whose clients retry at once: a decline
+            // costs less. In a busy fleet, spreading a group to one more host costs more than a
+            // tunnel earns, except on idle hosts.
             double maxLoad = tunnel.group != null && meanLoad > BUSY_LOAD ? IDLE_LOAD : FULL_LOAD;
-            // A cold host goes by its own load, which falls as it warms: by the mean, or by what an
-            // idle host
-            // is held to, a busy fleet would leave it empty.
+            // A cold host is judged by its own load, which falls as it warms up: held to the mean,
+            // or to the limit of an idle host, it would stay empty in a busy fleet.
             eligible.removeIf(host -> host.expectedLoad() > (host.isCold() ? FULL_LOAD : maxLoad));
         }
-        // The few that a node knows just after its start would take all that comes in a rush.
+        // Unless only few hosts have reported: those few that a node knows just after its start
+        // would take all arrivals of a rush.
         if (!mayProbeFirst(tunnel)
                 && !fewReports
                 && eligible.stream().anyMatch(Host::hasFreshReport)) {
@@ -715,7 +753,7 @@
         return drawByWeight(preferredHosts(eligible), random.nextDouble() * DRAW_RANGE);
     }
 
-    /** Whether rules, health and list let this host take the tunnel now. */
+    /** Whether the rules, the host's health and the roster let this host take the tunnel now. */
     private boolean mayAccept(Host host, Tunnel tunnel) {
         return isUsable(host)
                 && dropsRepeats(tunnel, host)
@@ -729,9 +767,10 @@
     }
 
     /**
-     * Whether a host stands out as empty in a busy fleet. Guards against one that shed its tunnels
-     * or died unlisted, which all nodes would rush together, and so again and again: each keeps to
-     * its part. One that is empty fills in seconds.
+     * Whether a host stands out as empty in a busy fleet. Guards against a host that shed its
+     * tunnels or died without the roster noticing: all nodes would rush to it together, again and
+     * again, so each node keeps to its slow-start limit. A host that is really empty still fills in
+     * seconds.
      */
     private boolean isUnexpectedlyEmpty(Host host) {
         return meanLoad > BUSY_LOAD && host.hasReport() && host.reportedLoad < averageLoad / 2;
@@ -743,7 +782,10 @@
                 && (mostHostsFailing || !host.isAvoided());
     }
 
-    /** Hosts on the list; {@code avoided}: those that get nothing new as of the last round. */
+    /**
+     * Number of hosts on the roster; with {@code onlyUnusable}, of those that get no new tunnels as
+     * of the last round.
+     */
     public int listedHostCount(boolean onlyUnusable) {
         return (int)
                 hostsByName.stream()
@@ -752,10 +794,10 @@
     }
 
     /**
-     * Each host that holds any of a group pays for it, and nodes don't know what others hold. So
-     * numbers are drawn for the group, not the tunnel, until they have fallen on hosts' intervals
-     * of the weights: nodes find the same hosts, and a host that comes or goes shifts only its own
-     * groups.
+     * Each host that holds any tunnel of a group pays the group's cost, and nodes do not know where
+     * others have placed the group. So the numbers are derived from the group, not drawn for the
+     * tunnel, until they have fallen on hosts' weight intervals: all nodes find the same hosts, and
+     * a host that comes or goes shifts only its own groups.
      */
     private Host drawHostForGroup(Tunnel tunnel) {
         boolean nearOnly = meanLoad < IDLE_LOAD && nearHostAvailable;
@@ -798,7 +840,10 @@
         return meanLoad > BUSY_LOAD ? FULL_LOAD : Math.max(meanLoad * slack, MODERATE_LOAD);
     }
 
-    /** Once a round that places tunnels: what the hosts' figures say together. */
+    /**
+     * Computes what the hosts' reports say about the fleet as a whole; once in a round that places
+     * tunnels, unless a report changes it.
+     */
     private void surveyHosts() {
         if (surveyed) {
             return;
@@ -840,12 +885,11 @@
         double totalLoad = reporting.stream().mapToDouble(host -> host.reportedLoad).sum();
         double totalTunnels = reporting.stream().mapToDouble(Host::tunnelEstimate).sum();
         averageLoad = totalLoad / Math.max(1, reporting.size());
-        // Guards the nearest host: placements that weigh nothing would all go there, hundreds at
-        // once where a
-        // node that has just started takes in the clients of one that leaves.
-        boolean tooFewTunnels = deployment.reportsCapacity() && hasJustStarted();
+        // Placements that count as no load would all go to the nearest host, hundreds at once where
+        // a node that has just started takes over the clients of a leaving one.
+        boolean averageUnknown = deployment.reportsCapacity() && hasJustStarted();
         averageTunnelLoad =
-                tooFewTunnels || totalTunnels < 1 || totalLoad <= 0
+                averageUnknown || totalTunnels < 1 || totalLoad <= 0
                         ? 1 / DRAW_RANGE
                         : totalLoad / totalTunnels;
         meanLoad = responsive.stream().mapToDouble(Host::expectedLoad).sum() / hostsInMean;
@@ -856,14 +900,15 @@
                         .sum();
         fewReports = reportCount < Math.min(activeHosts, MIN_SAMPLES);
         if (fewReports) {
-            // A few hosts don't tell that the fleet is busy: tunnels would be declined unasked.
+            // A few reports do not show that the fleet is busy: tunnels would be declined without
+            // any probe.
             meanLoad = Math.min(meanLoad, MODERATE_LOAD);
         }
         boolean capacityKnown = deployment.reportsCapacity() && reportCount > 0;
         double fleetLoad = capacityKnown ? Math.min(1, Math.max(IDLE_LOAD, averageLoad)) : 1;
-        // Nodes that all see the same little room would fill it many times over before a report
-        // shows it:
-        // hosts would sink, shed and be filled again. So each keeps to its share of the room.
+        // All nodes see the same small room and would fill it many times over before a report shows
+        // it: hosts would be overloaded, shed tunnels and be filled again. So each node keeps to
+        // its share of the room.
         double roomForThisNode =
                 ROOM_OVERCOMMIT
                         * totalRoom
@@ -875,9 +920,9 @@
                 !capacityKnown || fewReports || roomForThisNode >= arrivingLoad
                         ? 1
                         : roomForThisNode / arrivingLoad;
-        // With all hosts new at once, what ended did so on as many others.
-        // Where tunnels last long, what ends tells too little: a host takes what fills it over its
-        // warm-up.
+        // Where all hosts are new at once, the tunnels that ended did so on as many other hosts.
+        // Where tunnels last long, completions say too little: a host can then take over its
+        // warm-up what fills it.
         warmHostRate =
                 Math.max(
                         completions.rate(now)
@@ -887,21 +932,24 @@
     }
 
     /**
-     * Whether the node has started among others: its own tunnels are no measure of all that there
-     * are.
+     * Whether the node has recently joined a running fleet: its own tunnels are then no measure of
+     * the total.
      */
     private boolean hasJustStarted() {
         return !hasResumedTunnels && now < nodeStartedAt + 2 * EXPIRY_PERIODS * PERIOD_SECONDS;
     }
 
-    /** The design's count_i; warming hosts that report less take the mean. */
+    /**
+     * The host's load in the draw, count_i in the design; a cold host that reports less than the
+     * mean is given the mean.
+     */
     private double drawLoad(Host host) {
         return host.isCold() ? Math.max(meanLoad, host.expectedLoad()) : host.expectedLoad();
     }
 
     /**
-     * Who counts as active for this tunnel: hosts no busier than the mean, and near if there are
-     * any.
+     * The hosts that count as active for this tunnel: those no busier than the mean, and of these
+     * the near ones if there are any.
      */
     private List<Host> preferredHosts(List<Host> eligible) {
         List<Host> belowMean =
@@ -924,20 +972,22 @@
         return candidates.get(n - 1);
     }
 
-    /** The design's w_i = 256 (total - count_i) / (total (n - 1)). */
+    /**
+     * Weight of a host in the draw, w_i = 256 (total - count_i) / (total (n - 1)) in the design.
+     */
     static double weight(double load, double total, int n) {
         return n == 1
                 ? DRAW_RANGE
                 : total <= 0 ? DRAW_RANGE / n : DRAW_RANGE * (total - load) / (total * (n - 1));
     }
 
-    // ---- Probes, reports and the hosts' health ----
+    // ---- Probes, reports and host health ----
 
     /**
-     * Keeps all figures fresh where the tunnels placed are worth that many probes; where nodes are
-     * many and each has few tunnels, hosts are only asked for a tunnel that may go there. Tunnels
-     * that are declined come again many times: they are worth none. Returns when the next probe is
-     * due.
+     * Probes all hosts periodically, so that their reports stay fresh, where the tunnels placed are
+     * worth that many probes. Where there are many nodes and each has few tunnels, a host is probed
+     * only for a tunnel that may go there. Declined tunnels count for nothing, as their clients
+     * retry many times. Returns when the next probe is due.
      */
     private double probeDueHosts() {
         double next = Double.POSITIVE_INFINITY;
@@ -989,15 +1039,15 @@
                     !Double.isNaN(loadOverCapacity)
                             ? loadOverCapacity
                             : (!Double.isNaN(openTunnels) ? openTunnels : queued) / host.weight;
-            if (load >= 0 && load < Double.POSITIVE_INFINITY) { // else senseless: the figure before
-                // stands
+            // An invalid load is ignored, so that the previous report stays in force.
+            if (load >= 0 && load < Double.POSITIVE_INFINITY) {
                 checkForRestart(host, load);
                 host.reportedLoad = load;
                 host.reportedTunnels = openTunnels >= 0 ? openTunnels : Double.NaN;
                 host.lastReportAt = now;
                 host.netPlacementsAtReport = netPlacements;
-                // A setup that is still out is in no report: a rush of them would look like idle
-                // hosts.
+                // Setups still in flight are in no report: without them, hosts would look idle
+                // during a rush.
                 host.placedSinceReport =
                         (int)
                                 host.tunnels.values().stream()
@@ -1009,15 +1059,16 @@
     }
 
     /**
-     * Rule 4: a host that came back from death looks idle; a roster that is away or late does not
-     * tell.
+     * Rule 4: treats a host as cold that was away and reports little load, as a host that restarted
+     * looks idle, and a roster that is unreachable or late does not tell of the restart.
      */
     private void checkForRestart(Host host, double load) {
-        boolean rosterAway =
+        boolean rosterUnreachable =
                 Double.isFinite(rosterCallAt) && host.slowStart.hostStartedBefore(rosterLostAt);
         surveyed = false;
-        if ((host.wasUnreachable || rosterAway) && !host.isCold()) {
-            host.reportedLoad = Double.NaN; // what it was before is no measure
+        if ((host.wasUnreachable || rosterUnreachable) && !host.isCold()) {
+            // The load reported before the host became unreachable is no measure for the fleet.
+            host.reportedLoad = Double.NaN;
             surveyHosts();
             surveyed = false;
             if (load < Math.min(averageLoad, MODERATE_LOAD) / 2) {
@@ -1028,13 +1079,16 @@
         host.wasUnreachable = false;
     }
 
-    /** A host that fails looks idle and would keep a wide interval: it weighs zero for a while. */
+    /**
+     * A failing host looks idle and would keep a wide interval in the draw, so it weighs zero for a
+     * while.
+     */
     private void recordOutcome(Host host, SetupOutcome outcome, boolean wasOpen) {
         switch (outcome) {
             case ERROR, BROKEN, TIMED_OUT -> {
                 if (wasOpen) {
-                    // A host that sheds tunnels tells it by its load, one that died by not
-                    // answering.
+                    // A host that sheds tunnels shows it by its load, one that died by not
+                    // answering the probe.
                     host.nextProbeAt = Math.min(host.nextProbeAt, now);
                     host.wasUnreachable |= outcome == SetupOutcome.BROKEN;
                     return;
@@ -1067,11 +1121,12 @@
     }
 
     /**
-     * Guards hosts that sink unasked as no tunnel is to go there; nodes tell each other of them
-     * alone.
+     * Probes a host that may be overloaded though no tunnel is to be placed there, as nothing else
+     * would probe it. These are the only hosts that nodes tell each other of.
      */
     private void probeForOverload(Host host, boolean toldByNode) {
-        // Hundreds of nodes with a tunnel or two there would cost it more than they could move.
+        // Hundreds of nodes with a tunnel or two there would burden the host with more probes than
+        // their moves could relieve.
         if (host != null
                 && deployment.mayProbe()
                 && now >= host.nextOverloadProbeAt
@@ -1081,7 +1136,8 @@
                                         ? PERIOD_SECONDS * MIN_SAMPLES / host.tunnels.size()
                                         : PERIOD_SECONDS)) {
             host.nextOverloadProbeAt = now + MOVE_INTERVAL_PERIODS * PERIOD_SECONDS;
-            probeHost(host, true); // in the mean, noted hosts would make the fleet look busy
+            // Left out of the mean, where such hosts would make the fleet look busy.
+            probeHost(host, true);
         }
     }
 
@@ -1095,23 +1151,23 @@
 
     // ---- Moves ----
 
-    /** Moves some tunnels off a host that can't serve those it has. */
+    /** Moves some tunnels off an overloaded host. */
     private void moveOffOverloaded(Host host) {
         host.consecutiveMoves = host.reportedLoad > OVERLOADED_LOAD ? host.consecutiveMoves : 0;
         if (host.reportedLoad > OVERLOADED_LOAD
                 && now >= host.nextMoveAt
                 && deployment.reportsCapacity()
                 && !host.isCold()) {
-            // Reports lag: what was moved since shows only in later ones.
+            // Reports lag: tunnels moved since then show only in later ones.
             host.nextMoveAt = now + MOVE_INTERVAL_PERIODS * PERIOD_SECONDS;
             if (deployment.mayMessageNodes()
                     && !host.probedForOverload
                     && host.tunnels.size() >= MIN_SAMPLES) {
                 decisions.sendToAllNodes(host.id.name().getBytes(StandardCharsets.UTF_8));
             }
-            // Every node moves the same part of its own, so together they move what is too much.
-            // What comes from elsewhere does not fall with them: who sinks on loses more of them
-            // each time.
+            // Every node moves the same share of its own tunnels, so together they move the excess.
+            // Load from other sources does not fall with it: a host that stays overloaded loses a
+            // larger share each time.
             double share =
                     Math.min(
                             1,
@@ -1124,9 +1180,9 @@
 
     /**
      * Moves tunnels off a host whose messages come late though it reports room, or nothing: its
-     * figure is untrue, or the way to it is bad. Also while tunnels are declined: those there earn
-     * nothing, but hold room of others that would be in time. Harms where no host would be better:
-     * so not while messages come late from all.
+     * report is wrong, or the network path to it is bad. Also applies while tunnels are declined:
+     * tunnels there earn nothing, but hold room of others that would be served in time. Does harm
+     * where no host would be better, so not applied while messages come late from all hosts.
      */
     private void moveOffLate(Host host, double delay) {
         if (host.lateness.isSustained(now)
@@ -1140,14 +1196,16 @@
         }
     }
 
-    /** Moves part of a host's tunnels, of those that want their messages sooner than they come. */
+    /**
+     * Moves a share of a host's tunnels, of those that need their messages sooner than {@code
+     * delay}.
+     */
     private void moveShare(Host host, double share, double delay) {
         List<Tunnel> movable = new ArrayList<>(host.tunnels.values());
         movable.removeIf(
                 tunnel -> !tunnel.open || tunnel.moving || tunnel.profile.messageGoal() > delay);
-        // The last of a group to leave takes the group's cost along, so tunnels with few of theirs
-        // here
-        // go first.
+        // The last tunnel of a group to leave takes the group's cost along, so tunnels with few
+        // others of their group here go first.
         movable.sort(
                 Comparator.<Tunnel>comparingInt(
                                 tunnel -> groupHosts.tunnelCount(tunnel.group, host))
@@ -1163,8 +1221,8 @@
     }
 
     /**
-     * Moved at once, clients would come back here or come as a wave: they go in turn, over all the
-     * time.
+     * Moves this node's tunnels one after the other over all the time left: moved at once, their
+     * clients would come back here or arrive elsewhere as a wave.
      */
     @Override
     public void nodeLeaving(boolean replaced) {
@@ -1209,7 +1267,10 @@
         final Map<TunnelId, Tunnel> tunnels = new LinkedHashMap<>();
         boolean listed;
 
-        /** Whether staff have taken it out: no list brings it back, only they do. */
+        /**
+         * Whether operators have taken it out of service: no roster entry brings it back, only they
+         * do.
+         */
         boolean outOfService;
 
         RosterEntry.State state = RosterEntry.State.GONE;
@@ -1221,7 +1282,8 @@
         final LatenessDetector lateness = new LatenessDetector(PERIOD_SECONDS);
 
         /**
-         * Whether it was here before it last started: what ends in the fleet ended on it as well.
+         * Whether it was known before its latest start: it then counts among the hosts on which the
+         * fleet's completed tunnels ended.
          */
         boolean hasRestarted;
 
@@ -1285,8 +1347,8 @@
         }
 
         /**
-         * One that hangs tells ten times its tunnels' load: in a mean, all look full and one tunnel
-         * huge.
+         * Whether the host hangs. Such a host reports ten times the load of its tunnels: in a mean,
+         * it would make all hosts look full and a single tunnel huge.
          */
         boolean isStalled() {
             return deployment.reportsCapacity() && hasReport() && reportedLoad > STALLED_LOAD;
@@ -1301,9 +1363,10 @@
         }
 
         /**
-         * The latest figure, else the mean of the others', with what this node has placed since.
-         * Guards against a rush, as when many hosts fall at once: what this node has more on all
-         * hosts since then, each other node has as well.
+         * The latest reported load, else the mean of the others', plus what this node has placed
+         * since. Guards against a rush, as when many hosts fail at once: for the tunnels that this
+         * node has gained on all hosts since the report, each other node is taken to have gained as
+         * many.
          */
         double expectedLoad() {
             int placedByOtherNodes =
@@ -1318,8 +1381,9 @@
         }
 
         /**
-         * What one of this node's tunnels adds to the load figure, and those that other nodes place
-         * meanwhile: a node that has few tunnels there can't tell either by them.
+         * Load that one placement by this node adds, with the tunnels that other nodes place
+         * meanwhile. Where the node has too few tunnels on the host to tell, the average tunnel
+         * load is used.
          */
         double loadPerPlacement() {
             int minTunnels =
--- a/core/src/main/java/embershift/policy/RetryLimiter.java
+++ b/core/src/main/java/embershift/policy/RetryLimiter.java
@@ -3,15 +3,15 @@
 import embershift.model.Deployment.RetryBudget;
 
 /**
- * Guards the budget of setups beyond each tunnel's first (rule 5), in every window that ends at
- * such a setup. Buckets that straddle the window's edge count against the node: their further
- * setups whole, their tunnels taken not at all.
+ * Enforces the budget of setups beyond each tunnel's first (rule 5), in every window that ends at
+ * such a setup. Buckets that straddle the window's edge count against the node: their retries in
+ * full, their accepted tunnels not at all.
  */
 final class RetryLimiter {
 
     /**
-     * Buckets in a window: each one counted against the node costs this part of what its tunnels
-     * give.
+     * Buckets per window; each one counted against the node costs this fraction of the retries that
+     * its tunnels grant.
      */
     private static final int BUCKETS = 32;
 
@@ -23,23 +23,27 @@
         this.budget = budget;
         double bucketSeconds = budget.window() / BUCKETS;
         this.acceptedTunnels = new TimeBuckets(BUCKETS, bucketSeconds);
-        // One bucket for the edge, and one as clocks round.
+        // One bucket for the window's edge, and one for the rounding of clock values.
         this.retries = new TimeBuckets(BUCKETS + 2, bucketSeconds);
     }
 
-    /** A tunnel was taken, whatever becomes of it; one that stood when the node started was not. */
+    /**
+     * A tunnel was accepted, whatever becomes of it; tunnels that were open when the node started
+     * do not count.
+     */
     void tunnelAccepted(double now) {
         acceptedTunnels.add(now, 0, 1);
     }
 
     /**
-     * A further setup goes out: no end of it, nor one that says it was never sent, gives it back.
+     * A setup beyond a tunnel's first is sent; no outcome gives it back, not even that it was never
+     * sent.
      */
     void retrySent(double now) {
         retries.add(now, 0, 1);
     }
 
-    /** Further setups that may go out now; unlimited where no budget is stated. */
+    /** Retries that may be sent now; unlimited where no budget is stated. */
     double remaining(double now) {
         return budget.base() + budget.perTunnel() * acceptedTunnels.count(now) - retries.count(now);
     }
--- a/core/src/main/java/embershift/policy/SeededRandom.java
+++ b/core/src/main/java/embershift/policy/SeededRandom.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** Chance that is the same again for the same seed: a checksum over it and a counter. */
+/** Random numbers that are reproducible from a seed: a checksum of the seed and a counter. */
 public final class SeededRandom {
 
     private final long seed;
@@ -19,9 +19,10 @@
     }
 
     /**
-     * The same for numbers that are added up. Two nodes' checksums differ by the same bits at each
-     * draw, so that what one waits less now it often waits more next time, and who called together
-     * would again; multiplied and folded they don't.
+     * A number from [0, 1) for draws that are added up. The checksums of two nodes differ by the
+     * same bits at each draw, so that a node that waits less in one draw often waits more in the
+     * next, and nodes that called together would do so again. Multiplying and folding the checksum
+     * prevents that.
      */
     public double nextDecorrelatedDouble() {
         int mixed = (int) nextChecksum() * 0x9E3779B1;
--- a/core/src/main/java/embershift/policy/SetupConcurrencyLimiter.java
+++ b/core/src/main/java/embershift/policy/SetupConcurrencyLimiter.java
@@ -1,19 +1,22 @@
 package embershift.policy;
 
 /**
- * Guards the session store, or whatever else all setups share: where they fail at many hosts,
- * sending more makes more fail, so the setups out together are halved, and grow again by one for
- * each such number opened.
+ * Limits the setups in flight, to protect the session store or whatever else all setups share:
+ * where setups fail at many hosts, sending more makes more fail. The limit is then halved, and
+ * grows again by one for each such number of opened tunnels.
  */
 final class SetupConcurrencyLimiter {
 
-    /** Setups that ended, and of those the failed: what many hosts share is no host's fault. */
+    /**
+     * Setups that ended, and how many of them failed: what fails at many hosts is no single host's
+     * fault.
+     */
     private final TimeBuckets outcomes;
 
     private final double period;
     private int inFlight;
 
-    /** Setups that may be out together; unlimited until setups fail at many hosts. */
+    /** Most setups in flight; unlimited until setups fail at many hosts. */
     private double window = Double.POSITIVE_INFINITY;
 
     private double lastReducedAt = Double.NEGATIVE_INFINITY;
@@ -23,7 +26,7 @@
         this.outcomes = new TimeBuckets(4, period / 4);
     }
 
-    /** Whether as many setups are out as may be. */
+    /** Whether as many setups are in flight as allowed. */
     boolean isFull() {
         return inFlight >= window;
     }
@@ -32,7 +35,7 @@
         inFlight++;
     }
 
-    /** A setup is out no more, by something that tells nothing of what setups share. */
+    /** A setup is no longer in flight, for a reason that says nothing about what setups share. */
     void setupAbandoned() {
         inFlight--;
     }
--- a/core/src/main/java/embershift/policy/TimeBuckets.java
+++ b/core/src/main/java/embershift/policy/TimeBuckets.java
@@ -1,8 +1,7 @@
 package embershift.policy;
 
 /**
- * A measure over time: in a ring of fixed time buckets, sums of what was measured, and how often it
- * was.
+ * A measure over time: the sum and the count of what was measured, in a ring of fixed time buckets.
  */
 final class TimeBuckets {
     private final double[] sums;
--- a/core/src/main/java/embershift/policy/Tunnel.java
+++ b/core/src/main/java/embershift/policy/Tunnel.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A tunnel's row in the table: what the node knows of it until it ends. */
+/** What the node knows of a tunnel until it ends. */
 final class Tunnel {
     final TunnelId id;
     final Profile profile;
@@ -29,7 +29,7 @@
     Host probedHost;
     double probeWaitUntil;
 
-    /** Why it can't be sent now; counted where it is declined. */
+    /** Why the tunnel cannot be sent now; counted if it is declined. */
     DeclineReason declineReason;
 
     Tunnel(TunnelId id, Profile profile, SubjectId subject, GroupId group, double clientTimeoutAt) {
