--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -6,7 +6,7 @@
 import embershift.fleet.lease.FencingToken;
 import embershift.model.HostId;
 import embershift.model.Listing;
-import embershift.program.Companion;
+import embershift.program.NodeExtension;
 import embershift.protocol.RosterPage;
 import embershift.protocol.Unreadable;
 import embershift.routing.Router;
@@ -21,7 +21,7 @@
  */
 final class EndpointFeed implements Router.Lists {
 
-    private final Companion.Node node;
+    private final NodeExtension.NodeContext node;
     private final AgentSettings settings;
     private final AuditUploader auditLog;
     private final Random random;
@@ -31,7 +31,10 @@
     private boolean isFallbackDue;
 
     EndpointFeed(
-            Companion.Node node, AgentSettings settings, AuditUploader auditLog, Random random) {
+            NodeExtension.NodeContext node,
+            AgentSettings settings,
+            AuditUploader auditLog,
+            Random random) {
         this.node = node;
         this.settings = settings;
         this.auditLog = auditLog;
--- a/door/src/main/java/embershift/door/FleetAgent.java
+++ b/door/src/main/java/embershift/door/FleetAgent.java
@@ -1,13 +1,13 @@
 package embershift.door;
 
-import embershift.program.Companion;
+import embershift.program.NodeExtension;
 import embershift.protocol.NodeConfiguration;
 
 /**
  * The control plane's agent in a node: takes orders of the control-plane instances and reports what
  * the node does. A node that hears no instance goes on by what it has.
  */
-public final class FleetAgent implements Companion {
+public final class FleetAgent implements NodeExtension {
 
     /** Exit status of a node that was shut out. */
     public static final int SHUT_OUT = 5;
@@ -24,13 +24,13 @@
     }
 
     @Override
-    public void begin(Node node) {
+    public void start(NodeContext node) {
         agent = new RunningAgent(node, settings);
         agent.start();
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
         return agent.isReady();
     }
 
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void leaves() {
+    public void shutDown() {
         agent.shutDown();
     }
 }
--- a/door/src/main/java/embershift/door/Main.java
+++ b/door/src/main/java/embershift/door/Main.java
@@ -4,7 +4,7 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
-import embershift.program.Service;
+import embershift.program.NodeProcess;
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Unreadable;
 import java.io.IOException;
@@ -113,7 +113,7 @@
             (command == null ? commands : commands.getCommands().get(command)).usage();
             return 0;
         } else if ("serve".equals(command)) {
-            Service.start(serve::configuration, new FleetAgent(serve.settings()));
+            NodeProcess.start(serve::configuration, new FleetAgent(serve.settings()));
             return RUNNING;
         } else if ("check".equals(command)) {
             System.out.println(
--- a/door/src/main/java/embershift/door/RestartEjections.java
+++ b/door/src/main/java/embershift/door/RestartEjections.java
@@ -3,7 +3,7 @@
 import embershift.fleet.audit.AuditEntry;
 import embershift.fleet.lease.FencingToken;
 import embershift.model.HostId;
-import embershift.operations.Bans;
+import embershift.operations.HostEjections;
 import java.util.Collection;
 import java.util.Set;
 
@@ -16,11 +16,11 @@
     /** Seconds for which hosts stay ejected when no order confirms it any more. */
     private static final double LIFETIME_SECONDS = 30;
 
-    private final Bans bans;
+    private final HostEjections bans;
     private final AuditUploader auditLog;
     private double expiresAt = Double.NEGATIVE_INFINITY;
 
-    RestartEjections(Bans bans, AuditUploader auditLog) {
+    RestartEjections(HostEjections bans, AuditUploader auditLog) {
         this.bans = bans;
         this.auditLog = auditLog;
     }
@@ -28,8 +28,8 @@
     /** Ejects these hosts, and no others, until {@link #LIFETIME_SECONDS} have passed. */
     void replace(double now, FencingToken token, Set<HostId> hosts) {
         expiresAt = now + LIFETIME_SECONDS;
-        Set<HostId> before = bans.of(EJECTION_SOURCE);
-        bans.by(EJECTION_SOURCE, hosts);
+        Set<HostId> before = bans.ejectedBy(EJECTION_SOURCE);
+        bans.replaceEjectedBy(EJECTION_SOURCE, hosts);
         if (!before.equals(hosts)) {
             auditLog.append(
                     AuditEntry.Kind.ORDER,
@@ -41,11 +41,11 @@
     void tick(double now) {
         if (now > expiresAt) {
             expiresAt = Double.POSITIVE_INFINITY;
-            bans.by(EJECTION_SOURCE, Set.of());
+            bans.replaceEjectedBy(EJECTION_SOURCE, Set.of());
         }
     }
 
     Collection<String> hostNames() {
-        return bans.of(EJECTION_SOURCE).stream().map(HostId::name).toList();
+        return bans.ejectedBy(EJECTION_SOURCE).stream().map(HostId::name).toList();
     }
 }
--- a/door/src/main/java/embershift/door/RevisionApplier.java
+++ b/door/src/main/java/embershift/door/RevisionApplier.java
@@ -5,7 +5,7 @@
 import embershift.fleet.rollout.AppliedRevision;
 import embershift.fleet.rollout.ConfigRevision;
 import embershift.model.HostId;
-import embershift.program.Companion;
+import embershift.program.NodeExtension;
 import embershift.protocol.Addresses;
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
@@ -26,7 +26,7 @@
     /** The source of ejections that a revision orders, among others' at the same node. */
     private static final String EJECTION_SOURCE = "revision";
 
-    private final Companion.Node node;
+    private final NodeExtension.NodeContext node;
     private final Router router;
     private final AppliedRevision revision;
     private final EndpointFeed endpoints;
@@ -40,7 +40,7 @@
     private SortedMap<String, String> effectiveFields = new TreeMap<>();
 
     RevisionApplier(
-            Companion.Node node,
+            NodeExtension.NodeContext node,
             AppliedRevision revision,
             EndpointFeed endpoints,
             AuditUploader auditLog,
@@ -77,7 +77,7 @@
         if (!discoveryBefore.equals(router.discovery())) {
             endpoints.discoveryMoved();
         }
-        node.bans().by(EJECTION_SOURCE, parsed.ejectedHosts());
+        node.ejections().replaceEjectedBy(EJECTION_SOURCE, parsed.ejectedHosts());
         return Optional.empty();
     }
 
@@ -133,7 +133,7 @@
 
     private SortedMap<String, String> readBack() {
         SortedMap<String, String> effective = new TreeMap<>();
-        for (HostId host : node.bans().of(EJECTION_SOURCE)) {
+        for (HostId host : node.ejections().ejectedBy(EJECTION_SOURCE)) {
             String field = ConfigRevision.EJECTED_PREFIX + host.name();
             effective.put(field, revision.fields().getOrDefault(field, ""));
         }
--- a/door/src/main/java/embershift/door/RunningAgent.java
+++ b/door/src/main/java/embershift/door/RunningAgent.java
@@ -8,7 +8,7 @@
 import embershift.fleet.lease.OrderAdmission;
 import embershift.fleet.lease.TaskId;
 import embershift.fleet.rollout.AppliedRevision;
-import embershift.program.Companion;
+import embershift.program.NodeExtension;
 import embershift.protocol.NodeConfiguration;
 import java.security.SecureRandom;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
 
     private static final double TICK_SECONDS = 0.2;
 
-    private final Companion.Node node;
+    private final NodeExtension.NodeContext node;
     private final AgentSettings settings;
     private final Registration registration;
     private final List<InstanceConnection> connections = new ArrayList<>();
@@ -45,7 +45,7 @@
     private boolean isLeaving;
     private boolean recordedReady;
 
-    RunningAgent(Companion.Node node, AgentSettings settings) {
+    RunningAgent(NodeExtension.NodeContext node, AgentSettings settings) {
         this.node = node;
         this.settings = settings;
         startedAt = node.loop().now();
@@ -65,7 +65,7 @@
         sessions = new SessionCounter(node.router(), revision, auditLog, startedAt);
         endpoints = new EndpointFeed(node, settings, auditLog, random);
         revisions = new RevisionApplier(node, revision, endpoints, auditLog, sessions);
-        restartEjections = new RestartEjections(node.bans(), auditLog);
+        restartEjections = new RestartEjections(node.ejections(), auditLog);
         orders =
                 new OrderExecutor(
                         node.loop(),
@@ -153,7 +153,7 @@
                 && !isLeaving) {
             node.log("no instance is heard for " + settings.staleAfterSeconds() + " s: leaves");
             isLeaving = true;
-            node.end(FleetAgent.STALE);
+            node.exit(FleetAgent.STALE);
         }
     }
 
@@ -177,7 +177,7 @@
                         .put("revision", revision.number())
                         .put("chain", revision.chainDigest())
                         .put("content", revisions.effectiveDigest())
-                        .put("ready", node.serving() && isReady())
+                        .put("ready", node.isServing() && isReady())
                         .put("refused", revision.rejectedNumber())
                         .put("why", revision.rejectionReason())
                         .put("list-fence", endpoints.token().number())
@@ -223,7 +223,7 @@
         admission.shutOut(reason);
         node.log("shut out: " + reason);
         auditLog.append(AuditEntry.Kind.OUT, Map.of(), reason);
-        node.end(FleetAgent.SHUT_OUT);
+        node.exit(FleetAgent.SHUT_OUT);
     }
 
     @Override
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -4,8 +4,8 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.fleet.rollout.ConfigRevision;
-import embershift.operations.Bans;
-import embershift.program.Companion;
+import embershift.operations.HostEjections;
+import embershift.program.NodeExtension;
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
 import embershift.testing.GoldenSamples;
@@ -73,7 +73,13 @@
                                 + instance.getLocalPort()
                                 + "\"]\nreport-s = 0.1\n");
         FleetAgent agent = new FleetAgent(AgentSettings.read(file));
-        loop.execute(() -> agent.begin(node(configuration, router, new Bans(loop, router, null))));
+        loop.execute(
+                () ->
+                        agent.start(
+                                node(
+                                        configuration,
+                                        router,
+                                        new HostEjections(loop, router, null))));
         link = instance.accept();
         link.setSoTimeout(PATIENCE_MS);
     }
@@ -85,8 +91,9 @@
         instance.close();
     }
 
-    private Companion.Node node(NodeConfiguration configuration, Router router, Bans bans) {
-        return new Companion.Node() {
+    private NodeExtension.NodeContext node(
+            NodeConfiguration configuration, Router router, HostEjections bans) {
+        return new NodeExtension.NodeContext() {
             @Override
             public Loop loop() {
                 return loop;
@@ -98,7 +105,7 @@
             }
 
             @Override
-            public Bans bans() {
+            public HostEjections ejections() {
                 return bans;
             }
 
@@ -108,7 +115,7 @@
             }
 
             @Override
-            public boolean serving() {
+            public boolean isServing() {
                 return true;
             }
 
@@ -118,7 +125,7 @@
             }
 
             @Override
-            public void end(int status) {
+            public void exit(int status) {
                 exit.complete(status);
             }
         };
--- a/node/src/main/java/embershift/operations/Desk.java
+++ b/node/src/main/java/embershift/operations/OperatorApi.java
@@ -17,18 +17,18 @@
 /**
  * What operators may call, and what each call is answered; no sockets. One thread, the router's.
  */
-public final class Desk {
+public final class OperatorApi {
 
-    private static final String ROOT = "api";
+    private static final String PATH_ROOT = "api";
 
     private final Router router;
-    private final Bans bans;
+    private final HostEjections ejections;
     private final BooleanSupplier ready;
 
     /** {@code ready} says whether clients are taken now. */
-    public Desk(Router router, Bans bans, BooleanSupplier ready) {
+    public OperatorApi(Router router, HostEjections ejections, BooleanSupplier ready) {
         this.router = router;
-        this.bans = bans;
+        this.ejections = ejections;
         this.ready = ready;
     }
 
@@ -37,22 +37,22 @@
      * waited}: it may have lain here so long that its caller has given up, and has since had the
      * contrary done at another process.
      */
-    public void take(HttpRequest call, boolean waited, Consumer<HttpAnswer> answer) {
-        List<String> path = call.path();
-        String name = path.size() > 1 && path.get(0).equals(ROOT) ? path.get(1) : "";
-        boolean figures = path.size() == 2 && (name.equals("ready") || name.equals("telemetry"));
-        boolean byHand = path.size() == 3 && (name.equals("exclude") || name.equals("include"));
-        String method = byHand ? "POST" : "GET";
-        if (!figures && !byHand) {
+    public void handle(HttpRequest request, boolean mayBeStale, Consumer<HttpAnswer> answer) {
+        List<String> path = request.path();
+        String name = path.size() > 1 && path.get(0).equals(PATH_ROOT) ? path.get(1) : "";
+        boolean isQuery = path.size() == 2 && (name.equals("ready") || name.equals("telemetry"));
+        boolean isEjection = path.size() == 3 && (name.equals("exclude") || name.equals("include"));
+        String method = isEjection ? "POST" : "GET";
+        if (!isQuery && !isEjection) {
             answer.accept(HttpAnswer.error(404, "no such call"));
-        } else if (!call.method().equals(method)) {
+        } else if (!request.method().equals(method)) {
             answer.accept(HttpAnswer.onlyBy(method));
-        } else if (byHand && waited) {
+        } else if (isEjection && mayBeStale) {
             answer.accept(
                     HttpAnswer.error(
                             503, "this process stood still, nothing was changed: call again"));
-        } else if (byHand) {
-            byHand(new HostId(path.get(2)), name.equals("exclude"), answer);
+        } else if (isEjection) {
+            setEjected(new HostId(path.get(2)), name.equals("exclude"), answer);
         } else {
             answer.accept(name.equals("ready") ? ready() : telemetry());
         }
@@ -64,17 +64,17 @@
                 : HttpAnswer.error(503, "this node takes no clients now");
     }
 
-    private void byHand(HostId host, boolean out, Consumer<HttpAnswer> answer) {
+    private void setEjected(HostId host, boolean ejected, Consumer<HttpAnswer> answer) {
         if (!router.knows(host)) {
             answer.accept(HttpAnswer.error(404, "no host " + host.name() + " is known here"));
             return;
         }
-        bans.change(
+        ejections.setEjected(
                 host,
-                out,
+                ejected,
                 end ->
                         answer.accept(
-                                end == Bans.End.TOO_LATE
+                                end == HostEjections.Outcome.TOO_LATE
                                         ? HttpAnswer.error(
                                                 503,
                                                 "this process stood still in the middle of it: look which hosts are out, call again")
@@ -83,9 +83,9 @@
                                                 "{\"host\":"
                                                         + Json.quoted(host.name())
                                                         + ",\"out\":"
-                                                        + bans.holds(host)
+                                                        + ejections.isEjected(host)
                                                         + ",\"kept\":"
-                                                        + (end == Bans.End.KEPT)
+                                                        + (end == HostEjections.Outcome.KEPT)
                                                         + "}")));
     }
 
--- a/node/src/main/java/embershift/operations/Callers.java
+++ b/node/src/main/java/embershift/operations/OperatorServer.java
@@ -18,43 +18,43 @@
  * keeps nobody out: their number and time are bounded, and the oldest of them gives way to the next
  * that comes.
  */
-public final class Callers {
+public final class OperatorServer {
 
     /**
      * Callers without a whole call at one time; the other descriptors are for answers on their way
      * out.
      */
-    private static final int MOST = Router.OPERATORS * 3 / 4;
+    private static final int MAX_WAITING = Router.OPERATORS * 3 / 4;
 
     /**
      * Of the descriptors for operators, those for callers that the loop has accepted and not handed
      * over.
      */
-    private static final int AHEAD = 8;
+    private static final int ACCEPTED_AHEAD = 8;
 
     /** Seconds from the accept within which the whole call must have come. */
-    private static final double PATIENCE = 5;
+    private static final double REQUEST_TIMEOUT_SECONDS = 5;
 
     private final Loop loop;
-    private final Desk desk;
+    private final OperatorApi api;
     private final Tally tally;
 
     /** Those without a whole call, oldest first. */
-    private final Set<Caller> waiting = new LinkedHashSet<>();
+    private final Set<OperatorConnection> waiting = new LinkedHashSet<>();
 
-    private final Stillness stillness;
-    private Loop.Listening listening;
+    private final StallDetector stallDetector;
+    private Loop.Listening listener;
 
-    public Callers(Loop loop, Desk desk, Tally tally) {
+    public OperatorServer(Loop loop, OperatorApi api, Tally tally) {
         this.loop = loop;
-        this.desk = desk;
+        this.api = api;
         this.tally = tally;
-        stillness = new Stillness(loop.now());
+        stallDetector = new StallDetector(loop.now());
     }
 
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        beat();
-        listening =
+        heartbeat();
+        listener =
                 loop.listen(
                         address,
                         new Loop.Admission() {
@@ -65,21 +65,21 @@
 
                             @Override
                             public int free() {
-                                return listening == null
+                                return listener == null
                                         ? 0
-                                        : Router.OPERATORS - AHEAD - listening.open();
+                                        : Router.OPERATORS - ACCEPTED_AHEAD - listener.open();
                             }
                         },
                         link -> {
                             tally.count("operators' connections");
-                            new Caller(link);
+                            new OperatorConnection(link);
                         });
-        return listening.address();
+        return listener.address();
     }
 
-    private void beat() {
-        stillness.beat(loop.now());
-        loop.after(Stillness.BEAT, this::beat);
+    private void heartbeat() {
+        stallDetector.heartbeat(loop.now());
+        loop.after(StallDetector.HEARTBEAT_SECONDS, this::heartbeat);
     }
 
     /**
@@ -88,58 +88,60 @@
      * operators have to be heard all the more.
      */
     private boolean makeRoom() {
-        while (waiting.size() >= MOST) {
-            giveWay();
+        while (waiting.size() >= MAX_WAITING) {
+            evictOldest();
         }
-        while (listening.open() > Router.OPERATORS - AHEAD) {
-            if (!listening.closeLingering() && !giveWay()) {
+        while (listener.open() > Router.OPERATORS - ACCEPTED_AHEAD) {
+            if (!listener.closeLingering() && !evictOldest()) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean giveWay() {
-        Iterator<Caller> oldest = waiting.iterator();
+    private boolean evictOldest() {
+        Iterator<OperatorConnection> oldest = waiting.iterator();
         if (!oldest.hasNext()) {
             return false;
         }
         tally.count("operators' connections that gave way");
-        Caller caller = oldest.next();
+        OperatorConnection caller = oldest.next();
         caller.answer(HttpAnswer.error(503, "others call, and no whole call has come here"));
         // Nothing that it sent is unread, so the answer is not lost by this.
         caller.link.close();
         return true;
     }
 
-    private final class Caller implements Link.Events {
+    private final class OperatorConnection implements Link.Events {
         private final Link link;
-        private final HttpRequest call = new HttpRequest();
-        private final Loop.Timer patience;
+        private final HttpRequest request = new HttpRequest();
+        private final Loop.Timer timeout;
 
-        Caller(Link link) {
+        OperatorConnection(Link link) {
             this.link = link;
             waiting.add(this);
-            patience =
-                    loop.after(PATIENCE, () -> last(HttpAnswer.error(408, "no whole call came")));
+            timeout =
+                    loop.after(
+                            REQUEST_TIMEOUT_SECONDS,
+                            () -> answerAndFinish(HttpAnswer.error(408, "no whole call came")));
             link.events(this);
         }
 
         private void answer(HttpAnswer answer) {
-            leaveQueue();
+            stopWaiting();
             if (!link.closed()) {
                 tally.count("operators' calls answered " + answer.status());
                 link.write(answer.bytes());
             }
         }
 
-        private void last(HttpAnswer answer) {
+        private void answerAndFinish(HttpAnswer answer) {
             answer(answer);
             link.finish();
         }
 
-        private void leaveQueue() {
-            patience.cancel();
+        private void stopWaiting() {
+            timeout.cancel();
             waiting.remove(this);
         }
 
@@ -149,12 +151,13 @@
                 return;
             }
             try {
-                if (call.read(bytes)) {
-                    leaveQueue();
-                    desk.take(call, stillness.mayHaveWaited(loop.now()), this::last);
+                if (request.read(bytes)) {
+                    stopWaiting();
+                    api.handle(
+                            request, stallDetector.mayBeStale(loop.now()), this::answerAndFinish);
                 }
             } catch (HttpRequest.Refused e) {
-                last(HttpAnswer.error(e.status(), e.getMessage()));
+                answerAndFinish(HttpAnswer.error(e.status(), e.getMessage()));
             }
         }
 
@@ -171,7 +174,7 @@
 
         @Override
         public void broken() {
-            leaveQueue();
+            stopWaiting();
             link.close();
         }
     }
--- a/node/src/main/java/embershift/operations/Stillness.java
+++ b/node/src/main/java/embershift/operations/StallDetector.java
@@ -5,46 +5,46 @@
  * after that may have waited so long that its sender has given up and has had the contrary done
  * elsewhere. Fed with the time; decides only.
  */
-final class Stillness {
+final class StallDetector {
 
     /** Seconds within which operators are owed an answer; who has waited less has not given up. */
-    static final double OWED = 1.0;
+    static final double ANSWER_DEADLINE_SECONDS = 1.0;
 
     /** Seconds between two beats, so that a gap is told from the loop's usual turns. */
-    static final double BEAT = 0.1;
+    static final double HEARTBEAT_SECONDS = 0.1;
 
     /**
      * Beats after a gap in which the loop reads what had piled up; those that are late themselves
      * don't count.
      */
-    private static final int CATCHING_UP = 3;
+    private static final int CATCH_UP_HEARTBEATS = 3;
 
     /**
      * A gap that, with the longest time between two beats, could hold a caller's whole patience.
      */
-    private static final double GAP = OWED - BEAT;
+    private static final double STALL_SECONDS = ANSWER_DEADLINE_SECONDS - HEARTBEAT_SECONDS;
 
-    private double beat;
-    private int beatsToGo;
+    private double lastHeartbeatAt;
+    private int catchUpHeartbeatsLeft;
 
-    Stillness(double now) {
-        beat = now;
+    StallDetector(double now) {
+        lastHeartbeatAt = now;
     }
 
     /** To be told each {@code BEAT} seconds while the process runs. */
-    void beat(double now) {
-        if (now - beat > GAP) {
-            beatsToGo = CATCHING_UP;
-        } else if (beatsToGo > 0 && now - beat <= 2 * BEAT) {
+    void heartbeat(double now) {
+        if (now - lastHeartbeatAt > STALL_SECONDS) {
+            catchUpHeartbeatsLeft = CATCH_UP_HEARTBEATS;
+        } else if (catchUpHeartbeatsLeft > 0 && now - lastHeartbeatAt <= 2 * HEARTBEAT_SECONDS) {
             // A fixed time would be over before one who gets little of the processor has read
             // anything.
-            beatsToGo--;
+            catchUpHeartbeatsLeft--;
         }
-        beat = now;
+        lastHeartbeatAt = now;
     }
 
     /** Whether what is read now may have come longer ago than its sender waits. */
-    boolean mayHaveWaited(double now) {
-        return now - beat > GAP || beatsToGo > 0;
+    boolean mayBeStale(double now) {
+        return now - lastHeartbeatAt > STALL_SECONDS || catchUpHeartbeatsLeft > 0;
     }
 }
--- a/node/src/main/java/embershift/program/Main.java
+++ b/node/src/main/java/embershift/program/Main.java
@@ -20,7 +20,7 @@
 /** The command line. */
 public final class Main {
 
-    private static final int USAGE = 2;
+    private static final int USAGE_ERROR = 2;
 
     private Main() {}
 
@@ -30,11 +30,11 @@
     }
 
     @Parameters(commandDescription = "Be a node: listen for clients and place their tunnels")
-    private static final class Serve extends Configured implements Command {
+    private static final class Serve extends ConfigurationOptions implements Command {
         @Override
         public int run() throws IOException, Unreadable {
             try {
-                new Service(this::read, new Log(System.err)).start();
+                new NodeProcess(this::readConfiguration, new Log(System.err)).start();
             } catch (IOException e) {
                 throw new Unreadable(e.getMessage());
             }
@@ -44,10 +44,10 @@
 
     @Parameters(
             commandDescription = "Read a configuration and say whether a node could start by it")
-    private static final class Check extends Configured implements Command {
+    private static final class Check extends ConfigurationOptions implements Command {
         @Override
         public int run() throws IOException, Unreadable {
-            NodeConfiguration configuration = read();
+            NodeConfiguration configuration = readConfiguration();
             System.out.println(
                     "sound: "
                             + configuration.name()
@@ -68,7 +68,7 @@
         @Override
         public int run() throws IOException, Unreadable {
             try {
-                new Rehearsal().play(new Log(System.err));
+                new SelfTest().run(new Log(System.err));
                 System.out.println("rehearsed: a node can live here");
                 return 0;
             } catch (IOException e) {
@@ -78,7 +78,7 @@
     }
 
     @Parameters(commandDescription = "Speak the bench's wire on standard input and output")
-    private static final class Bench implements Command {
+    private static final class RunAdapter implements Command {
         @Override
         public int run() throws IOException {
             try {
@@ -92,7 +92,7 @@
     }
 
     @Parameters(commandDescription = "Print the version")
-    private static final class Version implements Command {
+    private static final class PrintVersion implements Command {
         @Override
         public int run() {
             String version = Main.class.getPackage().getImplementationVersion();
@@ -107,16 +107,16 @@
                 names = {"--help", "-h"},
                 description = "Say what there is",
                 help = true)
-        private boolean wanted;
+        private boolean isRequested;
     }
 
-    private abstract static class Configured {
+    private abstract static class ConfigurationOptions {
         @Parameter(
                 names = "--configuration",
                 description = "File to read; else the one that LB_CONFIG names")
         private String file = System.getenv("LB_CONFIG");
 
-        NodeConfiguration read() throws Unreadable {
+        NodeConfiguration readConfiguration() throws Unreadable {
             if (file == null || file.isEmpty()) {
                 throw new Unreadable(
                         "no configuration: set LB_CONFIG or give --configuration FILE");
@@ -148,9 +148,9 @@
                         "serve",
                         new Serve(),
                         "adapter",
-                        new Bench(),
+                        new RunAdapter(),
                         "version",
-                        new Version(),
+                        new PrintVersion(),
                         "check",
                         new Check(),
                         "rehearse",
@@ -163,7 +163,7 @@
                 .forEach(name -> line.addCommand(name, List.of(commands.get(name), help)));
         try {
             line.parse(args);
-            if (help.wanted) {
+            if (help.isRequested) {
                 (line.getParsedCommand() == null
                                 ? line
                                 : line.getCommands().get(line.getParsedCommand()))
@@ -177,7 +177,7 @@
             return commands.get(line.getParsedCommand()).run();
         } catch (ParameterException | Unreadable e) {
             System.err.println("embershift: " + e.getMessage());
-            return USAGE;
+            return USAGE_ERROR;
         }
     }
 }
--- a/node/src/main/java/embershift/program/Service.java
+++ b/node/src/main/java/embershift/program/NodeProcess.java
@@ -1,9 +1,9 @@
 package embershift.program;
 
 import embershift.model.Deployment;
-import embershift.operations.Bans;
-import embershift.operations.Callers;
-import embershift.operations.Desk;
+import embershift.operations.HostEjections;
+import embershift.operations.OperatorApi;
+import embershift.operations.OperatorServer;
 import embershift.protocol.Addresses;
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Unreadable;
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A node from its start to its exit. */
-public final class Service {
+public final class NodeProcess {
 
     /** The phases, in their order; each is entered once, on the loop's thread. */
     enum Phase {
@@ -34,71 +34,72 @@
     /**
      * Seconds for which a node that leaves stays at least: its front goes on sending for a moment.
      */
-    private static final double LEAST_STAY = 0.8;
+    private static final double MIN_SHUTDOWN_SECONDS = 0.8;
 
     /**
      * Seconds beyond the longest client timeout, or beyond LONGEST_WAIT, after which it must be
      * out.
      */
-    private static final double MOST_STAY = 0.45;
+    private static final double SHUTDOWN_MARGIN_SECONDS = 0.45;
 
-    private static final double LONGEST_WAIT = 3.0;
-    private static final double LOOK = 0.02;
-    private static final double LOOK_AT_NEIGHBOURS = 0.1;
+    private static final double MAX_CLIENT_WAIT_SECONDS = 3.0;
+    private static final double DRAIN_CHECK_SECONDS = 0.02;
+    private static final double SIBLING_POLL_SECONDS = 0.1;
 
     /** Seconds for which last words may still go out. */
-    private static final double LAST_WORDS = 0.1;
+    private static final double FLUSH_SECONDS = 0.1;
 
     /** Where the configuration is read, at the start and whenever it has been replaced. */
-    public interface Source {
+    public interface ConfigurationSource {
         NodeConfiguration read() throws Unreadable;
     }
 
-    private final Source source;
+    private final ConfigurationSource source;
     private final Log log;
-    private final NodeConfiguration configuration;
+    private final NodeConfiguration startConfiguration;
 
     /** Null on the platform. */
-    private final Companion companion;
+    private final NodeExtension extension;
 
-    private NodeConfiguration latest;
+    private NodeConfiguration latestConfiguration;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private Phase phase = Phase.STARTING;
     private Loop loop;
     private Router router;
-    private double leavingSince;
-    private double leastStay;
-    private Bans bans;
+    private double shutdownStartedAt;
+    private double minShutdownSeconds;
+    private HostEjections ejections;
 
     /** Null where operators have no address, or there is no folder for it. */
-    private volatile Neighbours neighbours;
+    private volatile SiblingProcesses siblings;
 
-    Service(Source source, Log log) throws Unreadable {
+    NodeProcess(ConfigurationSource source, Log log) throws Unreadable {
         this(source, log, null);
     }
 
-    private Service(Source source, Log log, Companion companion) throws Unreadable {
+    private NodeProcess(ConfigurationSource source, Log log, NodeExtension extension)
+            throws Unreadable {
         this.source = source;
         this.log = log;
-        this.companion = companion;
-        configuration = source.read();
-        latest = configuration;
+        this.extension = extension;
+        startConfiguration = source.read();
+        latestConfiguration = startConfiguration;
     }
 
     /**
      * Starts a node with a companion; it then lives on its loop. Returns where it listens; fails
      * where it can't.
      */
-    public static InetSocketAddress start(Source source, Companion companion)
+    public static InetSocketAddress start(ConfigurationSource source, NodeExtension extension)
             throws IOException, Unreadable {
-        return new Service(source, new Log(System.err), companion).start();
+        return new NodeProcess(source, new Log(System.err), extension).start();
     }
 
     /** Listens, and returns where; the node then lives on its loop. Fails where it can't listen. */
     InetSocketAddress start() throws IOException {
         loop = new Loop();
-        CompletableFuture<InetSocketAddress> serving = new CompletableFuture<>();
-        loop.execute(() -> serve(serving));
+        CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
+        loop.execute(() -> serve(listening));
         // Before the node can be seen to be ready: unhandled, both signals would end the program.
         if (!Signals.onHangup(this::reload)) {
             // As under nohup: what was ignored before the program began can't be had, and nobody
@@ -109,9 +110,9 @@
         Signals.onUser1(() -> loop.execute(this::printTally));
         // Behind the start on the loop, so that one who leaves finds it over; before its end, as
         // clients may be here by then.
-        Runtime.getRuntime().addShutdownHook(new Thread(this::leaveAndWait, "leave"));
+        Runtime.getRuntime().addShutdownHook(new Thread(this::shutDownAndWait, "leave"));
         try {
-            return serving.join();
+            return listening.join();
         } catch (CompletionException e) {
             stopped.countDown();
             loop.stop();
@@ -119,47 +120,48 @@
         }
     }
 
-    private void serve(CompletableFuture<InetSocketAddress> serving) {
+    private void serve(CompletableFuture<InetSocketAddress> listening) {
         try {
-            router = new Router(loop, configuration, log::line);
-            if (configuration.operated()) {
+            router = new Router(loop, startConfiguration, log::line);
+            if (startConfiguration.operated()) {
                 listenForOperators();
             }
-            if (companion != null) {
-                accompany();
+            if (extension != null) {
+                startExtension();
             }
-            mindOthers();
-            InetSocketAddress address = router.listen(configuration.listen());
-            if (neighbours != null) {
+            requireNoOtherDeployment();
+            InetSocketAddress address = router.listen(startConfiguration.listen());
+            if (siblings != null) {
                 // Before the yes: at that the other process may be told to leave, and must see who
                 // is here.
-                neighbours.serve();
-                mindOthers();
-                bans.follow(neighbours.read());
-                heed(neighbours.exchange(word()));
-                loop.after(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
+                siblings.claimSlot();
+                requireNoOtherDeployment();
+                ejections.applyStored(siblings.read());
+                applyStatuses(siblings.exchange(status()));
+                loop.after(SIBLING_POLL_SECONDS, this::pollSiblings);
             }
             enter(Phase.SERVING);
             log.line("listening on " + Addresses.written(address));
-            serving.complete(address);
+            listening.complete(address);
         } catch (IOException | RuntimeException e) {
-            serving.completeExceptionally(e);
+            listening.completeExceptionally(e);
         }
     }
 
-    private void mindOthers() throws IOException {
-        if (neighbours != null && neighbours.othersHere()) {
+    private void requireNoOtherDeployment() throws IOException {
+        if (siblings != null && siblings.hasOtherDeployment()) {
             throw new IOException(
                     "can't listen on "
-                            + Addresses.written(configuration.listen())
+                            + Addresses.written(startConfiguration.listen())
                             + ": a node of another deployment serves there");
         }
     }
 
-    private void accompany() {
-        Bans known = bans == null ? new Bans(loop, router, null) : bans;
-        companion.begin(
-                new Companion.Node() {
+    private void startExtension() {
+        HostEjections nodeEjections =
+                ejections == null ? new HostEjections(loop, router, null) : ejections;
+        extension.start(
+                new NodeExtension.NodeContext() {
                     @Override
                     public Loop loop() {
                         return loop;
@@ -171,17 +173,17 @@
                     }
 
                     @Override
-                    public Bans bans() {
-                        return known;
+                    public HostEjections ejections() {
+                        return nodeEjections;
                     }
 
                     @Override
                     public NodeConfiguration configuration() {
-                        return latest;
+                        return latestConfiguration;
                     }
 
                     @Override
-                    public boolean serving() {
+                    public boolean isServing() {
                         return phase == Phase.SERVING;
                     }
 
@@ -191,29 +193,30 @@
                     }
 
                     @Override
-                    public void end(int status) {
+                    public void exit(int status) {
                         // The end waits for this loop: not on it.
                         new Thread(() -> System.exit(status), "end").start();
                     }
                 });
     }
 
-    private boolean ready() {
-        return phase == Phase.SERVING && (companion == null || companion.ready());
+    private boolean isReady() {
+        return phase == Phase.SERVING && (extension == null || extension.isReady());
     }
 
     /** First of all: while the node starts, operators hear a no, not nothing. */
     private void listenForOperators() throws IOException {
-        neighbours =
-                Neighbours.in(
+        siblings =
+                SiblingProcesses.open(
                         System.getenv("TMPDIR"),
-                        Addresses.written(configuration.listen()),
-                        configuration.belongsTo(),
+                        Addresses.written(startConfiguration.listen()),
+                        startConfiguration.belongsTo(),
                         log::line);
-        bans = new Bans(loop, router, neighbours);
-        Desk desk = new Desk(router, bans, this::ready);
+        ejections = new HostEjections(loop, router, siblings);
+        OperatorApi api = new OperatorApi(router, ejections, this::isReady);
         InetSocketAddress address =
-                new Callers(loop, desk, router.tally()).listen(configuration.management());
+                new OperatorServer(loop, api, router.tally())
+                        .listen(startConfiguration.management());
         log.line("operators call " + Addresses.written(address));
     }
 
@@ -221,35 +224,37 @@
      * While another process serves at this address, both go by the same bans and share the
      * descriptors.
      */
-    private void lookAtNeighbours() {
-        Neighbours.Word mine = word();
+    private void pollSiblings() {
+        SiblingProcesses.ProcessStatus own = status();
         loop.aside(
                 () -> {
-                    List<Neighbours.Word> others = neighbours.exchange(mine);
+                    List<SiblingProcesses.ProcessStatus> others = siblings.exchange(own);
                     loop.execute(
                             () -> {
-                                heed(others);
-                                loop.after(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
+                                applyStatuses(others);
+                                loop.after(SIBLING_POLL_SECONDS, this::pollSiblings);
                             });
                 });
     }
 
-    private Neighbours.Word word() {
-        return new Neighbours.Word(router.claimedDescriptors(), router.tunnelsThatFill());
+    private SiblingProcesses.ProcessStatus status() {
+        return new SiblingProcesses.ProcessStatus(
+                router.claimedDescriptors(), router.tunnelsThatFill());
     }
 
-    private void heed(List<Neighbours.Word> others) {
+    private void applyStatuses(List<SiblingProcesses.ProcessStatus> others) {
         router.heldElsewhere(
-                others.stream().mapToInt(Neighbours.Word::descriptors).sum(), others.size());
-        others.forEach(other -> router.toldOfFilling(other.filling()));
+                others.stream().mapToInt(SiblingProcesses.ProcessStatus::descriptors).sum(),
+                others.size());
+        others.forEach(other -> router.toldOfFilling(other.tunnelsToFillHost()));
         if (!others.isEmpty()) {
-            bans.readAgain();
+            ejections.reloadStored();
         }
     }
 
     private void enter(Phase next) {
         phase = next;
-        log.line(configuration.name() + " " + phase.name().toLowerCase(Locale.ROOT));
+        log.line(startConfiguration.name() + " " + phase.name().toLowerCase(Locale.ROOT));
     }
 
     /**
@@ -259,34 +264,34 @@
     private synchronized void reload() {
         try {
             NodeConfiguration next = source.read();
-            loop.execute(() -> goBy(next));
+            loop.execute(() -> applyConfiguration(next));
         } catch (Unreadable e) {
-            loop.execute(() -> refuse(e.getMessage()));
+            loop.execute(() -> rejectConfiguration(e.getMessage()));
         }
     }
 
-    private void refuse(String why) {
+    private void rejectConfiguration(String reason) {
         router.tally().count("configurations refused");
-        log.line("the configuration before stays in force: " + why);
+        log.line("the configuration before stays in force: " + reason);
     }
 
-    private void goBy(NodeConfiguration next) {
-        if (!next.belongsTo().equals(configuration.belongsTo())) {
+    private void applyConfiguration(NodeConfiguration next) {
+        if (!next.belongsTo().equals(startConfiguration.belongsTo())) {
             // Its discovery and peers are another customer's: this node's tunnels would go to their
             // hosts.
-            refuse("it is another deployment's, of " + next.belongsTo());
+            rejectConfiguration("it is another deployment's, of " + next.belongsTo());
             return;
         }
         router.tally().count("configurations taken");
-        latest = next;
-        router.reconfigure(companion == null ? next : companion.adapt(next));
-        List<String> fixed = configuration.fixedChanges(next);
+        latestConfiguration = next;
+        router.reconfigure(extension == null ? next : extension.adapt(next));
+        List<String> restartOnly = startConfiguration.fixedChanges(next);
         log.line(
                 "configuration taken, discovery at "
                         + Addresses.written(next.discovery())
-                        + (fixed.isEmpty()
+                        + (restartOnly.isEmpty()
                                 ? ""
-                                : "; only after a restart: " + String.join(", ", fixed)));
+                                : "; only after a restart: " + String.join(", ", restartOnly)));
     }
 
     private void printTally() {
@@ -294,49 +299,49 @@
     }
 
     /** Holds up the end of the program, as at SIGTERM, until all tunnels are elsewhere. */
-    private void leaveAndWait() {
-        boolean replaced = neighbours != null && neighbours.replacesThis();
-        loop.execute(() -> leave(replaced));
+    private void shutDownAndWait() {
+        boolean isReplaced = siblings != null && siblings.releaseSlot();
+        loop.execute(() -> shutDown(isReplaced));
         try {
-            stopped.await((long) (mostStay() + 1), TimeUnit.SECONDS);
+            stopped.await((long) (maxShutdownSeconds() + 1), TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private double mostStay() {
-        double longest =
-                configuration.deployment().profiles().stream()
+    private double maxShutdownSeconds() {
+        double longestClientTimeout =
+                startConfiguration.deployment().profiles().stream()
                         .mapToDouble(Deployment.Profile::clientTimeout)
                         .max()
-                        .orElse(LONGEST_WAIT);
-        return Math.min(LONGEST_WAIT, longest) + MOST_STAY;
+                        .orElse(MAX_CLIENT_WAIT_SECONDS);
+        return Math.min(MAX_CLIENT_WAIT_SECONDS, longestClientTimeout) + SHUTDOWN_MARGIN_SECONDS;
     }
 
-    private void leave(boolean replaced) {
+    private void shutDown(boolean isReplaced) {
         if (phase == Phase.SERVING) {
             enter(Phase.LEAVING);
-            if (replaced) {
+            if (isReplaced) {
                 log.line("another process serves at this address");
             }
-            leavingSince = loop.now();
-            leastStay = replaced ? 0 : LEAST_STAY;
-            router.leave(replaced);
-            if (companion != null) {
-                companion.leaves();
+            shutdownStartedAt = loop.now();
+            minShutdownSeconds = isReplaced ? 0 : MIN_SHUTDOWN_SECONDS;
+            router.leave(isReplaced);
+            if (extension != null) {
+                extension.shutDown();
             }
-            lookWhetherEmpty();
+            checkDrained();
         }
     }
 
-    private void lookWhetherEmpty() {
-        double stayed = loop.now() - leavingSince;
-        if (stayed > mostStay() || (stayed > leastStay && router.empty())) {
+    private void checkDrained() {
+        double elapsed = loop.now() - shutdownStartedAt;
+        if (elapsed > maxShutdownSeconds() || (elapsed > minShutdownSeconds && router.empty())) {
             enter(Phase.CLOSING);
             router.stop();
-            loop.after(LAST_WORDS, this::stop);
+            loop.after(FLUSH_SECONDS, this::stop);
         } else {
-            loop.after(LOOK, this::lookWhetherEmpty);
+            loop.after(DRAIN_CHECK_SECONDS, this::checkDrained);
         }
     }
 
--- a/node/src/main/java/embershift/program/Rehearsal.java
+++ b/node/src/main/java/embershift/program/SelfTest.java
@@ -16,66 +16,67 @@
  * shows that a node can live on this machine, and a build records by it the classes that nodes need
  * from their start.
  */
-final class Rehearsal {
+final class SelfTest {
 
-    private static final int PATIENCE_MS = 5000;
+    private static final int READ_TIMEOUT_MS = 5000;
     private static final int TUNNELS = 3;
 
     /** One side of a talk in lines. */
-    private interface Part {
-        void with(Socket socket, BufferedReader in) throws IOException;
+    private interface ConnectionHandler {
+        void handle(Socket socket, BufferedReader in) throws IOException;
     }
 
-    private final ServerSocket host = listening();
-    private final ServerSocket discovery = listening();
+    private final ServerSocket host = listenOnLoopback();
+    private final ServerSocket discovery = listenOnLoopback();
 
-    Rehearsal() throws IOException {}
+    SelfTest() throws IOException {}
 
-    private static ServerSocket listening() throws IOException {
+    private static ServerSocket listenOnLoopback() throws IOException {
         return new ServerSocket(0, TUNNELS, InetAddress.getLoopbackAddress());
     }
 
     /**
      * Plays it all; fails where a client does not hear what it should. The node is left to its end.
      */
-    void play(Log log) throws IOException, Unreadable {
-        serve(host, this::beHost);
-        serve(discovery, this::beDiscovery);
+    void run(Log log) throws IOException, Unreadable {
+        serve(host, this::runHost);
+        serve(discovery, this::runDiscovery);
         InetSocketAddress node =
-                new Service(() -> NodeConfiguration.read(configuration(), null), log).start();
+                new NodeProcess(() -> NodeConfiguration.read(configurationJson(), null), log)
+                        .start();
         for (int i = 0; i < TUNNELS; i++) {
             try (Socket client = new Socket(node.getAddress(), node.getPort())) {
-                client.setSoTimeout(PATIENCE_MS);
+                client.setSoTimeout(READ_TIMEOUT_MS);
                 BufferedReader in = reader(client);
-                say(client, "PING\r\n");
+                send(client, "PING\r\n");
                 expect(in, "PONG");
-                say(client, "OPEN " + i + " key c=any,d=3000,g=" + i + "\r\n");
+                send(client, "OPEN " + i + " key c=any,d=3000,g=" + i + "\r\n");
                 expect(in, "UP rehearsed");
-                say(client, "line\r\n");
+                send(client, "line\r\n");
                 expect(in, i == 0 ? "MOVE" : "line");
             }
         }
     }
 
-    private static void expect(BufferedReader in, String line) throws IOException {
-        String heard = in.readLine();
-        if (!line.equals(heard)) {
+    private static void expect(BufferedReader in, String expected) throws IOException {
+        String received = in.readLine();
+        if (!expected.equals(received)) {
             throw new IOException(
-                    "the rehearsal heard '" + heard + "' where '" + line + "' was due");
+                    "the rehearsal heard '" + received + "' where '" + expected + "' was due");
         }
     }
 
-    private static void serve(ServerSocket server, Part part) {
-        daemon(
+    private static void serve(ServerSocket server, ConnectionHandler handler) {
+        startDaemonThread(
                 () -> {
                     try {
                         while (true) {
                             Socket socket = server.accept();
-                            daemon(
+                            startDaemonThread(
                                     () -> {
                                         try (socket;
                                                 BufferedReader in = reader(socket)) {
-                                            part.with(socket, in);
+                                            handler.handle(socket, in);
                                         } catch (IOException e) {
                                             // The node has ended this connection, as it does with
                                             // all at its end.
@@ -88,7 +89,7 @@
                 });
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemonThread(Runnable task) {
         Thread thread = new Thread(task, "rehearsal");
         thread.setDaemon(true);
         thread.start();
@@ -99,52 +100,52 @@
                 new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
     }
 
-    private static void say(Socket socket, String words) throws IOException {
-        socket.getOutputStream().write(words.getBytes(StandardCharsets.ISO_8859_1));
+    private static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /**
      * Answers questions, opens tunnels and echoes their lines; the first tunnel is moved instead.
      */
-    private void beHost(Socket socket, BufferedReader in) throws IOException {
-        boolean first = false;
+    private void runHost(Socket socket, BufferedReader in) throws IOException {
+        boolean isFirstTunnel = false;
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.equals("STATS")) {
-                say(socket, "PONG queue=0,qps=1.0,x0=0.1\r\n");
+                send(socket, "PONG queue=0,qps=1.0,x0=0.1\r\n");
             } else if (line.startsWith("OPEN ")) {
-                first = line.startsWith("OPEN 0 ");
-                say(socket, "UP rehearsed\r\n");
-            } else if (first) {
-                say(socket, "MOVE\r\n");
+                isFirstTunnel = line.startsWith("OPEN 0 ");
+                send(socket, "UP rehearsed\r\n");
+            } else if (isFirstTunnel) {
+                send(socket, "MOVE\r\n");
                 return;
             } else {
-                say(socket, line + "\r\n");
+                send(socket, line + "\r\n");
             }
         }
     }
 
-    private void beDiscovery(Socket socket, BufferedReader in) throws IOException {
+    private void runDiscovery(Socket socket, BufferedReader in) throws IOException {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (line.isEmpty()) {
-                String list = list();
-                say(
+                String roster = rosterJson();
+                send(
                         socket,
                         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: "
-                                + list.length()
+                                + roster.length()
                                 + "\r\n\r\n"
-                                + list);
+                                + roster);
             }
         }
     }
 
-    private String list() {
+    private String rosterJson() {
         return "{\"generation\":1,\"reset\":true,\"instances\":[{\"instanceId\":\"s\",\"hostPort\":\"127.0.0.1:"
                 + host.getLocalPort()
                 + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":0,"
                 + "\"lifecycle\":\"in_service\",\"weight\":1.0,\"startedAtMs\":0}]}";
     }
 
-    private String configuration() {
+    private String configurationJson() {
         return """
             {"name":"rehearsal","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"1",
              "limits":{"sockets":1024},"peer_listen":"127.0.0.1:0","peers":[],"known":%s,
@@ -155,6 +156,6 @@
                         "retry-after":true,"max-retry-after-s":1.5,"connect-timeout-s":0.25},
               "rules":{"answer-slack-s":0.016,"must-ask-in-s":2,"drain-grace-s":1,"cold-from":0.3,
                        "warm-after-s":10,"fall-multiple":4,"fall-s":1.5}}}"""
-                .formatted(discovery.getLocalPort(), list());
+                .formatted(discovery.getLocalPort(), rosterJson());
     }
 }
--- a/node/src/test/java/embershift/WireFormatTest.java
+++ b/node/src/test/java/embershift/WireFormatTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 
 import embershift.model.HostId;
-import embershift.operations.Bans;
-import embershift.operations.Callers;
-import embershift.operations.Desk;
+import embershift.operations.HostEjections;
+import embershift.operations.OperatorApi;
+import embershift.operations.OperatorServer;
 import embershift.protocol.BanList;
 import embershift.testing.GoldenSamples;
 import java.net.InetAddress;
@@ -61,11 +61,11 @@
         InetSocketAddress operators =
                 on(
                         () ->
-                                new Callers(
+                                new OperatorServer(
                                                 loop,
-                                                new Desk(
+                                                new OperatorApi(
                                                         router,
-                                                        new Bans(loop, router, null),
+                                                        new HostEjections(loop, router, null),
                                                         () -> true),
                                                 router.tally())
                                         .listen(
--- a/node/src/test/java/embershift/operations/OperatorsTest.java
+++ b/node/src/test/java/embershift/operations/OperatorsTest.java
@@ -61,11 +61,11 @@
                 () -> {
                     router = new Router(loop, configuration, line -> {});
                     operators =
-                            new Callers(
+                            new OperatorServer(
                                             loop,
-                                            new Desk(
+                                            new OperatorApi(
                                                     router,
-                                                    new Bans(loop, router, null),
+                                                    new HostEjections(loop, router, null),
                                                     () -> ready),
                                             router.tally())
                                     .listen(configuration.management());
--- a/node/src/test/java/embershift/program/LockFileFormatTest.java
+++ b/node/src/test/java/embershift/program/LockFileFormatTest.java
@@ -19,16 +19,16 @@
 
     private static final String GOLDEN = "lock-file.txt";
 
-    private static Neighbours at(Path folder, String deployment) {
-        return Neighbours.in(folder.toString(), "127.0.0.1:18000", deployment, line -> {});
+    private static SiblingProcesses at(Path folder, String deployment) {
+        return SiblingProcesses.open(folder.toString(), "127.0.0.1:18000", deployment, line -> {});
     }
 
     @Test
     public void filesAreAsBefore() throws Exception {
         Path folder = Files.createTempDirectory("lock");
-        Neighbours first = at(folder, "tiers in areas");
-        first.serve();
-        first.exchange(new Neighbours.Word(77, 1.5));
+        SiblingProcesses first = at(folder, "tiers in areas");
+        first.claimSlot();
+        first.exchange(new SiblingProcesses.ProcessStatus(77, 1.5));
         first.change(new HostId("h1"), true, List.of(), () -> true);
         first.change(new HostId("h2"), true, List.of(), () -> true);
         GoldenSamples samples = new GoldenSamples();
--- a/node/src/test/java/embershift/program/ReadyTest.java
+++ b/node/src/test/java/embershift/program/ReadyTest.java
@@ -94,11 +94,11 @@
         return new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     }
 
-    private interface Part {
+    private interface Task {
         void play() throws IOException;
     }
 
-    private static void daemon(Part part) {
+    private static void daemon(Task part) {
         Thread thread =
                 new Thread(
                         () -> {
--- a/node/src/test/java/embershift/program/ReplaceTest.java
+++ b/node/src/test/java/embershift/program/ReplaceTest.java
@@ -5,7 +5,7 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.model.HostId;
-import embershift.operations.Bans;
+import embershift.operations.HostEjections;
 import embershift.protocol.BanList;
 import java.io.File;
 import java.io.IOException;
@@ -239,7 +239,8 @@
                 BanList.read(
                         Files.readString(
                                 folder.resolve(
-                                        Neighbours.lists("127.0.0.1:" + port, "null in null")
+                                        SiblingProcesses.listPrefix(
+                                                        "127.0.0.1:" + port, "null in null")
                                                 + 4))),
                 Set.of());
     }
@@ -259,7 +260,8 @@
         awaitReady(management[0]);
         dead.destroyForcibly().waitFor();
         Files.writeString(
-                folder.resolve(Neighbours.lists("127.0.0.1:" + port, "null in null") + 1),
+                folder.resolve(
+                        SiblingProcesses.listPrefix("127.0.0.1:" + port, "null in null") + 1),
                 "embershift-bans 1 0\n[\"s\"]\n");
         Process next = start(port, management[1]);
         awaitReady(management[1]);
@@ -273,24 +275,28 @@
 
     @Test
     public void anotherDeploymentAtTheSameAddressFindsNothingOfTheFirst() {
-        Neighbours first = Neighbours.in(folder.toString(), "a:1", "lamps", line -> {});
-        Neighbours second = Neighbours.in(folder.toString(), "a:1", "gauges", line -> {});
-        Neighbours next = Neighbours.in(folder.toString(), "a:1", "lamps", line -> {});
+        SiblingProcesses first =
+                SiblingProcesses.open(folder.toString(), "a:1", "lamps", line -> {});
+        SiblingProcesses second =
+                SiblingProcesses.open(folder.toString(), "a:1", "gauges", line -> {});
+        SiblingProcesses next =
+                SiblingProcesses.open(folder.toString(), "a:1", "lamps", line -> {});
         change(first, "h", true, List.of());
-        first.serve();
-        first.exchange(new Neighbours.Word(70, 9.5));
+        first.claimSlot();
+        first.exchange(new SiblingProcesses.ProcessStatus(70, 9.5));
         // Its replacement finds all of it; the other, later or at once, nothing but that somebody
         // else is here.
         assertEquals(
-                next.exchange(new Neighbours.Word(1, 0)), List.of(new Neighbours.Word(70, 9.5)));
+                next.exchange(new SiblingProcesses.ProcessStatus(1, 0)),
+                List.of(new SiblingProcesses.ProcessStatus(70, 9.5)));
         assertEquals(next.read(), Set.of(new HostId("h")));
-        assertFalse(next.othersHere());
-        assertEquals(second.exchange(new Neighbours.Word(1, 0)), List.of());
+        assertFalse(next.hasOtherDeployment());
+        assertEquals(second.exchange(new SiblingProcesses.ProcessStatus(1, 0)), List.of());
         assertEquals(List.copyOf(second.read()), List.of());
-        assertTrue(second.othersHere());
-        assertFalse(second.replacesThis());
-        assertFalse(first.replacesThis());
-        assertFalse(second.othersHere());
+        assertTrue(second.hasOtherDeployment());
+        assertFalse(second.releaseSlot());
+        assertFalse(first.releaseSlot());
+        assertFalse(second.hasOtherDeployment());
     }
 
     @Test
@@ -330,17 +336,19 @@
     }
 
     private static Collection<HostId> change(
-            Neighbours one, String host, boolean out, List<HostId> known) {
-        return one.change(new HostId(host), out, known, () -> true).bans();
+            SiblingProcesses one, String host, boolean out, List<HostId> known) {
+        return one.change(new HostId(host), out, known, () -> true).ejected();
     }
 
     @Test
     public void banThatCannotBeWrittenHoldsHereAndIsToldOnce() throws Exception {
         List<String> log = new ArrayList<>();
-        Neighbours one = Neighbours.in(folder.toString(), "a:1", "d", log::add);
+        SiblingProcesses one = SiblingProcesses.open(folder.toString(), "a:1", "d", log::add);
         Path aside =
                 folder.resolve(
-                        Neighbours.lists("a:1", "d") + "new-" + ProcessHandle.current().pid());
+                        SiblingProcesses.listPrefix("a:1", "d")
+                                + "new-"
+                                + ProcessHandle.current().pid());
         Files.createDirectory(aside);
         assertEquals(change(one, "h", true, List.of()), null);
         assertEquals(change(one, "h", true, List.of()), null);
@@ -353,8 +361,8 @@
 
     @Test
     public void bansOutlastAFileThatIsDamagedOrGone() throws Exception {
-        Neighbours one = Neighbours.in(folder.toString(), "a:1", "d", line -> {});
-        Path file = folder.resolve(Neighbours.lists("a:1", "d") + 1);
+        SiblingProcesses one = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
+        Path file = folder.resolve(SiblingProcesses.listPrefix("a:1", "d") + 1);
         List<HostId> known = List.of(new HostId("a"), new HostId("b"));
         assertEquals(one.read(), List.of());
         change(one, "a", true, List.of());
@@ -362,7 +370,7 @@
         assertTrue(one.read() == null);
         assertEquals(Set.copyOf(change(one, "b", true, known)), Set.copyOf(known));
         Files.delete(file);
-        Files.delete(folder.resolve(Neighbours.lists("a:1", "d") + 2));
+        Files.delete(folder.resolve(SiblingProcesses.listPrefix("a:1", "d") + 2));
         assertTrue(one.read() == null, "none is not what that says");
         assertEquals(Set.copyOf(change(one, "b", true, known)), Set.copyOf(known));
         assertEquals(Set.copyOf(one.read()), Set.copyOf(known));
@@ -372,12 +380,15 @@
     @Test
     public void changeThatWasOvertakenGoesOnTopInTimeAndIsDroppedAfterThat() throws Exception {
         for (boolean inTime : new boolean[] {true, false}) {
-            Neighbours one = Neighbours.in(folder.toString(), "a:" + inTime, "d", line -> {});
-            Neighbours other = Neighbours.in(folder.toString(), "a:" + inTime, "d", line -> {});
+            SiblingProcesses one =
+                    SiblingProcesses.open(folder.toString(), "a:" + inTime, "d", line -> {});
+            SiblingProcesses other =
+                    SiblingProcesses.open(folder.toString(), "a:" + inTime, "d", line -> {});
             // Damaged, so that the change looks at what is known here, which is where the other one
             // comes between.
             Files.writeString(
-                    folder.resolve(Neighbours.lists("a:" + inTime, "d") + 1), "embershift-bans 9");
+                    folder.resolve(SiblingProcesses.listPrefix("a:" + inTime, "d") + 1),
+                    "embershift-bans 9");
             List<HostId> known =
                     new ArrayList<>(List.of(new HostId("k"))) {
                         @Override
@@ -392,24 +403,28 @@
                             return super.iterator();
                         }
                     };
-            Bans.Kept kept = one.change(new HostId("b"), false, known, () -> inTime);
-            assertEquals(kept.end(), inTime ? Bans.End.KEPT : Bans.End.TOO_LATE);
-            assertEquals(Set.copyOf(kept.bans()), inTime ? Set.of() : Set.of(new HostId("b")));
-            assertEquals(other.read(), kept.bans());
+            HostEjections.StoreResult kept =
+                    one.change(new HostId("b"), false, known, () -> inTime);
+            assertEquals(
+                    kept.outcome(),
+                    inTime ? HostEjections.Outcome.KEPT : HostEjections.Outcome.TOO_LATE);
+            assertEquals(Set.copyOf(kept.ejected()), inTime ? Set.of() : Set.of(new HostId("b")));
+            assertEquals(other.read(), kept.ejected());
         }
     }
 
     @Test
     public void processesSeeWhoServesBesideThemAndWhatTheyHold() throws Exception {
-        Neighbours one = Neighbours.in(folder.toString(), "a:1", "d", line -> {});
-        Neighbours other = Neighbours.in(folder.toString(), "a:1", "d", line -> {});
-        one.serve();
-        assertEquals(one.exchange(new Neighbours.Word(70, 9.5)), List.of());
+        SiblingProcesses one = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
+        SiblingProcesses other = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
+        one.claimSlot();
+        assertEquals(one.exchange(new SiblingProcesses.ProcessStatus(70, 9.5)), List.of());
         assertEquals(
-                other.exchange(new Neighbours.Word(1, 0)), List.of(new Neighbours.Word(70, 9.5)));
-        assertFalse(one.replacesThis());
-        assertEquals(other.exchange(new Neighbours.Word(1, 0)), List.of());
-        assertTrue(Neighbours.in("/nowhere/at/all", "a:1", "d", line -> {}) == null);
+                other.exchange(new SiblingProcesses.ProcessStatus(1, 0)),
+                List.of(new SiblingProcesses.ProcessStatus(70, 9.5)));
+        assertFalse(one.releaseSlot());
+        assertEquals(other.exchange(new SiblingProcesses.ProcessStatus(1, 0)), List.of());
+        assertTrue(SiblingProcesses.open("/nowhere/at/all", "a:1", "d", line -> {}) == null);
     }
 
     @Test
--- a/node/src/test/java/embershift/program/StoppedNeighbourTest.java
+++ b/node/src/test/java/embershift/program/StoppedSiblingTest.java
@@ -24,7 +24,7 @@
  * Two processes at one address, one of which stands still: the other owes its operators answers all
  * the same.
  */
-public class StoppedNeighbourTest {
+public class StoppedSiblingTest {
 
     /** What an operator waits for an answer, and for all else. */
     private static final int OWED_MS = 1500;
--- a/rig/src/main/java/embershift/rig/scale/HollowNodes.java
+++ b/rig/src/main/java/embershift/rig/scale/HollowNodes.java
@@ -3,8 +3,8 @@
 import embershift.door.AgentSettings;
 import embershift.door.FleetAgent;
 import embershift.door.TomlSettings;
-import embershift.operations.Bans;
-import embershift.program.Companion;
+import embershift.operations.HostEjections;
+import embershift.program.NodeExtension;
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Unreadable;
 import embershift.routing.Router;
@@ -114,9 +114,9 @@
                                 .formatted(name, discoveryPort),
                         null);
         Router router = new Router(loop, configuration, line -> {});
-        Bans bans = new Bans(loop, router, null);
-        agent.begin(
-                new Companion.Node() {
+        HostEjections bans = new HostEjections(loop, router, null);
+        agent.start(
+                new NodeExtension.NodeContext() {
                     @Override
                     public Loop loop() {
                         return loop;
@@ -128,7 +128,7 @@
                     }
 
                     @Override
-                    public Bans bans() {
+                    public HostEjections ejections() {
                         return bans;
                     }
 
@@ -138,7 +138,7 @@
                     }
 
                     @Override
-                    public boolean serving() {
+                    public boolean isServing() {
                         return true;
                     }
 
@@ -153,7 +153,7 @@
                     }
 
                     @Override
-                    public void end(int status) {
+                    public void exit(int status) {
                         // A process would end here. This one goes on without being heard, as others
                         // share it.
                     }
