--- a/core/src/test/java/embershift/policy/DeclineReasonsTest.java
+++ b/core/src/test/java/embershift/policy/DeclineReasonsTest.java
@@ -13,58 +13,58 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Each decline tells its reason, by which operators find out who declines and why. */
+/** Each decline states its reason, by which operators find out which nodes decline and why. */
 public class DeclineReasonsTest {
 
-    private static void only(PolicyHarness node, DeclineReason reason) {
+    private static void assertOnlyReason(PolicyHarness node, DeclineReason reason) {
         assertTrue(node.declineReasons.size() > 0, "nothing was declined");
         assertTrue(
                 node.declineReasons.stream().allMatch(reason::equals),
                 node.declineReasons.toString());
     }
 
-    private static void silent(PolicyHarness node, int... hosts) {
+    private static void failProbes(PolicyHarness node, int... hosts) {
         node.round(
-                news -> {
+                events -> {
                     for (int host : hosts) {
-                        news.probeEnded(PolicyHarness.host(host), false, 0.3);
+                        events.probeEnded(PolicyHarness.host(host), false, 0.3);
                     }
                 });
     }
 
-    private static void full(PolicyHarness node, int host) {
+    private static void reportFull(PolicyHarness node, int host) {
         node.round(
-                news -> {
-                    news.probeEnded(PolicyHarness.host(host), true, 0.01);
-                    news.hostReported(PolicyHarness.host(host), 0.95, Double.NaN, Double.NaN);
+                events -> {
+                    events.probeEnded(PolicyHarness.host(host), true, 0.01);
+                    events.hostReported(PolicyHarness.host(host), 0.95, Double.NaN, Double.NaN);
                 });
     }
 
     @Test
-    public void nodeThatLeaves() {
+    public void nodeLeaves() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
-        node.round(news -> news.nodeLeaving(false));
+        node.round(events -> events.nodeLeaving(false));
         node.arriveTunnels(0, 3, null);
         assertEquals(node.declineReasons.size(), 3);
-        only(node, DeclineReason.NODE_LEAVES);
+        assertOnlyReason(node, DeclineReason.NODE_LEAVES);
     }
 
     @Test
-    public void setupsThatAreSpent() {
+    public void setupsUsedUp() {
         PolicyHarness node = new PolicyHarness(4).reportLoads(0.1, 0.1, 0.1, 0.1);
         node.arriveTunnels(0, 1, null);
         for (int setup = 0; setup < 4; setup++) {
             node.endSetup(0, setup, node.lastSetupHost(), SetupOutcome.NOT_SENT);
         }
-        only(node, DeclineReason.SETUPS_SPENT);
+        assertOnlyReason(node, DeclineReason.SETUPS_SPENT);
     }
 
     @Test
-    public void timeThatIsSpent() {
+    public void clientTimeUsedUp() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.round(
-                news ->
-                        news.tunnelArrived(
+                events ->
+                        events.tunnelArrived(
                                 PolicyHarness.tunnel(0),
                                 new ProfileId("p"),
                                 null,
@@ -72,11 +72,11 @@
                                 null,
                                 0.04,
                                 false));
-        only(node, DeclineReason.TIME_SPENT);
+        assertOnlyReason(node, DeclineReason.TIME_SPENT);
     }
 
     @Test
-    public void budgetThatIsSpent() {
+    public void retryBudgetUsedUp() {
         PolicyHarness node =
                 new PolicyHarness(
                                 Repeat.REPEATABLE,
@@ -88,17 +88,17 @@
                         .reportLoads(0.1, 0.1, 0.1, 0.1);
         node.arriveTunnels(0, 1, null);
         node.endSetup(0, 0, node.lastSetupHost(), SetupOutcome.NOT_SENT);
-        only(node, DeclineReason.BUDGET_SPENT);
+        assertOnlyReason(node, DeclineReason.BUDGET_SPENT);
     }
 
     @Test
-    public void setupsThatAreHeldBackForTooLong() {
+    public void setupsHeldBackTooLong() {
         PolicyHarness node = new PolicyHarness(4).reportLoads(0.1, 0.1, 0.1, 0.1);
         node.arriveTunnels(0, 40, null);
         node.round(
-                news -> {
+                events -> {
                     for (int i = 0; i < 20; i++) {
-                        news.setupEnded(
+                        events.setupEnded(
                                 PolicyHarness.tunnel(i),
                                 0,
                                 PolicyHarness.host(i % 4),
@@ -109,39 +109,39 @@
                 });
         node.now += 0.2;
         node.arriveTunnels(100, 40, null);
-        only(node, DeclineReason.SETUPS_HELD_BACK);
+        assertOnlyReason(node, DeclineReason.SETUPS_HELD_BACK);
     }
 
     @Test
-    public void noHostThatIsReady() {
+    public void noHostReady() {
         PolicyHarness node = new PolicyHarness(1).reportLoads(0.1);
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(PolicyHarness.entry(0, RosterEntry.State.DRAINING, 0))));
         node.arriveTunnels(0, 1, null);
-        only(node, DeclineReason.NO_HOST_READY);
+        assertOnlyReason(node, DeclineReason.NO_HOST_READY);
     }
 
     @Test
     public void mostHostsSilent() {
         PolicyHarness node = new PolicyHarness(3);
-        silent(node, 0, 1);
-        full(node, 2);
+        failProbes(node, 0, 1);
+        reportFull(node, 2);
         node.arriveTunnels(0, 1, null);
-        only(node, DeclineReason.HOSTS_SILENT);
+        assertOnlyReason(node, DeclineReason.HOSTS_SILENT);
     }
 
     @Test
     public void mostHostsFailed() {
         PolicyHarness node = new PolicyHarness(4);
-        full(node, 2);
+        reportFull(node, 2);
         node.round(
-                news -> {
-                    news.rosterChanged(
+                events -> {
+                    events.rosterChanged(
                             List.of(PolicyHarness.entry(3, RosterEntry.State.READY, node.now)));
                     for (int host = 0; host < 2; host++) {
-                        news.setupEnded(
+                        events.setupEnded(
                                 PolicyHarness.tunnel(90),
                                 0,
                                 PolicyHarness.host(host),
@@ -151,35 +151,35 @@
                     }
                 });
         node.arriveTunnels(0, 1, null);
-        only(node, DeclineReason.HOSTS_FAILED);
+        assertOnlyReason(node, DeclineReason.HOSTS_FAILED);
     }
 
     @Test
     public void mostHostsLate() {
         PolicyHarness node = new PolicyHarness(3);
-        full(node, 2);
+        reportFull(node, 2);
         node.round(
-                news -> {
-                    news.messageDelayMeasured(PolicyHarness.host(0), 0.25);
-                    news.messageDelayMeasured(PolicyHarness.host(1), 0.25);
+                events -> {
+                    events.messageDelayMeasured(PolicyHarness.host(0), 0.25);
+                    events.messageDelayMeasured(PolicyHarness.host(1), 0.25);
                 });
         node.arriveTunnels(0, 1, null);
-        only(node, DeclineReason.HOSTS_LATE);
+        assertOnlyReason(node, DeclineReason.HOSTS_LATE);
     }
 
     @Test
     public void mostHostsCold() {
         PolicyHarness node = new PolicyHarness(3);
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(
                                         PolicyHarness.entry(0, RosterEntry.State.READY, node.now),
                                         PolicyHarness.entry(1, RosterEntry.State.READY, node.now),
                                         PolicyHarness.entry(
                                                 2, RosterEntry.State.READY, node.now))));
         node.arriveTunnels(0, 1, null);
-        only(node, DeclineReason.HOSTS_COLD);
+        assertOnlyReason(node, DeclineReason.HOSTS_COLD);
     }
 
     @Test
@@ -187,22 +187,22 @@
         PolicyHarness node = new PolicyHarness(4).reportLoads(0.95, 0.95, 0.95, 0.95);
         node.arriveTunnels(0, 5, null);
         assertEquals(node.declineReasons.size(), 5);
-        only(node, DeclineReason.HOSTS_FULL);
+        assertOnlyReason(node, DeclineReason.HOSTS_FULL);
     }
 
     @Test
-    public void excessOverTheNodesPartOfTheRoom() {
+    public void arrivalsExceedNodesShareOfRoom() {
         PolicyHarness node = new PolicyHarness(4);
         for (int host = 0; host < 4; host++) {
             node.resumeTunnels(10 * host, 10, host);
         }
         node.reportLoads(0.75, 0.75, 0.75, 0.75);
-        // Room for 0.4 of a host in a period, and arrivals of 0.075 each: these make 0.75 a period,
-        // but want nothing.
+        // There is room for 0.4 of a host per period, and each tunnel adds 0.075. These 80 make
+        // 0.75 per period, but are declined at once for lack of time and take no room.
         node.round(
-                news -> {
+                events -> {
                     for (int i = 100; i < 180; i++) {
-                        news.tunnelArrived(
+                        events.tunnelArrived(
                                 PolicyHarness.tunnel(i),
                                 new ProfileId("p"),
                                 null,
@@ -215,6 +215,6 @@
         node.declineReasons.clear();
         node.now += 0.1;
         node.arriveTunnels(200, 3, null);
-        only(node, DeclineReason.EXCESS);
+        assertOnlyReason(node, DeclineReason.EXCESS);
     }
 }
--- a/core/src/test/java/embershift/policy/FairnessTest.java
+++ b/core/src/test/java/embershift/policy/FairnessTest.java
@@ -18,27 +18,30 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What the least served of all get where hosts can take a part of the tunnels only. */
+/**
+ * What the least served profiles, tenants and times get where the hosts can take only a part of the
+ * tunnels.
+ */
 public class FairnessTest {
 
     private static final int HOSTS = 8;
 
     /**
-     * Load over capacity of one tunnel, and how long one lasts: all hosts together take some fifty
-     * a second before they are brimful.
+     * Load over capacity of one tunnel; with its lifetime, all hosts together take about fifty
+     * tunnels a second before they are full.
      */
-    private static final double EACH = 0.02;
+    private static final double TUNNEL_LOAD = 0.02;
 
-    private static final double LIFE = 6;
+    private static final double TUNNEL_LIFETIME = 6;
     private static final double STEP = 0.05;
 
-    /** Seconds in which hosts that were empty fill, and seconds that count after that. */
-    private static final double FILLING = 12;
+    /** Seconds in which the empty hosts fill, before the seconds that are measured. */
+    private static final double FILL_SECONDS = 12;
 
-    private static final double DAY = 24;
+    private static final double MEASURED_SECONDS = 24;
 
-    /** Seconds for which a node may send nothing at all while tunnels come. */
-    private static final double LONGEST_PAUSE = 4;
+    /** Most seconds in which a node may send nothing while tunnels arrive. */
+    private static final double MAX_PAUSE = 4;
 
     private static final List<Profile> PROFILES =
             List.of(
@@ -70,29 +73,29 @@
                             0.25,
                             3));
 
-    /** How many of a kind came and how many of those were sent to a host. */
+    /** How many tunnels of a kind arrived and how many of those were sent to a host. */
     private static final class Share {
-        private int came;
+        private int arrived;
         private int sent;
 
-        private double part() {
-            return (double) sent / came;
+        private double sentShare() {
+            return (double) sent / arrived;
         }
     }
 
     /**
-     * One node and its hosts, which answer its questions a step later and tell their load as it is.
+     * One node and its hosts, which answer its probes one step later and report their true load.
      */
-    private static final class Day {
+    private static final class Simulation {
         private final PolicyHarness node;
         private final int[] open = new int[HOSTS];
         private final Map<String, Share> shares = new TreeMap<>();
         private final List<List<Share>> kinds = new ArrayList<>();
-        private final List<int[]> ending = new ArrayList<>();
-        private final List<Consumer<NodeEvents>> next = new ArrayList<>();
+        private final List<int[]> endings = new ArrayList<>();
+        private final List<Consumer<NodeEvents>> nextEvents = new ArrayList<>();
         private double longestPause;
 
-        Day(long seed) {
+        Simulation(long seed) {
             node = new PolicyHarness(PROFILES, HOSTS, seed, RetryBudget.NONE, 1);
         }
 
@@ -100,20 +103,25 @@
             return shares.computeIfAbsent(kind, name -> new Share());
         }
 
-        private void arrive(NodeEvents news, double begun) {
+        private void arrive(NodeEvents events, double measureFrom) {
             int number = kinds.size();
             Profile profile = PROFILES.get(number % PROFILES.size());
             String tenant = number / PROFILES.size() % 10 == 0 ? "small" : "large";
             List<Share> kind =
-                    node.now < begun
+                    node.now < measureFrom
                             ? List.of()
                             : List.of(
                                     share("class " + profile.id().name()),
                                     share("tenant " + tenant),
-                                    share("third " + (int) ((node.now - begun) / DAY * 3)));
-            kind.forEach(share -> share.came++);
+                                    share(
+                                            "third "
+                                                    + (int)
+                                                            ((node.now - measureFrom)
+                                                                    / MEASURED_SECONDS
+                                                                    * 3)));
+            kind.forEach(share -> share.arrived++);
             kinds.add(kind);
-            news.tunnelArrived(
+            events.tunnelArrived(
                     PolicyHarness.tunnel(number),
                     profile.id(),
                     new ParticipantId(tenant),
@@ -123,67 +131,71 @@
                     false);
         }
 
-        void play(int aStep) {
-            double begun = node.now + FILLING;
-            double sentAt = begun;
-            for (int step = 0; step < (FILLING + DAY) / STEP; step++) {
-                node.now = begun - FILLING + (step + 0.5) * STEP;
-                List<Consumer<NodeEvents>> heard = List.copyOf(next);
-                next.clear();
-                List<String> said =
+        void run(int arrivalsPerStep) {
+            double measureFrom = node.now + FILL_SECONDS;
+            double lastSentAt = measureFrom;
+            for (int step = 0; step < (FILL_SECONDS + MEASURED_SECONDS) / STEP; step++) {
+                node.now = measureFrom - FILL_SECONDS + (step + 0.5) * STEP;
+                List<Consumer<NodeEvents>> due = List.copyOf(nextEvents);
+                nextEvents.clear();
+                List<String> decisions =
                         node.round(
-                                news -> {
-                                    heard.forEach(each -> each.accept(news));
-                                    end(news);
-                                    for (int i = 0; i < aStep; i++) {
-                                        arrive(news, begun);
+                                events -> {
+                                    due.forEach(each -> each.accept(events));
+                                    endTunnels(events);
+                                    for (int i = 0; i < arrivalsPerStep; i++) {
+                                        arrive(events, measureFrom);
                                     }
                                 });
-                said.forEach(this::take);
-                sentAt = node.count("set up") > 0 ? Math.max(begun, node.now) : sentAt;
-                longestPause = Math.max(longestPause, node.now - sentAt);
+                decisions.forEach(this::apply);
+                lastSentAt =
+                        node.count("set up") > 0 ? Math.max(measureFrom, node.now) : lastSentAt;
+                longestPause = Math.max(longestPause, node.now - lastSentAt);
             }
         }
 
-        private void end(NodeEvents news) {
-            while (!ending.isEmpty() && ending.get(0)[2] <= node.now * 1000) {
-                int[] tunnel = ending.remove(0);
+        private void endTunnels(NodeEvents events) {
+            while (!endings.isEmpty() && endings.get(0)[2] <= node.now * 1000) {
+                int[] tunnel = endings.remove(0);
                 open[tunnel[1]]--;
-                news.setupEnded(
+                events.setupEnded(
                         PolicyHarness.tunnel(tunnel[0]),
                         0,
                         PolicyHarness.host(tunnel[1]),
                         SetupOutcome.COMPLETED,
-                        LIFE,
+                        TUNNEL_LIFETIME,
                         true);
             }
         }
 
-        private void take(String decision) {
+        private void apply(String decision) {
             String[] words = decision.split(" ");
             if (decision.startsWith("set up")) {
                 int tunnel = Integer.parseInt(words[2].substring(1));
                 int host = Integer.parseInt(words[3].substring(1));
                 kinds.get(tunnel).forEach(share -> share.sent++);
                 open[host]++;
-                ending.add(new int[] {tunnel, host, (int) ((node.now + LIFE) * 1000)});
-                next.add(
-                        news ->
-                                news.tunnelOpened(
+                endings.add(new int[] {tunnel, host, (int) ((node.now + TUNNEL_LIFETIME) * 1000)});
+                nextEvents.add(
+                        events ->
+                                events.tunnelOpened(
                                         PolicyHarness.tunnel(tunnel),
                                         0,
                                         PolicyHarness.host(host),
                                         STEP));
             } else if (decision.startsWith("probe")) {
                 int host = Integer.parseInt(words[1].substring(1));
-                next.add(
-                        news -> {
-                            news.probeEnded(PolicyHarness.host(host), true, STEP);
-                            news.hostReported(
-                                    PolicyHarness.host(host), open[host] * EACH, open[host], 0);
+                nextEvents.add(
+                        events -> {
+                            events.probeEnded(PolicyHarness.host(host), true, STEP);
+                            events.hostReported(
+                                    PolicyHarness.host(host),
+                                    open[host] * TUNNEL_LOAD,
+                                    open[host],
+                                    0);
                         });
             } else if (decision.startsWith("watch roster")) {
-                next.add(news -> news.rosterChanged(List.of()));
+                nextEvents.add(events -> events.rosterChanged(List.of()));
             }
         }
 
@@ -197,27 +209,33 @@
                                     .append(' ')
                                     .append(share.sent)
                                     .append(" of ")
-                                    .append(share.came));
+                                    .append(share.arrived));
             return all.toString();
         }
     }
 
     @DataProvider
-    public Object[][] rushes() {
+    public Object[][] arrivalRates() {
         return new Object[][] {{3, 1}, {6, 2}, {12, 3}, {30, 4}};
     }
 
     /**
-     * The nearest that a module without knowledge of tenants can come to a floor for each: it
-     * treats all alike.
+     * A policy that does not know tenants cannot guarantee each a minimum; the nearest it can do is
+     * to treat all alike.
      */
-    @Test(dataProvider = "rushes")
-    public void noClassTenantOrThirdOfTheTimeFallsFarBehindTheBestServed(int aStep, long seed) {
-        Day day = new Day(seed);
-        day.play(aStep);
-        double best = day.shares.values().stream().mapToDouble(Share::part).max().orElseThrow();
-        day.shares.forEach(
-                (kind, share) -> assertTrue(share.part() > best / 2, kind + " in " + day));
-        assertTrue(day.longestPause < LONGEST_PAUSE, day.toString());
+    @Test(dataProvider = "arrivalRates")
+    public void noProfileTenantOrThirdOfRunFallsFarBehindBestServed(
+            int arrivalsPerStep, long seed) {
+        Simulation simulation = new Simulation(seed);
+        simulation.run(arrivalsPerStep);
+        double best =
+                simulation.shares.values().stream()
+                        .mapToDouble(Share::sentShare)
+                        .max()
+                        .orElseThrow();
+        simulation.shares.forEach(
+                (kind, share) ->
+                        assertTrue(share.sentShare() > best / 2, kind + " in " + simulation));
+        assertTrue(simulation.longestPause < MAX_PAUSE, simulation.toString());
     }
 }
--- a/core/src/test/java/embershift/policy/HostSlotsTest.java
+++ b/core/src/test/java/embershift/policy/HostSlotsTest.java
@@ -17,10 +17,10 @@
 
     private final Policy policy = new PolicyHarness(1).policy;
 
-    private static List<Policy.Host> enrolled(HostSlots seats, List<Policy.Host> hosts) {
-        List<Policy.Host> roll = new ArrayList<>();
-        hosts.forEach(host -> seats.addHost(host, roll));
-        return roll;
+    private static List<Policy.Host> addAll(HostSlots slots, List<Policy.Host> hosts) {
+        List<Policy.Host> hostsByName = new ArrayList<>();
+        hosts.forEach(host -> slots.addHost(host, hostsByName));
+        return hostsByName;
     }
 
     private List<Policy.Host> hosts() {
@@ -31,34 +31,34 @@
     }
 
     /**
-     * A list of thousands comes in one round; seated at each of its hosts, it would hold the loop
-     * up by its square.
+     * A roster of thousands of hosts arrives in one round: rebuilding the slots at each host would
+     * block the event loop for a time that grows with the square of their number.
      */
     @Test
-    public void hostsOfOneListAreSeatedOnce() {
-        HostSlots seats = new HostSlots();
-        enrolled(seats, hosts());
-        seats.hostAt(1);
-        assertEquals(seats.slotCount(), 2048);
-        assertEquals(seats.rebuilds(), 1);
+    public void slotsAreRebuiltOncePerRoster() {
+        HostSlots slots = new HostSlots();
+        addAll(slots, hosts());
+        slots.hostAt(1);
+        assertEquals(slots.slotCount(), 2048);
+        assertEquals(slots.rebuilds(), 1);
     }
 
-    /** Nodes hear of hosts in unlike orders, and numbers still fall on the same hosts. */
+    /** Nodes learn of hosts in different orders, and hashes still map to the same hosts. */
     @Test
-    public void numbersFallOnTheSameHostsWhateverTheOrder() {
+    public void hashesMapToSameHostsWhateverTheOrder() {
         List<Policy.Host> hosts = hosts();
-        HostSlots here = new HostSlots();
-        List<Policy.Host> roll = enrolled(here, hosts);
+        HostSlots first = new HostSlots();
+        List<Policy.Host> hostsByName = addAll(first, hosts);
         assertEquals(
-                roll,
-                roll.stream()
+                hostsByName,
+                hostsByName.stream()
                         .sorted(Comparator.comparing((Policy.Host host) -> host.id.name()))
                         .toList());
         Collections.shuffle(hosts, new Random(5));
-        HostSlots there = new HostSlots();
-        assertEquals(enrolled(there, hosts), roll);
-        for (long number = 0; number < 5000; number++) {
-            assertSame(there.hostAt(HostSlots.mix(number)), here.hostAt(HostSlots.mix(number)));
+        HostSlots second = new HostSlots();
+        assertEquals(addAll(second, hosts), hostsByName);
+        for (long value = 0; value < 5000; value++) {
+            assertSame(second.hostAt(HostSlots.mix(value)), first.hostAt(HostSlots.mix(value)));
         }
     }
 }
--- a/core/src/test/java/embershift/policy/PolicyHarness.java
+++ b/core/src/test/java/embershift/policy/PolicyHarness.java
@@ -20,8 +20,8 @@
 import java.util.function.Consumer;
 
 /**
- * A module with hosts h0, h1, ... in zone near (even) or far (odd), and its decisions as lines, for
- * the tests.
+ * A policy with hosts h0, h1, ... in zone near (even) or far (odd), which records its decisions as
+ * lines.
  */
 final class PolicyHarness implements Decisions {
 
@@ -30,12 +30,12 @@
     final Policy policy;
     final HostCapacityEstimate capacityEstimate;
 
-    /** Setups sent from the start on. */
+    /** Setups sent since the start. */
     int setupsSent;
 
     final List<String> decisions = new ArrayList<>();
 
-    /** Why tunnels were declined, from the start on. */
+    /** Why tunnels were declined, since the start. */
     final List<DeclineReason> declineReasons = new ArrayList<>();
 
     double now = 100;
@@ -57,14 +57,11 @@
             long seed,
             RetryBudget budget,
             int nodes,
-            int rank) {
-        this(profiles(repeat, scope), hosts, seed, budget, nodes, rank, true);
+            int nodeIndex) {
+        this(profiles(repeat, scope), hosts, seed, budget, nodes, nodeIndex, true);
     }
 
-    /**
-     * {@code reportsCapacity}: whether hosts tell load over capacity, else they tell numbers of
-     * tunnels.
-     */
+    /** {@code reportsCapacity}: whether hosts report load over capacity, or only tunnel counts. */
     PolicyHarness(
             Repeat repeat,
             DedupScope scope,
@@ -80,12 +77,15 @@
         this(profiles, hosts, seed, budget, nodes, 0, true);
     }
 
-    /** A node of a hundred that has to ask the roster within {@code mustAsk} seconds. */
-    static PolicyHarness withRosterCallDeadline(double mustAsk, long seed) {
+    /**
+     * One of a hundred nodes, which has to call the roster within {@code rosterCallDeadline}
+     * seconds.
+     */
+    static PolicyHarness withRosterCallDeadline(double rosterCallDeadline, long seed) {
         return new PolicyHarness(
                 deployment(
                         profiles(Repeat.REPEATABLE, DedupScope.ALL),
-                        mustAsk,
+                        rosterCallDeadline,
                         seed,
                         RetryBudget.NONE,
                         100,
@@ -104,7 +104,7 @@
             long seed,
             RetryBudget budget,
             int nodes,
-            int rank,
+            int nodeIndex,
             boolean reportsCapacity) {
         this(
                 deployment(
@@ -113,7 +113,7 @@
                         seed,
                         budget,
                         nodes,
-                        rank,
+                        nodeIndex,
                         reportsCapacity,
                         0.3,
                         8,
@@ -125,11 +125,11 @@
     private PolicyHarness(Deployment deployment, int hosts) {
         capacityEstimate = new HostCapacityEstimate(deployment);
         policy = new Policy(deployment, capacityEstimate);
-        List<RosterEntry> listings = new ArrayList<>();
+        List<RosterEntry> entries = new ArrayList<>();
         for (int i = 0; i < hosts; i++) {
-            listings.add(entry(i, RosterEntry.State.READY, 0));
+            entries.add(entry(i, RosterEntry.State.READY, 0));
         }
-        round(news -> news.rosterReplaced(listings, true));
+        round(events -> events.rosterReplaced(entries, true));
     }
 
     PolicyHarness(int hosts) {
@@ -142,45 +142,45 @@
             long seed,
             RetryBudget budget,
             int nodes,
-            int rank,
-            double coldFrom,
-            double warmAfter,
-            double fallMultiple,
-            double fallAfter) {
+            int nodeIndex,
+            double coldCapacityShare,
+            double warmUpTime,
+            double overloadMultiple,
+            double overloadWindow) {
         return deployment(
                 profiles(repeat, scope),
                 ROSTER_CALL_DEADLINE,
                 seed,
                 budget,
                 nodes,
-                rank,
+                nodeIndex,
                 true,
-                coldFrom,
-                warmAfter,
-                fallMultiple,
-                fallAfter);
+                coldCapacityShare,
+                warmUpTime,
+                overloadMultiple,
+                overloadWindow);
     }
 
     private static Deployment deployment(
             List<Profile> profiles,
-            double mustAsk,
+            double rosterCallDeadline,
             long seed,
             RetryBudget budget,
             int nodes,
-            int rank,
+            int nodeIndex,
             boolean reportsCapacity,
-            double coldFrom,
-            double warmAfter,
-            double fallMultiple,
-            double fallAfter) {
+            double coldCapacityShare,
+            double warmUpTime,
+            double overloadMultiple,
+            double overloadWindow) {
         return new Deployment(
                 seed,
                 nodes,
-                rank,
+                nodeIndex,
                 new ZoneId("near"),
                 profiles,
                 true,
-                mustAsk,
+                rosterCallDeadline,
                 true,
                 true,
                 reportsCapacity,
@@ -192,10 +192,10 @@
                 0.25,
                 0.016,
                 0.5,
-                coldFrom,
-                warmAfter,
-                fallMultiple,
-                fallAfter,
+                coldCapacityShare,
+                warmUpTime,
+                overloadMultiple,
+                overloadWindow,
                 budget,
                 false,
                 0);
@@ -218,14 +218,14 @@
         return new TunnelId("t" + i);
     }
 
-    /** Plays one round and returns what was decided in it. */
-    List<String> round(Consumer<NodeEvents> arrivals) {
+    /** Runs one round and returns its decisions. */
+    List<String> round(Consumer<NodeEvents> events) {
         decisions.clear();
-        policy.round(now, arrivals, this);
+        policy.round(now, events, this);
         return List.copyOf(decisions);
     }
 
-    /** A listing of a host that started long ago, with the weight that the roster gives it. */
+    /** The entry of a host that started long ago, with this weight. */
     static RosterEntry entryWithWeight(int host, double weight) {
         return new RosterEntry(
                 host(host),
@@ -236,35 +236,35 @@
                 0);
     }
 
-    /** One round in which hosts 0, 1, ... report these numbers of tunnels. */
+    /** Runs a round in which hosts 0, 1, ... report these tunnel counts. */
     PolicyHarness reportTunnelCounts(int... open) {
         round(
-                news -> {
+                events -> {
                     for (int i = 0; i < open.length; i++) {
-                        news.probeEnded(host(i), true, 0.01);
-                        news.hostReported(host(i), Double.NaN, open[i], 0);
+                        events.probeEnded(host(i), true, 0.01);
+                        events.hostReported(host(i), Double.NaN, open[i], 0);
                     }
                 });
         return this;
     }
 
-    /** One round in which hosts 0, 1, ... report these loads over capacity. */
+    /** Runs a round in which hosts 0, 1, ... report these loads over capacity. */
     PolicyHarness reportLoads(double... loads) {
         round(
-                news -> {
+                events -> {
                     for (int i = 0; i < loads.length; i++) {
-                        news.probeEnded(host(i), true, 0.01);
-                        news.hostReported(host(i), loads[i], Double.NaN, Double.NaN);
+                        events.probeEnded(host(i), true, 0.01);
+                        events.hostReported(host(i), loads[i], Double.NaN, Double.NaN);
                     }
                 });
         return this;
     }
 
-    List<String> arriveTunnels(int first, int many, String group) {
+    List<String> arriveTunnels(int first, int count, String group) {
         return round(
-                news -> {
-                    for (int i = first; i < first + many; i++) {
-                        news.tunnelArrived(
+                events -> {
+                    for (int i = first; i < first + count; i++) {
+                        events.tunnelArrived(
                                 tunnel(i),
                                 new ProfileId("p"),
                                 null,
@@ -276,33 +276,34 @@
                 });
     }
 
-    /** One round in which tunnels are told to stand at a host. */
-    void resumeTunnels(int first, int many, int host) {
+    /** Runs a round in which tunnels are resumed that are open at this host. */
+    void resumeTunnels(int first, int count, int host) {
         round(
-                news -> {
-                    for (int i = first; i < first + many; i++) {
-                        news.tunnelResumed(
+                events -> {
+                    for (int i = first; i < first + count; i++) {
+                        events.tunnelResumed(
                                 tunnel(i), new ProfileId("p"), null, null, null, host(host));
                     }
                 });
     }
 
     /**
-     * Lets time pass with a round each hundredth of a second, and returns how many moves came in
-     * it.
+     * Advances the time with a round each hundredth of a second, and returns the number of moves.
      */
     int advance(double seconds) {
         int moves = 0;
         for (int i = 0; i < Math.round(seconds * 100); i++) {
             now += 0.01;
-            round(news -> {});
+            round(events -> {});
             moves += count("move");
         }
         return moves;
     }
 
-    List<String> endSetup(int tunnel, int setup, int host, SetupOutcome end) {
-        return round(news -> news.setupEnded(tunnel(tunnel), setup, host(host), end, 0.1, false));
+    List<String> endSetup(int tunnel, int setup, int host, SetupOutcome outcome) {
+        return round(
+                events ->
+                        events.setupEnded(tunnel(tunnel), setup, host(host), outcome, 0.1, false));
     }
 
     /** The host of the last setup sent, -1 if there was none. */
@@ -333,8 +334,8 @@
     }
 
     @Override
-    public void sendSetup(TunnelId id, HostId host, double timeOut) {
-        lastTimeout = timeOut;
+    public void sendSetup(TunnelId id, HostId host, double timeout) {
+        lastTimeout = timeout;
         setupsSent++;
         decisions.add("set up " + id.name() + " " + host.name());
     }
@@ -345,9 +346,9 @@
     }
 
     @Override
-    public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
+    public void decline(TunnelId id, double retryAfter, DeclineReason reason) {
         declineReasons.add(reason);
-        decisions.add("decline " + id.name() + (returnAfter > 0 ? " with advice" : ""));
+        decisions.add("decline " + id.name() + (retryAfter > 0 ? " with advice" : ""));
     }
 
     @Override
@@ -371,23 +372,23 @@
     }
 
     @Override
-    public void watchRoster(boolean on) {
+    public void watchRoster(boolean enabled) {
         decisions.add("watch roster");
     }
 
     @Override
     public void requestRoster() {
-        decisions.add("ask roster");
+        decisions.add("request roster");
     }
 
     @Override
     public void sendToNode(int node, byte[] content) {
-        decisions.add("tell " + node);
+        decisions.add("send to " + node);
     }
 
     @Override
     public void sendToAllNodes(byte[] content) {
-        decisions.add("tell all");
+        decisions.add("send to all");
     }
 
     @Override
@@ -397,6 +398,6 @@
 
     @Override
     public void logForOperators(String line) {
-        decisions.add("note " + line);
+        decisions.add("log " + line);
     }
 }
--- a/core/src/test/java/embershift/policy/PolicyTest.java
+++ b/core/src/test/java/embershift/policy/PolicyTest.java
@@ -36,12 +36,12 @@
     }
 
     @Test(dataProvider = "weights")
-    public void weightsAreInverseRatiosOfTheLoad(double count, double total, int n, double weight) {
+    public void weightsAreInverseToLoad(double count, double total, int n, double weight) {
         assertEquals(Policy.weight(count, total, n), weight, 1e-9);
     }
 
     @Test
-    public void equalHostsAreDrawnAlike() {
+    public void equalHostsAreDrawnEquallyOften() {
         PolicyHarness node = new PolicyHarness(4).reportLoads(0, 0, 0, 0);
         node.arriveTunnels(0, 400, null);
         for (int host = 0; host < 4; host++) {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    public void sameSeedAndNewsGiveSameDecisions() {
+    public void sameSeedAndEventsGiveSameDecisions() {
         List<String> one =
                 new PolicyHarness(6)
                         .reportLoads(0.1, 0.2, 0.3, 0.4, 0.5, 0.2)
@@ -64,9 +64,9 @@
     }
 
     @Test
-    public void hostNotHeardFromTakesTheMean() {
+    public void hostWithoutReportIsGivenTheMeanLoad() {
         PolicyHarness node = new PolicyHarness(3).reportLoads(0.2, 0.4);
-        node.round(news -> news.probeEnded(PolicyHarness.host(2), true, 0.01));
+        node.round(events -> events.probeEnded(PolicyHarness.host(2), true, 0.01));
         node.arriveTunnels(0, 200, null);
         assertTrue(node.setupsSentTo(2) > 0);
     }
@@ -75,8 +75,8 @@
     public void drainingAndGoneHostsGetNothing() {
         PolicyHarness node = new PolicyHarness(3).reportLoads(0.1, 0.1, 0.1);
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(
                                         PolicyHarness.entry(0, RosterEntry.State.DRAINING, 0),
                                         PolicyHarness.entry(2, RosterEntry.State.GONE, 0))));
@@ -85,11 +85,11 @@
     }
 
     @Test
-    public void hostAbsentFromACompleteListIsGone() {
+    public void hostAbsentFromCompleteRosterIsGone() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.round(
-                news ->
-                        news.rosterReplaced(
+                events ->
+                        events.rosterReplaced(
                                 List.of(PolicyHarness.entry(1, RosterEntry.State.READY, 0)),
                                 false));
         node.arriveTunnels(0, 1, null);
@@ -124,7 +124,7 @@
     }
 
     @Test(dataProvider = "scopes")
-    public void referencedThatMayHaveRunStaysInItsGroupOfHosts(DedupScope scope) {
+    public void referencedThatMayHaveRunStaysInItsDedupScope(DedupScope scope) {
         PolicyHarness node =
                 new PolicyHarness(Repeat.REFERENCED, scope, 8, 1)
                         .reportLoads(0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1, 0.1);
@@ -159,22 +159,22 @@
     }
 
     @Test
-    public void newsOfWhatIsOverOrUnknownHasNoEffect() {
+    public void eventsOfEndedOrUnknownTunnelsAndHostsHaveNoEffect() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.arriveTunnels(0, 1, null);
-        node.round(news -> news.tunnelAbandoned(PolicyHarness.tunnel(0)));
+        node.round(events -> events.tunnelAbandoned(PolicyHarness.tunnel(0)));
         node.round(
-                news -> {
-                    news.setupEnded(
+                events -> {
+                    events.setupEnded(
                             PolicyHarness.tunnel(0),
                             0,
                             PolicyHarness.host(0),
                             SetupOutcome.CANCELLED,
                             0.1,
                             true);
-                    news.tunnelOpened(PolicyHarness.tunnel(7), 0, PolicyHarness.host(9), 0.1);
-                    news.hostReported(PolicyHarness.host(9), 0.5, 1, 1);
-                    news.probeEnded(PolicyHarness.host(9), true, 0.1);
+                    events.tunnelOpened(PolicyHarness.tunnel(7), 0, PolicyHarness.host(9), 0.1);
+                    events.hostReported(PolicyHarness.host(9), 0.5, 1, 1);
+                    events.probeEnded(PolicyHarness.host(9), true, 0.1);
                 });
         assertEquals(node.count("set up") + node.count("decline"), 0);
     }
@@ -190,12 +190,12 @@
     }
 
     @Test
-    public void whereMostHostsFailTheDrawIsPlain() {
+    public void failuresAreIgnoredWhereMostHostsFail() {
         PolicyHarness node = new PolicyHarness(4).reportLoads(0.1, 0.1, 0.1, 0.1);
         node.round(
-                news -> {
+                events -> {
                     for (int host = 0; host < 3; host++) {
-                        news.setupEnded(
+                        events.setupEnded(
                                 PolicyHarness.tunnel(host),
                                 0,
                                 PolicyHarness.host(host),
@@ -216,18 +216,18 @@
     }
 
     @Test
-    public void coldHostIsSentNoMoreThanItsPart() {
+    public void coldHostIsSentNoMoreThanItsLimit() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.7, 0.7);
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(PolicyHarness.entry(0, RosterEntry.State.READY, 100))));
         node.arriveTunnels(0, 50, null);
         assertTrue(node.setupsSentTo(0) <= 1);
     }
 
     @Test
-    public void groupGoesWhereItIsHeld() {
+    public void tunnelsOfAGroupGoToItsHost() {
         PolicyHarness node = new PolicyHarness(6).reportLoads(0, 0, 0, 0, 0, 0);
         node.arriveTunnels(100, 120, null);
         node.reportLoads(0.3, 0.3, 0.3, 0.3, 0.3, 0.3);
@@ -238,7 +238,7 @@
     }
 
     @Test
-    public void nodesThatKnowNoHolderDrawTheSameHostForAGroup() {
+    public void nodesWithoutTunnelsOfAGroupDrawTheSameHostForIt() {
         Set<Integer> homes = new HashSet<>();
         for (int seed = 1; seed <= 5; seed++) {
             PolicyHarness node = new PolicyHarness(Repeat.REPEATABLE, DedupScope.ALL, 6, seed);
@@ -250,12 +250,12 @@
     }
 
     @Test
-    public void sinkingHostLosesTheLeastHeldGroupsFirst() {
+    public void overloadedHostLosesItsSmallestGroupsFirst() {
         PolicyHarness node = new PolicyHarness(2);
         node.round(
-                news -> {
+                events -> {
                     for (int i = 0; i < 10; i++) {
-                        standing(news, i, i < 8 ? "many" : "few" + i);
+                        resumeOnFirstHost(events, i, i < 8 ? "many" : "few" + i);
                     }
                 });
         node.now += 2;
@@ -265,8 +265,8 @@
                 List.of("move t8", "move t9"));
     }
 
-    private static void standing(NodeEvents news, int i, String group) {
-        news.tunnelResumed(
+    private static void resumeOnFirstHost(NodeEvents events, int i, String group) {
+        events.tunnelResumed(
                 PolicyHarness.tunnel(i),
                 new ProfileId("p"),
                 null,
@@ -283,9 +283,9 @@
         List<String> sent = List.copyOf(node.decisions);
         node.now += 0.5;
         node.round(
-                news -> {
+                events -> {
                     for (int i = 0; i < 40; i++) {
-                        news.setupEnded(
+                        events.setupEnded(
                                 PolicyHarness.tunnel(i),
                                 0,
                                 PolicyHarness.host(Integer.parseInt(sent.get(i).split(" h")[1])),
@@ -306,8 +306,8 @@
         node.arriveTunnels(0, 1, null);
         assertEquals(node.lastTimeout, 1.5);
         node.round(
-                news ->
-                        news.tunnelOpened(
+                events ->
+                        events.tunnelOpened(
                                 PolicyHarness.tunnel(0),
                                 0,
                                 PolicyHarness.host(node.lastSetupHost()),
@@ -317,13 +317,13 @@
     }
 
     @Test
-    public void waitingTunnelsAreAnsweredBeforeTheirTime() {
+    public void waitingTunnelsAreAnsweredBeforeTheirClientTimeout() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         setWindowToOne(node);
         node.reportLoads(0.1, 0.1);
         node.round(
-                news -> {
-                    news.tunnelArrived(
+                events -> {
+                    events.tunnelArrived(
                             PolicyHarness.tunnel(900),
                             new ProfileId("p"),
                             null,
@@ -331,7 +331,7 @@
                             null,
                             3,
                             false);
-                    news.tunnelArrived(
+                    events.tunnelArrived(
                             PolicyHarness.tunnel(901),
                             new ProfileId("p"),
                             null,
@@ -339,7 +339,7 @@
                             null,
                             30,
                             false);
-                    news.tunnelArrived(
+                    events.tunnelArrived(
                             PolicyHarness.tunnel(902),
                             new ProfileId("p"),
                             null,
@@ -350,7 +350,7 @@
                 });
         assertEquals(node.count("set up"), 1);
         node.now += 3.3;
-        assertTrue(node.round(news -> {}).contains("decline t902 with advice"));
+        assertTrue(node.round(events -> {}).contains("decline t902 with advice"));
     }
 
     private static void setWindowToOne(PolicyHarness node) {
@@ -360,9 +360,9 @@
             int host = Math.max(0, node.lastSetupHost());
             node.now += 0.3;
             node.round(
-                    news -> {
+                    events -> {
                         for (int k = 0; k < 4; k++) {
-                            news.setupEnded(
+                            events.setupEnded(
                                     PolicyHarness.tunnel(id),
                                     k,
                                     PolicyHarness.host(host),
@@ -379,11 +379,11 @@
         PolicyHarness node = new PolicyHarness(2);
         node.arriveTunnels(0, 1, null);
         node.now += 0.125 - 5e-7;
-        assertTrue(node.round(news -> {}).contains("wake"));
+        assertTrue(node.round(events -> {}).contains("wake"));
     }
 
     @Test
-    public void nodesKeepToTheirShareOfALittleRoom() {
+    public void nodesKeepToTheirShareOfScarceRoom() {
         PolicyHarness node = new PolicyHarness(4).reportLoads(0, 0, 0, 0);
         node.arriveTunnels(0, 40, null);
         node.reportLoads(0.79, 0.79, 0.79, 0.79);
@@ -396,14 +396,14 @@
     }
 
     @Test
-    public void newHostsDoNotShrinkAColdHostsPart() {
+    public void newHostsDoNotLowerAColdHostsLimit() {
         PolicyHarness node = new PolicyHarness(1).reportLoads(0.5);
         node.arriveTunnels(0, 40, null);
         node.round(
-                news -> {
+                events -> {
                     for (int i = 0; i < 40; i++) {
-                        news.tunnelOpened(PolicyHarness.tunnel(i), 0, PolicyHarness.host(0), 0.1);
-                        news.setupEnded(
+                        events.tunnelOpened(PolicyHarness.tunnel(i), 0, PolicyHarness.host(0), 0.1);
+                        events.setupEnded(
                                 PolicyHarness.tunnel(i),
                                 0,
                                 PolicyHarness.host(0),
@@ -411,7 +411,7 @@
                                 1,
                                 true);
                     }
-                    news.rosterChanged(
+                    events.rosterChanged(
                             IntStream.range(1, 30)
                                     .mapToObj(
                                             i ->
@@ -423,24 +423,25 @@
         node.now += 1;
         node.reportLoads(0.5);
         node.round(
-                news ->
+                events ->
                         IntStream.range(1, 30)
-                                .forEach(i -> news.probeEnded(PolicyHarness.host(i), true, 0.01)));
+                                .forEach(
+                                        i -> events.probeEnded(PolicyHarness.host(i), true, 0.01)));
         node.arriveTunnels(101, 60, null);
         long cold = node.count("set up") - node.setupsSentTo(0);
         assertTrue(cold >= 8, "sent to cold hosts: " + cold);
     }
 
     @Test
-    public void hostsThatAllStartAgainShareWhatTheyDidWhenWarm() {
+    public void hostsThatAllRestartShareTheirFormerWarmRate() {
         PolicyHarness node =
                 new PolicyHarness(10).reportLoads(0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5);
         node.arriveTunnels(0, 40, null);
         node.round(
-                news -> {
+                events -> {
                     for (int i = 0; i < 40; i++) {
-                        news.tunnelOpened(PolicyHarness.tunnel(i), 0, PolicyHarness.host(0), 0.1);
-                        news.setupEnded(
+                        events.tunnelOpened(PolicyHarness.tunnel(i), 0, PolicyHarness.host(0), 0.1);
+                        events.setupEnded(
                                 PolicyHarness.tunnel(i),
                                 0,
                                 PolicyHarness.host(0),
@@ -448,7 +449,7 @@
                                 1,
                                 true);
                     }
-                    news.rosterChanged(
+                    events.rosterChanged(
                             IntStream.range(0, 10)
                                     .mapToObj(
                                             i ->
@@ -460,29 +461,29 @@
         node.now += 1;
         node.reportLoads(0, 0, 0, 0, 0, 0, 0, 0, 0, 0);
         node.arriveTunnels(101, 200, null);
-        // 2.5 a second ended on all ten: 3 times 0.3 and something of that is what all can take in
-        // a second.
+        // 2.5 a second ended on all ten: 3 times 0.3 of that, and a little more, is what all can
+        // take in a second.
         assertTrue(node.count("set up") <= 10, "sent " + node.count("set up"));
     }
 
     /**
-     * A node among five hosts at 0.6 and one that reports 0.02 as the roster is out of reach or
-     * heard.
+     * How many tunnels a node sends to one host that reports a load of 0.02 beside five hosts at
+     * 0.6, with the roster reachable or not.
      */
     private static long sentToAnEmptyHost(boolean rosterHeard, boolean wasAway) {
         PolicyHarness node = new PolicyHarness(6).reportLoads(0.6, 0.6, 0.6, 0.6, 0.6, 0.6);
         node.now += 2;
-        node.round(news -> {});
+        node.round(events -> {});
         node.round(
-                news -> {
+                events -> {
                     if (rosterHeard) {
-                        news.rosterChanged(List.of());
+                        events.rosterChanged(List.of());
                     } else {
-                        news.rosterWatchLost();
+                        events.rosterWatchLost();
                     }
                 });
         if (wasAway) {
-            node.round(news -> news.probeEnded(PolicyHarness.host(0), false, 0.1));
+            node.round(events -> events.probeEnded(PolicyHarness.host(0), false, 0.1));
         }
         node.now += 1;
         node.reportLoads(0.02, 0.6, 0.6, 0.6, 0.6, 0.6);
@@ -491,27 +492,27 @@
     }
 
     @Test
-    public void hostThatComesBackEmptyWhileTheRosterIsAwayIsHeldForCold() {
+    public void hostThatReturnsEmptyWhileTheRosterIsUnreachableCountsAsCold() {
         assertTrue(sentToAnEmptyHost(false, false) <= 1);
         assertTrue(sentToAnEmptyHost(true, true) <= 1);
     }
 
     @Test
-    public void hostThatWasAlwaysThereMayBeEmpty() {
+    public void hostThatStayedReachableMayBeEmpty() {
         assertTrue(sentToAnEmptyHost(true, false) > 10, "sent " + sentToAnEmptyHost(true, false));
     }
 
     @Test
-    public void declinedTunnelsAreWorthNoProbes() {
+    public void declinedTunnelsCauseNoPeriodicProbes() {
         PolicyHarness node = new PolicyHarness(4).reportLoads(0.95, 0.95, 0.95, 0.95);
         node.arriveTunnels(0, 40, null);
         assertEquals(node.count("decline"), 40);
         node.now += 3;
-        assertFalse(node.round(news -> {}).stream().anyMatch(line -> line.startsWith("probe")));
+        assertFalse(node.round(events -> {}).stream().anyMatch(line -> line.startsWith("probe")));
     }
 
     @Test
-    public void nodeThatDeclinesLooksAtFiveHostsASecondThatItIsNotSureOf() {
+    public void decliningNodeProbesFiveHostsASecondWithoutFreshReports() {
         PolicyHarness node =
                 new PolicyHarness(8).reportLoads(0.95, 0.95, 0.95, 0.95, 0.95, 0.95, 0.95, 0.95);
         node.now += 1.1;
@@ -537,16 +538,16 @@
     }
 
     @DataProvider
-    public Object[][] senseless() {
+    public Object[][] invalidFigures() {
         return new Object[][] {
             {Double.NaN}, {-1.0}, {Double.POSITIVE_INFINITY}, {Double.NEGATIVE_INFINITY}
         };
     }
 
-    @Test(dataProvider = "senseless")
-    public void senselessReportDoesNotShiftTheDraw(double figure) {
+    @Test(dataProvider = "invalidFigures")
+    public void invalidReportDoesNotChangeTheDraw(double figure) {
         PolicyHarness told = new PolicyHarness(4).reportLoads(0.2, 0.3, 0.2, 0.3);
-        told.round(news -> news.hostReported(PolicyHarness.host(0), figure, figure, figure));
+        told.round(events -> events.hostReported(PolicyHarness.host(0), figure, figure, figure));
         assertEquals(
                 told.arriveTunnels(0, 20, null),
                 new PolicyHarness(4).reportLoads(0.2, 0.3, 0.2, 0.3).arriveTunnels(0, 20, null));
@@ -558,7 +559,7 @@
         assertEquals(node.arriveTunnels(0, 1, "g").get(0), "decline t0 with advice");
     }
 
-    /** A host that hangs tells of ten times what it can do, as that is next to nothing then. */
+    /** A host that hangs reports ten times what it can do, as it can do next to nothing then. */
     @Test
     public void hostsThatHangDoNotMakeTheOthersLookFull() {
         PolicyHarness node =
@@ -574,10 +575,7 @@
         }
     }
 
-    /**
-     * Nor do they make a tunnel look so heavy that hosts which have just started get no part of
-     * them.
-     */
+    /** Nor do they make a tunnel look so heavy that hosts which have just started get none. */
     @Test
     public void hostsThatHangDoNotKeepColdOnesEmpty() {
         assertTrue(
@@ -595,8 +593,8 @@
             node.resumeTunnels(30 * host, 30, host);
         }
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(
                                         PolicyHarness.entry(6, RosterEntry.State.READY, node.now),
                                         PolicyHarness.entry(
@@ -612,9 +610,9 @@
     }
 
     @Test
-    public void fewSinkingHostsDoNotMakeTheFleetBusy() {
+    public void fewOverloadedHostsDoNotMakeTheFleetBusy() {
         PolicyHarness node = new PolicyHarness(12);
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), 0.4));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), 0.4));
         node.reportLoads(1.2, 0.9, 0.95);
         List<String> decided = node.arriveTunnels(0, 1, "g");
         assertTrue(decided.stream().anyMatch(line -> line.startsWith("probe")), decided.toString());
@@ -622,17 +620,17 @@
     }
 
     /**
-     * A host that reports little while messages there come late: an untrue report, or a bad way to
-     * it.
+     * A host reports little load while messages there come late: its report is wrong, or the
+     * network path to it is bad.
      */
     @Test
-    public void tunnelsLeaveAHostWhoseMessagesStayLateAndNoneGoThere() {
+    public void lateHostLosesTunnelsAndGetsNone() {
         PolicyHarness node = new PolicyHarness(3).reportLoads(0.2, 0.3, 0.3);
         node.resumeTunnels(0, 8, 0);
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), 0.15));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), 0.15));
         assertEquals(node.count("move"), 0);
         node.now += 1;
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), 0.15));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), 0.15));
         assertEquals(node.count("move"), 4);
         node.reportLoads(0.2, 0.3, 0.3).arriveTunnels(100, 20, null);
         assertEquals(node.setupsSentTo(0), 0);
@@ -650,8 +648,8 @@
         node.now += 3.9;
         node.reportLoads(0.85, 0.85, 0.85, 0.85, 0.85);
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(
                                         PolicyHarness.entry(
                                                 5, RosterEntry.State.READY, node.now - 4))));
@@ -662,9 +660,9 @@
             sent += node.setupsSentTo(5);
             if (node.lastProbedHost() == 5) {
                 node.round(
-                        news -> {
-                            news.probeEnded(PolicyHarness.host(5), true, 0.01);
-                            news.hostReported(
+                        events -> {
+                            events.probeEnded(PolicyHarness.host(5), true, 0.01);
+                            events.hostReported(
                                     PolicyHarness.host(5), itsLoad, Double.NaN, Double.NaN);
                         });
                 sent += node.setupsSentTo(5);
@@ -679,11 +677,11 @@
     }
 
     /**
-     * One of eight hosts reports nothing: of fifty nodes in a busy fleet it gets a part from each,
-     * in a calm one all.
+     * One of eight hosts reports no load. From one of fifty nodes it gets a share of the tunnels in
+     * a busy fleet, all of them in a calm one.
      */
     @Test(dataProvider = "fleets")
-    public void hostThatStandsOutAsEmptyIsRushedInACalmFleetOnly(double load, int least, int most) {
+    public void emptyHostIsFilledFreelyInACalmFleetOnly(double load, int least, int most) {
         PolicyHarness node =
                 new PolicyHarness(Repeat.REPEATABLE, DedupScope.ALL, 8, 1, RetryBudget.NONE, 50);
         for (int host = 1; host < 8; host++) {
@@ -699,11 +697,11 @@
     }
 
     /**
-     * Many tunnels come back at once, to this node and so to all others: what they place shows in
-     * no report yet.
+     * Many tunnels reconnect at once, to this node and thus to all others: what the others place
+     * shows in no report yet.
      */
     @Test
-    public void rushIsTakenForOneAtAllNodes() {
+    public void rushIsAssumedToReachAllNodes() {
         long[] sent = new long[2];
         for (int nodes = 1; nodes <= 20; nodes += 19) {
             PolicyHarness node =
@@ -721,50 +719,51 @@
     public void lateTunnelsAreMovedThoughOthersAreDeclined() {
         PolicyHarness node = new PolicyHarness(3).reportLoads(0.2, 0.95, 0.95);
         node.resumeTunnels(0, 8, 0);
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), 0.15));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), 0.15));
         node.now += 1;
         node.arriveTunnels(100, 60, "g");
         assertTrue(node.count("decline") > 0);
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), 0.15));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), 0.15));
         assertEquals(node.count("move"), 4);
     }
 
     @Test
-    public void messageOverTwiceTheLongestGoalShowsLatenessAtOnce() {
+    public void messageOverTwiceTheLongestGoalCountsAsLateAtOnce() {
         PolicyHarness node = new PolicyHarness(3).reportLoads(0.2, 0.3, 0.3);
         node.resumeTunnels(0, 8, 0);
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), 0.21));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), 0.21));
         assertEquals(node.count("move"), 4);
     }
 
     @DataProvider
     public Object[][] notLate() {
-        // A pause and back, two pauses seconds apart, and messages that are slow but still in time.
+        // A pause that ends, two pauses seconds apart, and messages that are slow but still in
+        // time.
         return new Object[][] {{1.0, 0.15, 0.05}, {3.0, 0.15, 0.15}, {1.0, 0.08, 0.08}};
     }
 
     @Test(dataProvider = "notLate")
-    public void hostThatOnlyPausesIsNotHeldForLate(double after, double first, double second) {
+    public void hostThatOnlyPausesDoesNotCountAsLate(double after, double first, double second) {
         PolicyHarness node = new PolicyHarness(3).reportLoads(0.2, 0.3, 0.3);
         node.resumeTunnels(0, 8, 0);
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), first));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), first));
         node.now += after;
-        node.round(news -> news.messageDelayMeasured(PolicyHarness.host(0), second));
+        node.round(events -> events.messageDelayMeasured(PolicyHarness.host(0), second));
         assertEquals(node.count("move"), 0);
         node.reportLoads(0.2, 0.3, 0.3).arriveTunnels(100, 20, null);
         assertTrue(node.setupsSentTo(0) > 0);
     }
 
     @Test
-    public void whereMessagesComeLateFromAllHostsTheDrawGoesOn() {
+    public void tunnelsArePlacedWhereMessagesComeLateFromAllHosts() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         for (int i = 0; i < 2; i++) {
             node.round(
-                    news ->
+                    events ->
                             IntStream.range(0, 2)
                                     .forEach(
                                             host ->
-                                                    news.messageDelayMeasured(
+                                                    events.messageDelayMeasured(
                                                             PolicyHarness.host(host), 0.4)));
             node.now += 1;
         }
@@ -773,28 +772,28 @@
     }
 
     @Test
-    public void hostIsAskedBeforeATunnelGoesThereAndRefusedByItsAnswer() {
+    public void hostIsProbedBeforePlacementAndSkippedIfFull() {
         PolicyHarness node = new PolicyHarness(40);
         node.arriveTunnels(0, 1, "g");
         int first = node.lastProbedHost();
         assertEquals(node.count("probe") + node.count("set up"), 1);
         node.round(
-                news -> {
-                    news.probeEnded(PolicyHarness.host(first), true, 0.01);
-                    news.hostReported(PolicyHarness.host(first), 0.95, Double.NaN, Double.NaN);
+                events -> {
+                    events.probeEnded(PolicyHarness.host(first), true, 0.01);
+                    events.hostReported(PolicyHarness.host(first), 0.95, Double.NaN, Double.NaN);
                 });
         int second = node.lastProbedHost();
         assertNotEquals(second, first);
         node.round(
-                news -> {
-                    news.probeEnded(PolicyHarness.host(second), true, 0.01);
-                    news.hostReported(PolicyHarness.host(second), 0.3, Double.NaN, Double.NaN);
+                events -> {
+                    events.probeEnded(PolicyHarness.host(second), true, 0.01);
+                    events.hostReported(PolicyHarness.host(second), 0.3, Double.NaN, Double.NaN);
                 });
         assertEquals(node.setupsSentTo(second), 1);
     }
 
     @Test
-    public void placingStaysCheapInALargeFleet() {
+    public void placementTakesOneProbeInALargeFleet() {
         PolicyHarness node = new PolicyHarness(200);
         for (int i = 0; i < 50; i++) {
             node.now += 3;
@@ -802,9 +801,10 @@
             assertTrue(node.count("probe") <= 1, "probes for one tunnel: " + node.count("probe"));
             int asked = node.lastProbedHost();
             node.round(
-                    news -> {
-                        news.probeEnded(PolicyHarness.host(asked), true, 0.01);
-                        news.hostReported(PolicyHarness.host(asked), 0.01, Double.NaN, Double.NaN);
+                    events -> {
+                        events.probeEnded(PolicyHarness.host(asked), true, 0.01);
+                        events.hostReported(
+                                PolicyHarness.host(asked), 0.01, Double.NaN, Double.NaN);
                     });
             assertEquals(node.count("probe") + node.count("set up"), 1);
         }
@@ -814,20 +814,20 @@
     public void hostThatGoesShiftsOnlyItsOwnGroups() {
         int shifted = 0;
         for (int group = 0; group < 40; group++) {
-            int before = homeAmong(8, -1, group);
-            int after = homeAmong(8, 7, group);
+            int before = hostForGroup(8, -1, group);
+            int after = hostForGroup(8, 7, group);
             shifted += before != 7 && after != before ? 1 : 0;
         }
         assertTrue(shifted <= 8, shifted + " groups moved though their host stayed");
     }
 
-    private static int homeAmong(int hosts, int gone, int group) {
+    private static int hostForGroup(int hosts, int gone, int group) {
         PolicyHarness node =
                 new PolicyHarness(hosts).reportLoads(0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4, 0.4);
         if (gone >= 0) {
             node.round(
-                    news ->
-                            news.rosterChanged(
+                    events ->
+                            events.rosterChanged(
                                     List.of(PolicyHarness.entry(gone, RosterEntry.State.GONE, 0))));
         }
         node.arriveTunnels(0, 1, "g" + group);
@@ -835,7 +835,7 @@
     }
 
     @Test
-    public void busyFleetDeclinesWhatWouldSpreadAGroup() {
+    public void busyFleetDeclinesTunnelsThatWouldSpreadAGroup() {
         PolicyHarness node =
                 new PolicyHarness(8).reportLoads(0.78, 0.79, 0.79, 0.78, 0.95, 0.95, 0.95, 0.95);
         int sent = 0;
@@ -847,13 +847,13 @@
     }
 
     @Test
-    public void rosterIsWatchedAndAskedAgainWhenLost() {
+    public void rosterIsWatchedAgainAfterTheWatchIsLost() {
         PolicyHarness node = new PolicyHarness(2);
         node.now += 3;
-        assertTrue(node.round(news -> {}).contains("watch roster"));
+        assertTrue(node.round(events -> {}).contains("watch roster"));
         assertFalse(node.round(NodeEvents::rosterWatchLost).contains("watch roster"));
         node.now += 5;
-        assertTrue(node.round(news -> {}).contains("watch roster"));
+        assertTrue(node.round(events -> {}).contains("watch roster"));
     }
 
     @Test
@@ -863,17 +863,17 @@
                 for (int seed = 0; seed < 10; seed++) {
                     PolicyHarness node = PolicyHarness.withRosterCallDeadline(mustAsk, seed);
                     node.now += mustAsk;
-                    assertTrue(node.round(news -> {}).contains("watch roster"));
+                    assertTrue(node.round(events -> {}).contains("watch roster"));
                     for (int fails = 0; fails < 8; fails++) {
                         double begun = node.now;
                         node.now += took;
-                        List<String> said = node.round(NodeEvents::rosterWatchLost);
-                        while (!said.contains("watch roster")) {
+                        List<String> decisions = node.round(NodeEvents::rosterWatchLost);
+                        while (!decisions.contains("watch roster")) {
                             node.now += 0.01;
-                            said = node.round(news -> {});
+                            decisions = node.round(events -> {});
                         }
-                        // What the roster has counts as told six seconds after it is back, and an
-                        // answer takes up to two.
+                        // What the roster lists counts as known to nodes six seconds after the
+                        // roster is back, and an answer takes up to two.
                         assertTrue(
                                 node.now - begun < 3.85,
                                 "called again after " + (node.now - begun));
@@ -884,32 +884,31 @@
     }
 
     @Test
-    public void tunnelsOfADrainingHostAreMovedInTurn() {
+    public void tunnelsOfADrainingHostAreMovedOneByOne() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.resumeTunnels(0, 30, 0);
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(PolicyHarness.entry(0, RosterEntry.State.DRAINING, 0))));
-        assertTrue(
-                node.count("move") <= 1, "together they would push over the hosts that they go to");
+        assertTrue(node.count("move") <= 1, "moved together, they would overload other hosts");
         assertEquals(node.advance(0.75), 15, 1);
         assertEquals(node.advance(0.8), 15, 1);
     }
 
     @Test
-    public void hostOutByHandGetsNothingWhateverTheListSaysUntilItIsCalledBack() {
+    public void hostOutOfServiceGetsNothingWhateverTheRosterSays() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.resumeTunnels(100, 30, 0);
-        node.round(news -> news.hostAdminStateChanged(PolicyHarness.host(0), true));
+        node.round(events -> events.hostAdminStateChanged(PolicyHarness.host(0), true));
         assertEquals(node.advance(1.6), 30, 1);
-        node.round(news -> news.hostAdminStateChanged(PolicyHarness.host(0), true));
+        node.round(events -> events.hostAdminStateChanged(PolicyHarness.host(0), true));
         RosterEntry gone = PolicyHarness.entry(0, RosterEntry.State.GONE, 0);
         RosterEntry back = PolicyHarness.entry(0, RosterEntry.State.READY, 101);
         RosterEntry other = PolicyHarness.entry(1, RosterEntry.State.READY, 0);
-        node.round(news -> news.rosterChanged(List.of(gone)));
-        node.round(news -> news.rosterReplaced(List.of(other), false));
-        node.round(news -> news.rosterReplaced(List.of(back, other), false));
+        node.round(events -> events.rosterChanged(List.of(gone)));
+        node.round(events -> events.rosterReplaced(List.of(other), false));
+        node.round(events -> events.rosterReplaced(List.of(back, other), false));
         node.reportLoads(0.0, 0.1);
         node.arriveTunnels(0, 20, null);
         assertEquals(node.setupsSentTo(0), 0);
@@ -917,46 +916,46 @@
         assertEquals(node.setupsSentTo(0), 0);
         assertEquals(node.policy.listedHostCount(true), 1);
         node.now += 9;
-        node.round(news -> news.hostAdminStateChanged(PolicyHarness.host(0), false));
+        node.round(events -> events.hostAdminStateChanged(PolicyHarness.host(0), false));
         node.reportLoads(0.0, 0.1);
         assertEquals(node.policy.listedHostCount(true), 0);
         node.arriveTunnels(20, 50, null);
         assertTrue(
                 node.setupsSentTo(0) <= 1,
-                "it is cold, however long ago the list says that it started");
+                "it is cold, however long ago the roster says that it started");
     }
 
     @Test
-    public void whoWouldFindNoHostIsNotMovedOffOneThatStillServes() {
+    public void tunnelsAreNotMovedOffAServingHostWhileNoOtherHasRoom() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.resumeTunnels(100, 30, 0);
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(PolicyHarness.entry(1, RosterEntry.State.GONE, 0))));
-        node.round(news -> news.hostAdminStateChanged(PolicyHarness.host(0), true));
+        node.round(events -> events.hostAdminStateChanged(PolicyHarness.host(0), true));
         assertEquals(node.count("move"), 1, "before it is known that there is no room");
         for (int i = 0; i < 10; i++) {
             node.arriveTunnels(i, 1, null);
             assertEquals(node.advance(0.3), 0);
         }
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(PolicyHarness.entry(1, RosterEntry.State.READY, 0))));
         assertEquals(node.advance(3), 29);
     }
 
     @Test
-    public void processTakesOverWhatFillsAHostAndSendsColdOnesTheirPart() {
+    public void successorInheritsCapacityEstimateAndFillsColdHosts() {
         PolicyHarness told = new PolicyHarness(2);
         PolicyHarness untold = new PolicyHarness(2);
         told.capacityEstimate.adopt(200);
         for (PolicyHarness node : List.of(told, untold)) {
             node.now += 5;
             node.round(
-                    news ->
-                            news.rosterChanged(
+                    events ->
+                            events.rosterChanged(
                                     List.of(
                                             PolicyHarness.entry(0, RosterEntry.State.READY, 105),
                                             PolicyHarness.entry(1, RosterEntry.State.READY, 105))));
@@ -964,24 +963,24 @@
                 node.now += 0.05;
                 node.reportLoads(0.05, 0.05);
                 node.arriveTunnels(i, 1, null);
-                node.round(news -> {});
+                node.round(events -> {});
             }
         }
-        assertTrue(untold.setupsSent >= 2, "else it could never learn: " + untold.setupsSent);
+        assertTrue(untold.setupsSent >= 2, "otherwise it could never learn: " + untold.setupsSent);
         assertTrue(
                 told.setupsSent > 3 * untold.setupsSent,
                 told.setupsSent + " and " + untold.setupsSent);
     }
 
     @Test
-    public void hostTakenBackIsNotHeldToWhatItDidBefore() {
+    public void hostBackInServiceHasNoFailureHistory() {
         PolicyHarness node = new PolicyHarness(1).reportLoads(0.1);
         node.arriveTunnels(0, 1, null);
         node.endSetup(0, 0, 0, SetupOutcome.ERROR);
-        node.round(news -> news.hostAdminStateChanged(PolicyHarness.host(0), true));
+        node.round(events -> events.hostAdminStateChanged(PolicyHarness.host(0), true));
         node.arriveTunnels(1, 1, null);
         assertEquals(node.count("decline"), 1);
-        node.round(news -> news.hostAdminStateChanged(PolicyHarness.host(0), false));
+        node.round(events -> events.hostAdminStateChanged(PolicyHarness.host(0), false));
         node.now += 9;
         node.reportLoads(0.0);
         node.arriveTunnels(2, 1, null);
@@ -989,68 +988,70 @@
     }
 
     @Test
-    public void tunnelThatOpensOrIsFoundAtADrainingHostIsMovedToo() {
+    public void tunnelOpenedOrResumedOnADrainingHostIsMovedToo() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.arriveTunnels(0, 1, null);
         int host = node.lastSetupHost();
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(PolicyHarness.entry(host, RosterEntry.State.DRAINING, 0))));
         node.resumeTunnels(7, 1, host);
         assertEquals(node.count("move t7"), 1);
         node.now += 2;
         node.round(
-                news -> news.tunnelOpened(PolicyHarness.tunnel(0), 0, PolicyHarness.host(host), 2));
+                events ->
+                        events.tunnelOpened(
+                                PolicyHarness.tunnel(0), 0, PolicyHarness.host(host), 2));
         assertEquals(node.count("move t0"), 1);
     }
 
     @Test
-    public void nodeThatLeavesDeclinesAndMovesOnceTheFrontSendsNoMore() {
+    public void leavingNodeDeclinesAndMovesOnceTheFrontSendsNoMore() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.resumeTunnels(0, 30, 0);
-        node.round(news -> news.nodeLeaving(false));
+        node.round(events -> events.nodeLeaving(false));
         assertEquals(node.count("move"), 0);
         assertEquals(node.arriveTunnels(100, 1, null).get(0), "decline t100 with advice");
         assertEquals(node.advance(0.3), 0);
-        node.round(news -> news.nodeMessageReceived(0, new byte[] {2}));
+        node.round(events -> events.nodeMessageReceived(0, new byte[] {2}));
         assertEquals(node.advance(0.19), 0);
         assertEquals(node.advance(1.26), 15, 1);
         assertEquals(node.advance(1.25), 15, 1);
     }
 
     @Test
-    public void nodeThatLeavesKeepsItsTunnelsWhileNoOtherIsHere() {
+    public void leavingNodeKeepsItsTunnelsWhileNoOtherIsAvailable() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.resumeTunnels(0, 30, 0);
-        assertEquals(node.round(news -> news.nodeLeaving(false)).get(0), "tell all");
-        node.round(news -> news.nodeMessageReceived(0, new byte[] {1}));
-        assertEquals(node.count("tell 0"), 0, "it is about to go itself");
+        assertEquals(node.round(events -> events.nodeLeaving(false)).get(0), "send to all");
+        node.round(events -> events.nodeMessageReceived(0, new byte[] {1}));
+        assertEquals(node.count("send to 0"), 0, "it is leaving itself");
         assertEquals(node.advance(1), 0);
         node.now += 0.25;
-        node.round(news -> {});
-        assertEquals(node.count("tell all"), 1, "its question may have been lost");
+        node.round(events -> {});
+        assertEquals(node.count("send to all"), 1, "its question may have been lost");
         assertEquals(node.advance(0.98), 0);
         assertEquals(node.advance(0.78), 30);
         assertTrue(
                 new PolicyHarness(2)
-                        .round(news -> news.nodeMessageReceived(3, new byte[] {1}))
-                        .contains("tell 3"));
+                        .round(events -> events.nodeMessageReceived(3, new byte[] {1}))
+                        .contains("send to 3"));
     }
 
     @Test
-    public void hostThatDrainsWhileTheNodeLeavesDoesNotPutOffTheNodesOwnMoves() {
+    public void drainingHostDoesNotPostponeTheMovesOfALeavingNode() {
         for (boolean byHand : new boolean[] {false, true}) {
             PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
             node.resumeTunnels(0, 30, 0);
-            node.round(news -> news.nodeLeaving(false));
+            node.round(events -> events.nodeLeaving(false));
             long moved = node.advance(2.6);
             assertTrue(moved > 0 && moved < 30, "moved " + moved);
             node.round(
                     byHand
-                            ? news -> news.hostAdminStateChanged(PolicyHarness.host(0), true)
-                            : news ->
-                                    news.rosterChanged(
+                            ? events -> events.hostAdminStateChanged(PolicyHarness.host(0), true)
+                            : events ->
+                                    events.rosterChanged(
                                             List.of(
                                                     PolicyHarness.entry(
                                                             0, RosterEntry.State.DRAINING, 0))));
@@ -1060,33 +1061,32 @@
     }
 
     @Test
-    public void nodeThatIsReplacedMovesItsTunnelsAtOnceOverAllItsTime() {
+    public void replacedNodeMovesItsTunnelsOverAllItsTime() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.resumeTunnels(0, 30, 0);
-        assertFalse(node.round(news -> news.nodeLeaving(true)).contains("tell all"));
+        assertFalse(node.round(events -> events.nodeLeaving(true)).contains("send to all"));
         assertEquals(node.advance(1.5), 15, 1);
         assertEquals(node.advance(1.5), 15, 1);
     }
 
     @Test
-    public void nodeThatHasJustStartedDoesNotFillTheFirstHostThatItHearsFrom() {
+    public void newNodeDoesNotFillTheFirstHostThatReports() {
         PolicyHarness node = new PolicyHarness(4).reportLoads(0.01);
         node.arriveTunnels(0, 200, null);
         assertTrue(
                 node.setupsSentTo(0) > 0 && node.setupsSentTo(0) < 100,
                 "h0 was given " + node.setupsSentTo(0));
-        // The host that the rest asked is late with its answer: none of them waits for another, nor
-        // do all
-        // go to the only host that is known.
+        // The host probed for the other tunnels does not answer in time: none of them waits for a
+        // second probe, nor do all go to the only host that has reported.
         long sent = node.count("set up");
         node.now += 0.13;
-        node.round(news -> {});
+        node.round(events -> {});
         assertEquals(sent + node.count("set up"), 200);
         assertTrue(node.setupsSentTo(0) < 100, "h0 was given " + node.setupsSentTo(0));
     }
 
     @Test
-    public void setupsThatAreOutCountThoughTheHostHasReportedSince() {
+    public void setupsInFlightCountAfterALaterReport() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0, 0);
         node.arriveTunnels(0, 1, null);
         assertEquals(node.lastSetupHost(), 0);
@@ -1095,21 +1095,21 @@
     }
 
     @Test
-    public void tunnelThatOpensWhileTheNodeLeavesIsMovedToo() {
+    public void tunnelOpenedWhileTheNodeLeavesIsMovedToo() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.arriveTunnels(0, 1, null);
         int host = node.lastSetupHost();
-        node.round(news -> news.nodeLeaving(false));
+        node.round(events -> events.nodeLeaving(false));
         node.now += 2.5;
         node.round(
-                news ->
-                        news.tunnelOpened(
+                events ->
+                        events.tunnelOpened(
                                 PolicyHarness.tunnel(0), 0, PolicyHarness.host(host), 2.5));
         assertEquals(node.count("move t0"), 1);
     }
 
     @Test
-    public void hostThatSinksOnLosesMoreOfItsTunnelsEachTime() {
+    public void hostThatStaysOverloadedLosesALargerShareEachTime() {
         PolicyHarness node = new PolicyHarness(2);
         node.resumeTunnels(0, 20, 1);
         assertEquals(node.reportLoads(0.1, 1).count("move"), 4);
@@ -1122,60 +1122,61 @@
     }
 
     @Test
-    public void nodeThatFindsAHostSinkingTellsTheOthers() {
+    public void nodeTellsOthersOfAnOverloadedHost() {
         PolicyHarness node = new PolicyHarness(2);
         node.resumeTunnels(0, 8, 1);
-        assertEquals(node.reportLoads(0.1, 0.89).count("tell all"), 0);
-        assertEquals(node.reportLoads(0.1, 1.2).count("tell all"), 1);
+        assertEquals(node.reportLoads(0.1, 0.89).count("send to all"), 0);
+        assertEquals(node.reportLoads(0.1, 1.2).count("send to all"), 1);
         assertEquals(
-                new PolicyHarness(2).reportLoads(0.1, 1.2).count("tell all"),
+                new PolicyHarness(2).reportLoads(0.1, 1.2).count("send to all"),
                 0,
-                "it has none there to speak of");
+                "it has hardly any tunnels there");
     }
 
     @Test
-    public void nodeAsksTheHostThatAnotherToldOfTheSoonerTheMoreItHasThere() {
+    public void nodeProbesAReportedHostSoonerTheMoreTunnelsItHasThere() {
         for (int own : new int[] {1, 16}) {
             PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
             node.resumeTunnels(0, own, 1);
             node.now += 0.5;
-            node.round(news -> news.nodeMessageReceived(1, "h1".getBytes(StandardCharsets.UTF_8)));
+            node.round(
+                    events -> events.nodeMessageReceived(1, "h1".getBytes(StandardCharsets.UTF_8)));
             assertEquals(node.lastProbedHost(), own == 16 ? 1 : -1);
         }
     }
 
     @Test
-    public void wordsOfUnknownHostsAreLeftAlone() {
+    public void messagesAboutUnknownHostsAreIgnored() {
         PolicyHarness node = new PolicyHarness(2).reportLoads(0.1, 0.1);
         node.now += 0.5;
         node.round(
-                news -> {
-                    news.nodeMessageReceived(7, new byte[0]);
-                    news.nodeMessageReceived(-1, new byte[] {-1, 0, 'h'});
+                events -> {
+                    events.nodeMessageReceived(7, new byte[0]);
+                    events.nodeMessageReceived(-1, new byte[] {-1, 0, 'h'});
                 });
         assertEquals(node.count("probe"), 0);
     }
 
-    private static PolicyHarness ofNumbers(int hosts, int nodes) {
+    private static PolicyHarness withTunnelCounts(int hosts, int nodes) {
         return new PolicyHarness(
                 Repeat.REPEATABLE, DedupScope.ALL, hosts, 1, RetryBudget.NONE, nodes, false);
     }
 
-    /** Whether the roster's weights fall the more tunnels a host holds. */
+    /** Whether the roster lowers a host's weight the more tunnels it holds. */
     @DataProvider
-    public Object[][] weighings() {
+    public Object[][] weightPolicies() {
         return new Object[][] {{false}, {true}};
     }
 
     /**
      * Two hosts of four units and two of two, which shed their newest tunnels when they hold over
-     * nine a unit; 80 tunnels of 108 that all could hold. At equal numbers the small ones would get
-     * 20 each, shed, look idle by it and get all again.
+     * nine per unit; 80 tunnels, of 108 that all could hold. At equal counts the small hosts would
+     * get 20 each, shed some, look idle by that and get them all again.
      */
-    @Test(dataProvider = "weighings")
-    public void smallHostsThatTellNumbersAloneAreNotFilledLikeLargeOnes(boolean lowered) {
+    @Test(dataProvider = "weightPolicies")
+    public void smallHostsThatReportCountsAreNotFilledLikeLargeOnes(boolean lowered) {
         int[] units = {4, 4, 2, 2};
-        PolicyHarness node = ofNumbers(4, 1);
+        PolicyHarness node = withTunnelCounts(4, 1);
         List<List<Integer>> held =
                 List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         int shed = 0;
@@ -1184,8 +1185,8 @@
             node.now += 0.1;
             if (step % 10 == 0) {
                 node.round(
-                        news ->
-                                news.rosterChanged(
+                        events ->
+                                events.rosterChanged(
                                         IntStream.range(0, 4)
                                                 .mapToObj(
                                                         i ->
@@ -1210,8 +1211,8 @@
                 while (!held.get(i).isEmpty() && held.get(i).get(0) < next - 80) {
                     int ended = held.get(i).remove(0);
                     node.round(
-                            news ->
-                                    news.setupEnded(
+                            events ->
+                                    events.setupEnded(
                                             PolicyHarness.tunnel(ended),
                                             0,
                                             PolicyHarness.host(host),
@@ -1222,8 +1223,8 @@
                 while (held.get(i).size() > 9 * units[i] - (over.isEmpty() ? 0 : units[i])) {
                     over.add(held.get(i).remove(held.get(i).size() - 1));
                     node.round(
-                            news ->
-                                    news.setupEnded(
+                            events ->
+                                    events.setupEnded(
                                             PolicyHarness.tunnel(over.get(over.size() - 1)),
                                             0,
                                             PolicyHarness.host(host),
@@ -1239,8 +1240,8 @@
                 int host = node.lastSetupHost();
                 assertTrue(host >= 0, "no host for tunnel " + tunnel);
                 node.round(
-                        news ->
-                                news.tunnelOpened(
+                        events ->
+                                events.tunnelOpened(
                                         PolicyHarness.tunnel(tunnel),
                                         0,
                                         PolicyHarness.host(host),
@@ -1252,16 +1253,16 @@
     }
 
     /**
-     * What others hold is the guide to what a cold host may take: taken for full by one tunnel, it
-     * would stand idle.
+     * The tunnel counts of others show what a cold host can take: if one tunnel counted as its full
+     * load, the host would stay idle.
      */
     @Test
-    public void coldHostAmongHostsThatTellNumbersIsFilledByWhatOthersHold() {
-        PolicyHarness node = ofNumbers(4, 4);
+    public void coldHostIsFilledByTheTunnelCountsOfOthers() {
+        PolicyHarness node = withTunnelCounts(4, 4);
         node.now += 20;
         node.round(
-                news ->
-                        news.rosterChanged(
+                events ->
+                        events.rosterChanged(
                                 List.of(
                                         PolicyHarness.entry(
                                                 0, RosterEntry.State.READY, node.now))));
@@ -1275,10 +1276,12 @@
         assertTrue(sent >= 12 && sent <= 40, sent + " sent");
     }
 
-    /** A number tells what a tunnel adds to it, also to a node that has just started. */
+    /**
+     * A tunnel count shows what one more tunnel adds to it, even to a node that has just started.
+     */
     @Test
-    public void nodeThatHasJustStartedDoesNotFillTheHostThatTellsTheLeast() {
-        PolicyHarness node = ofNumbers(4, 4).reportTunnelCounts(30, 40, 40, 40);
+    public void newNodeDoesNotFillTheHostWithTheLowestCount() {
+        PolicyHarness node = withTunnelCounts(4, 4).reportTunnelCounts(30, 40, 40, 40);
         node.arriveTunnels(0, 40, null);
         assertEquals(node.count("set up"), 40);
         assertTrue(node.setupsSentTo(0) < 20, "h0 was given " + node.setupsSentTo(0));
--- a/core/src/test/java/embershift/policy/RetryLimiterTest.java
+++ b/core/src/test/java/embershift/policy/RetryLimiterTest.java
@@ -21,55 +21,57 @@
     private static final RetryBudget BUDGET = new RetryBudget(3, 0.25, 2);
 
     @Test
-    public void whatWasSpentCountsUntilItHasLeftTheWindow() {
-        RetryLimiter allowance = new RetryLimiter(BUDGET);
+    public void retriesCountUntilTheyHaveLeftTheWindow() {
+        RetryLimiter limiter = new RetryLimiter(BUDGET);
         for (int i = 0; i < 3; i++) {
-            allowance.retrySent(10.001);
+            limiter.retrySent(10.001);
         }
-        assertEquals(allowance.remaining(12), 0.0);
-        assertEquals(allowance.remaining(12.2), 3.0);
+        assertEquals(limiter.remaining(12), 0.0);
+        assertEquals(limiter.remaining(12.2), 3.0);
     }
 
     @Test
-    public void takingsThatMayHaveLeftTheWindowCountNoMore() {
-        RetryLimiter allowance = new RetryLimiter(BUDGET);
+    public void tunnelsThatMayHaveLeftTheWindowCountNoMore() {
+        RetryLimiter limiter = new RetryLimiter(BUDGET);
         for (int i = 0; i < 40; i++) {
-            allowance.tunnelAccepted(10.06);
+            limiter.tunnelAccepted(10.06);
         }
-        assertEquals(allowance.remaining(11.9), 13.0);
-        assertEquals(allowance.remaining(12.05), 3.0);
+        assertEquals(limiter.remaining(11.9), 13.0);
+        assertEquals(limiter.remaining(12.05), 3.0);
     }
 
     /**
-     * A thousand sequences of takings and further setups, bunched and thin, against a count of
-     * every window.
+     * A thousand random sequences of accepted tunnels and retries, in bursts and spread out,
+     * checked against a count of every window.
      */
     @Test
-    public void noWindowIsOverdrawn() {
+    public void noWindowExceedsTheBudget() {
         for (int seed = 0; seed < 1000; seed++) {
-            Random luck = new Random(seed);
+            Random random = new Random(seed);
             RetryBudget budget =
                     new RetryBudget(
-                            luck.nextInt(6), luck.nextDouble() / 2, 0.5 + 4 * luck.nextDouble());
-            RetryLimiter allowance = new RetryLimiter(budget);
-            List<Double> taken = new ArrayList<>();
-            List<Double> further = new ArrayList<>();
-            double now = luck.nextDouble() * 1000;
+                            random.nextInt(6),
+                            random.nextDouble() / 2,
+                            0.5 + 4 * random.nextDouble());
+            RetryLimiter limiter = new RetryLimiter(budget);
+            List<Double> accepted = new ArrayList<>();
+            List<Double> retries = new ArrayList<>();
+            double now = random.nextDouble() * 1000;
             for (int i = 0; i < 120; i++) {
-                now += luck.nextInt(3) == 0 ? luck.nextDouble() * budget.window() / 4 : 0;
-                if (luck.nextBoolean()) {
-                    allowance.tunnelAccepted(now);
-                    taken.add(now);
-                } else if (allowance.remaining(now) >= 1) {
-                    allowance.retrySent(now);
-                    further.add(now);
+                now += random.nextInt(3) == 0 ? random.nextDouble() * budget.window() / 4 : 0;
+                if (random.nextBoolean()) {
+                    limiter.tunnelAccepted(now);
+                    accepted.add(now);
+                } else if (limiter.remaining(now) >= 1) {
+                    limiter.retrySent(now);
+                    retries.add(now);
                     double from = now - budget.window();
-                    double most =
+                    double limit =
                             budget.base()
                                     + budget.perTunnel()
-                                            * taken.stream().filter(at -> at > from).count();
+                                            * accepted.stream().filter(at -> at > from).count();
                     assertTrue(
-                            further.stream().filter(at -> at >= from).count() <= most,
+                            retries.stream().filter(at -> at >= from).count() <= limit,
                             "seed " + seed);
                 }
             }
@@ -77,7 +79,7 @@
     }
 
     @Test
-    public void stormOfFailuresIsAnsweredAtOnceWhenTheBudgetIsSpent() {
+    public void massFailureIsAnsweredAtOnceWhenTheBudgetIsUsedUp() {
         PolicyHarness node =
                 new PolicyHarness(Repeat.REPEATABLE, DedupScope.ALL, 4, 1, BUDGET, 1)
                         .reportLoads(0.1, 0.1, 0.1, 0.1);
@@ -96,7 +98,7 @@
     }
 
     @Test
-    public void setupThatWasNeverSentGivesNothingBack() {
+    public void setupThatWasNeverSentIsNotRefunded() {
         PolicyHarness node =
                 new PolicyHarness(
                                 Repeat.REPEATABLE,
@@ -113,7 +115,7 @@
     }
 
     @Test
-    public void tunnelsThatStoodBeforeGiveNoBudget() {
+    public void resumedTunnelsGrantNoRetries() {
         PolicyHarness node =
                 new PolicyHarness(
                                 Repeat.REPEATABLE,
--- a/core/src/test/java/embershift/policy/SlowStartFleetTest.java
+++ b/core/src/test/java/embershift/policy/SlowStartFleetTest.java
@@ -18,20 +18,20 @@
 import org.testng.annotations.Test;
 
 /**
- * Rule 4 in virtual time: what all nodes together send a host that warms up, in every span in which
- * it may be pushed over, against what the settings allow in that span and chance: N and twice its
- * root and 2.
+ * Rule 4 in virtual time: compares what all nodes together send a host that warms up, in every
+ * window in which it may be overloaded, with what the settings allow in that window and chance may
+ * add: N, plus twice its square root and 2.
  */
 public class SlowStartFleetTest {
 
-    private static final double COLD_FROM = 0.2;
-    private static final double WARM_AFTER = 12;
-    private static final double MULTIPLE = 4;
-    private static final double SPAN = 1.5;
+    private static final double COLD_CAPACITY_SHARE = 0.2;
+    private static final double WARM_UP_TIME = 12;
+    private static final double OVERLOAD_MULTIPLE = 4;
+    private static final double OVERLOAD_WINDOW = 1.5;
     private static final double START = 1000;
-    private static final int STEPS = 16;
+    private static final int STEPS_PER_WINDOW = 16;
 
-    /** When a node's clients come. */
+    /** When the clients of a node arrive. */
     private enum Traffic {
         AMPLE,
         RUSH,
@@ -40,98 +40,100 @@
     }
 
     /**
-     * Nodes of which each knows its share of what a warm host could take, and one host that has
+     * Nodes, each of which knows its share of what a warm host can take, and one host that has
      * started.
      */
     private static final class Fleet {
 
         final Random random;
-        final double warmHostCanTake;
+        final double warmHostRate;
         final SlowStart[] nodes;
         final double[] shares;
-        final double[] told;
+        final double[] toldAt;
         final double[] sent = new double[100_000];
-        int many;
+        int sentCount;
         String host;
 
-        /** {@code first}: N of the first span. */
-        Fleet(int many, double first, boolean even, long seed) {
+        /** {@code firstWindowLimit}: N of the first window. */
+        Fleet(int nodeCount, double firstWindowLimit, boolean evenShares, long seed) {
             random = new Random(seed);
-            warmHostCanTake = first / (MULTIPLE * COLD_FROM * SPAN);
+            warmHostRate =
+                    firstWindowLimit / (OVERLOAD_MULTIPLE * COLD_CAPACITY_SHARE * OVERLOAD_WINDOW);
             host = "s-" + Long.toHexString(random.nextInt());
-            nodes = new SlowStart[many];
-            shares = new double[many];
-            told = new double[many];
-            for (int i = 0; i < many; i++) {
-                nodes[i] = node(many, i, START - 100);
-                shares[i] = even ? 1 : -Math.log(1 - random.nextDouble());
-                told[i] = START;
+            nodes = new SlowStart[nodeCount];
+            shares = new double[nodeCount];
+            toldAt = new double[nodeCount];
+            for (int i = 0; i < nodeCount; i++) {
+                nodes[i] = node(nodeCount, i, START - 100);
+                shares[i] = evenShares ? 1 : -Math.log(1 - random.nextDouble());
+                toldAt[i] = START;
             }
             double sum = Arrays.stream(shares).sum();
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < nodeCount; i++) {
                 shares[i] /= sum;
             }
         }
 
-        SlowStart node(int believes, int rank, double bornAt) {
+        SlowStart node(int assumedNodeCount, int nodeIndex, double startedAt) {
             Deployment deployment =
                     PolicyHarness.deployment(
                             Repeat.REPEATABLE,
                             DedupScope.ALL,
                             random.nextLong(),
                             RetryBudget.NONE,
-                            believes,
-                            rank,
-                            COLD_FROM,
-                            WARM_AFTER,
-                            MULTIPLE,
-                            SPAN);
-            return new SlowStart(deployment, new SeededRandom(deployment.seed()), bornAt);
+                            assumedNodeCount,
+                            nodeIndex,
+                            COLD_CAPACITY_SHARE,
+                            WARM_UP_TIME,
+                            OVERLOAD_MULTIPLE,
+                            OVERLOAD_WINDOW);
+            return new SlowStart(deployment, new SeededRandom(deployment.seed()), startedAt);
         }
 
-        /** Lets all nodes meet their clients in steps, until the host is warm. */
-        Fleet play(Traffic traffic, double demand, double restartAfter) {
-            return play(traffic, demand, restartAfter, WARM_AFTER);
+        /** Lets clients arrive at all nodes in steps, until the host is warm. */
+        Fleet run(Traffic traffic, double demand, double restartAfter) {
+            return run(traffic, demand, restartAfter, WARM_UP_TIME);
         }
 
-        /** The same for so long after the rush begins, if that is shorter. */
-        Fleet play(Traffic traffic, double demand, double restartAfter, double lasts) {
-            double rushAt = START + random.nextDouble() * (WARM_AFTER - 2 * SPAN);
-            double step = SPAN / STEPS;
-            boolean[] begun = new boolean[nodes.length];
+        /** The same, ending this long after the rush begins if that is earlier. */
+        Fleet run(Traffic traffic, double demand, double restartAfter, double duration) {
+            double rushAt = START + random.nextDouble() * (WARM_UP_TIME - 2 * OVERLOAD_WINDOW);
+            double step = OVERLOAD_WINDOW / STEPS_PER_WINDOW;
+            boolean[] started = new boolean[nodes.length];
             double end =
                     Math.min(
-                            START + WARM_AFTER,
-                            lasts < WARM_AFTER ? rushAt + lasts : START + WARM_AFTER);
+                            START + WARM_UP_TIME,
+                            duration < WARM_UP_TIME ? rushAt + duration : START + WARM_UP_TIME);
             double restartAt = rushAt + restartAfter;
-            for (double now = lasts < WARM_AFTER ? rushAt : START; now < end; now += step) {
+            for (double now = duration < WARM_UP_TIME ? rushAt : START; now < end; now += step) {
                 int from = random.nextInt(nodes.length);
                 for (int k = 0; k < nodes.length; k++) {
                     int i = (from + k) % nodes.length;
                     if (now >= restartAt && now < restartAt + step && i % 10 < 7) {
                         nodes[i] = node(nodes.length, i, now);
-                        begun[i] = false;
-                        told[i] = now;
+                        started[i] = false;
+                        toldAt[i] = now;
                     }
-                    if (!begun[i] && now >= told[i]) {
-                        begun[i] = true;
-                        nodes[i].hostStarted(new HostId(host), START, told[i]);
+                    if (!started[i] && now >= toldAt[i]) {
+                        started[i] = true;
+                        nodes[i].hostStarted(new HostId(host), START, toldAt[i]);
                     }
-                    double tries =
+                    double arrivals =
                             switch (traffic) {
                                 case AMPLE -> Double.POSITIVE_INFINITY;
                                 case RUSH -> now < rushAt ? 0 : Double.POSITIVE_INFINITY;
                                 case WAVES ->
-                                        (now - rushAt) % (2.3 * SPAN) < SPAN / 2
+                                        (now - rushAt) % (2.3 * OVERLOAD_WINDOW)
+                                                        < OVERLOAD_WINDOW / 2
                                                 ? Double.POSITIVE_INFINITY
                                                 : 0;
                                 case THIN -> poisson(demand * allowed(now - step, now) * shares[i]);
                             };
-                    while (begun[i]
-                            && tries-- > 0
-                            && nodes[i].maySend(now, warmHostCanTake * shares[i])) {
+                    while (started[i]
+                            && arrivals-- > 0
+                            && nodes[i].maySend(now, warmHostRate * shares[i])) {
                         nodes[i].tunnelSent(now);
-                        sent[many++] = now;
+                        sent[sentCount++] = now;
                     }
                 }
             }
@@ -151,12 +153,13 @@
         }
 
         /**
-         * What the settings allow from one time to another: before its start, a host can do what it
-         * can then.
+         * What the settings allow between two times; before its start, a host counts as able to do
+         * what it can at its start.
          */
         double allowed(double from, double to) {
-            double cold = MULTIPLE * warmHostCanTake * COLD_FROM * (to - from);
-            double rise = MULTIPLE * warmHostCanTake * (1 - COLD_FROM) / WARM_AFTER / 2;
+            double cold = OVERLOAD_MULTIPLE * warmHostRate * COLD_CAPACITY_SHARE * (to - from);
+            double rise =
+                    OVERLOAD_MULTIPLE * warmHostRate * (1 - COLD_CAPACITY_SHARE) / WARM_UP_TIME / 2;
             return cold
                     + rise
                             * (Math.pow(Math.max(0, to - START), 2)
@@ -164,17 +167,17 @@
         }
 
         /**
-         * The most by which the sum of a span passes what is allowed in it, over what chance may
-         * add.
+         * The largest excess of a window's sum over what is allowed in it, relative to what chance
+         * may add.
          */
-        double worst() {
+        double worstExcess() {
             double worst = -1;
             int first = 0;
-            for (int last = 0; last < many; last++) {
-                while (sent[first] < sent[last] - SPAN - 1e-9) {
+            for (int last = 0; last < sentCount; last++) {
+                while (sent[first] < sent[last] - OVERLOAD_WINDOW - 1e-9) {
                     first++;
                 }
-                double allowed = Math.max(1, allowed(sent[last] - SPAN, sent[last]));
+                double allowed = Math.max(1, allowed(sent[last] - OVERLOAD_WINDOW, sent[last]));
                 worst =
                         Math.max(
                                 worst, (last - first + 1 - allowed) / (2 * Math.sqrt(allowed) + 2));
@@ -182,8 +185,8 @@
             return worst;
         }
 
-        double used() {
-            return many / allowed(START, START + WARM_AFTER);
+        double usedShare() {
+            return sentCount / allowed(START, START + WARM_UP_TIME);
         }
     }
 
@@ -206,11 +209,11 @@
         Reporter.log(String.format("%-60s worst %.2f", what, worst), true);
         assertTrue(
                 worst <= 1,
-                what + ": passes what is allowed by " + worst + " of what chance may add");
+                what + ": exceeds the limit by " + worst + " times what chance may add");
     }
 
     @Test(dataProvider = "fleets")
-    public void sumStaysWithinWhatAColdHostBears(int nodes, double first) {
+    public void allNodesTogetherStayWithinColdHostLimit(int nodes, double first) {
         for (boolean even : new boolean[] {true, false}) {
             for (Traffic traffic : List.of(Traffic.AMPLE, Traffic.RUSH, Traffic.WAVES)) {
                 double worst = -1;
@@ -219,8 +222,8 @@
                             Math.max(
                                     worst,
                                     new Fleet(nodes, first, even, seed)
-                                            .play(traffic, 0, 1e9)
-                                            .worst());
+                                            .run(traffic, 0, 1e9)
+                                            .worstExcess());
                 }
                 assertWithin(
                         worst,
@@ -234,72 +237,72 @@
     }
 
     @Test(dataProvider = "fleets")
-    public void nodesToldAtDifferentTimes(int nodes, double first) {
+    public void nodesLearnOfTheStartAtDifferentTimes(int nodes, double first) {
         double worst = -1;
         for (int seed = 1; seed <= seeds(nodes); seed++) {
             Fleet fleet = new Fleet(nodes, first, false, seed);
-            Arrays.setAll(fleet.told, i -> START + 6 * fleet.random.nextDouble());
-            worst = Math.max(worst, fleet.play(Traffic.RUSH, 0, 1e9).worst());
+            Arrays.setAll(fleet.toldAt, i -> START + 6 * fleet.random.nextDouble());
+            worst = Math.max(worst, fleet.run(Traffic.RUSH, 0, 1e9).worstExcess());
         }
         assertWithin(worst, nodes + " nodes, N " + first + ", told at different times");
     }
 
-    /** What they sent before is forgotten with them, but bears on the host. */
+    /** A restarted node forgets what it sent before, but the host still bears the load. */
     @Test(dataProvider = "fleets")
-    public void sevenInTenNodesStartAgainUnderARush(int nodes, double first) {
+    public void sevenInTenNodesRestartDuringARush(int nodes, double first) {
         double worst = -1;
         for (int seed = 1; seed <= seeds(nodes); seed++) {
             worst =
                     Math.max(
                             worst,
                             new Fleet(nodes, first, true, seed)
-                                    .play(Traffic.RUSH, 0, SPAN / 4)
-                                    .worst());
+                                    .run(Traffic.RUSH, 0, OVERLOAD_WINDOW / 4)
+                                    .worstExcess());
         }
-        assertWithin(worst, nodes + " nodes, N " + first + ", seven in ten start again");
+        assertWithin(worst, nodes + " nodes, N " + first + ", seven in ten restart");
     }
 
     @Test(dataProvider = "fleets")
-    public void aNodeBelievesInAnotherNumberOfNodes(int nodes, double first) {
+    public void someNodesAssumeAnotherNodeCount(int nodes, double first) {
         double worst = -1;
         for (int seed = 1; seed <= seeds(nodes) && nodes >= 30; seed++) {
             Fleet fleet = new Fleet(nodes, first, true, seed);
             fleet.nodes[7] = fleet.node(nodes / 2, 7, START - 100);
             fleet.nodes[8] = fleet.node(nodes * 2, 8, START - 100);
             for (int i = 0; i < nodes; i += 10) {
-                // Some have not heard yet that two were added.
+                // Some have not learned yet that two nodes were added.
                 fleet.nodes[i] = fleet.node(nodes - 2, i, START - 100);
             }
-            worst = Math.max(worst, fleet.play(Traffic.RUSH, 0, 1e9).worst());
+            worst = Math.max(worst, fleet.run(Traffic.RUSH, 0, 1e9).worstExcess());
         }
-        assertWithin(worst, nodes + " nodes, N " + first + ", some believe in another number");
+        assertWithin(worst, nodes + " nodes, N " + first + ", some assume another node count");
     }
 
-    /** Without a rank, places are left to chance. */
+    /** Without an index, positions on the circle are random. */
     @Test(dataProvider = "fleets")
-    public void nodesThatDoNotKnowWhichTheyAre(int nodes, double first) {
+    public void nodesDoNotKnowTheirIndex(int nodes, double first) {
         double worst = -1;
         for (int seed = 1; seed <= seeds(nodes); seed++) {
             Fleet fleet = new Fleet(nodes, first, false, seed);
             Arrays.setAll(fleet.nodes, i -> fleet.node(nodes, -1, START - 100));
-            worst = Math.max(worst, fleet.play(Traffic.RUSH, 0, 1e9).worst());
+            worst = Math.max(worst, fleet.run(Traffic.RUSH, 0, 1e9).worstExcess());
         }
-        assertWithin(worst, nodes + " nodes, N " + first + ", unknown rank");
+        assertWithin(worst, nodes + " nodes, N " + first + ", unknown node index");
     }
 
     /**
-     * Shares as uneven as exponential ones are: 5,000 starts of each kind had 2 at most, of 100
-     * nodes with N 5.
+     * With shares as uneven as exponential ones: of 5,000 starts of each kind at most 2 exceeded
+     * the limit, those with 100 nodes and N 5.
      */
     @Test
-    public void fewerThanOneStartInAThousandPassesIt() {
+    public void fewerThanOneStartInAThousandExceedsTheLimit() {
         int passed = 0;
         for (int seed = 1; seed <= 3000; seed++) {
             double first = seed % 2 == 0 ? 5 : 32;
             passed +=
                     new Fleet(100, first, false, 1000 + seed)
-                                            .play(Traffic.RUSH, 0, 1e9, 2 * SPAN)
-                                            .worst()
+                                            .run(Traffic.RUSH, 0, 1e9, 2 * OVERLOAD_WINDOW)
+                                            .worstExcess()
                                     > 1
                             ? 1
                             : 0;
@@ -307,9 +310,9 @@
         assertTrue(passed < 3, passed + " of 3000 starts");
     }
 
-    /** Else a cold host stands idle beside tunnels that are declined. */
+    /** Otherwise a cold host would stand idle while tunnels are declined. */
     @Test(dataProvider = "fleets")
-    public void allowanceIsUsedWhereThereIsDemand(int nodes, double first) {
+    public void limitIsUsedWhereThereIsDemand(int nodes, double first) {
         StringBuilder line = new StringBuilder();
         for (boolean even : new boolean[] {true, false}) {
             for (double demand :
@@ -318,7 +321,9 @@
                 double used = 0;
                 for (int seed = 1; seed <= 4; seed++) {
                     used +=
-                            new Fleet(nodes, first, even, seed).play(traffic, demand, 1e9).used()
+                            new Fleet(nodes, first, even, seed)
+                                            .run(traffic, demand, 1e9)
+                                            .usedShare()
                                     / 4;
                 }
                 line.append(String.format(" %.2f", used));
@@ -338,11 +343,11 @@
     }
 
     /**
-     * Whole modules, in one process: quiet while one of four hosts has started, then all meet their
-     * clients together.
+     * Whole policies in one process: no clients arrive while one of four hosts has started, then
+     * they arrive at all nodes together.
      */
     @Test
-    public void thirtyModulesThatWereQuietMeetTheirClientsTogether() {
+    public void thirtyIdlePoliciesGetTheirClientsTogether() {
         List<PolicyHarness> nodes = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             PolicyHarness node =
@@ -351,8 +356,8 @@
             node.capacityEstimate.adopt(40);
             node.now = 110;
             node.round(
-                    news ->
-                            news.rosterChanged(
+                    events ->
+                            events.rosterChanged(
                                     List.of(PolicyHarness.entry(0, RosterEntry.State.READY, 110))));
             nodes.add(node);
         }
@@ -369,13 +374,13 @@
         }
         double worst = -1;
         for (double last : sent) {
-            // 3 times what fills the host over its warm-up in 2 s, as far as it is warm halfway
+            // 3 times what fills the host over its warm-up, for 2 s, as far as it is warm halfway
             // through them.
             double allowed = 3 * 2 * 40 / 8.0 * (0.3 + 0.7 * (last - 1 - 110) / 8);
             long number = sent.stream().filter(time -> time <= last && time >= last - 2).count();
             worst = Math.max(worst, (number - allowed) / (2 * Math.sqrt(allowed) + 2));
         }
-        assertWithin(worst, "thirty modules, " + sent.size() + " tunnels");
+        assertWithin(worst, "thirty policies, " + sent.size() + " tunnels");
         assertTrue(sent.size() > 30, "sent " + sent.size());
     }
 }
