--- a/core/src/main/java/embershift/model/DeclineReason.java
+++ b/core/src/main/java/embershift/model/DeclineReason.java
@@ -6,7 +6,7 @@
     NODE_LEAVES,
     /** All setups that the tunnel may have were used up. */
     SETUPS_SPENT,
-    /** The client does not wait long enough for another setup. */
+    /** The client does not wait long enough for a setup. */
     TIME_SPENT,
     /** The retry budget is used up. */
     BUDGET_SPENT,
--- a/core/src/main/java/embershift/model/Deployment.java
+++ b/core/src/main/java/embershift/model/Deployment.java
@@ -6,8 +6,10 @@
  * What a node is told about its deployment when it starts. Times are in seconds.
  *
  * <p>{@code nodeIndex} is this node's number among the {@code nodeCount} nodes, counted from 0, or
- * negative where it is not told. {@code rosterCallDeadline}: a node that has not been in touch with
- * the roster for this long counts as informed of what changed there, so it has to call within that
+ * negative where it is not told. {@code rosterOnRequest}: the roster is watched only when the
+ * node's decisions ask for it. {@code reportsCapacity}: hosts report their load over capacity, not
+ * only numbers of tunnels. {@code rosterCallDeadline}: a node that has not been in touch with the
+ * roster for this long counts as informed of what changed there, so it has to call within that
  * time. A host that has just started can do {@code coldCapacityShare} of what it can do when warm,
  * which it is after {@code warmUpTime}; it fails if it is sent more than {@code overloadMultiple}
  * times what it can take for {@code overloadWindow}. {@code parkTime}: how long a host keeps a
--- a/core/src/main/java/embershift/model/NodeEvents.java
+++ b/core/src/main/java/embershift/model/NodeEvents.java
@@ -27,7 +27,8 @@
 
     /**
      * A tunnel arrived, and the node now owes it one final answer. Participant, subject and group
-     * are null where not given.
+     * are null where not given. {@code midFlow}: it continues a passed-through tunnel, which its
+     * host may still keep.
      */
     void tunnelArrived(
             TunnelId id,
--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -146,8 +146,8 @@
     private static final double MIN_TIME_LEFT_GOAL_SHARE = 0.1;
 
     /**
-     * Periods for which a host that has just failed gets no tunnels; multiplied by the number of
-     * consecutive failures, up to 4.
+     * Periods for which a host gets no tunnels after it has failed or not answered; after failed
+     * setups, multiplied by the number of consecutive failures, up to 4.
      */
     private static final double FAILURE_BACKOFF_PERIODS = 4;
 
@@ -193,11 +193,22 @@
     private List<Tunnel> awaitingProbe = new ArrayList<>();
 
     private double nextRecheckAt = Double.NEGATIVE_INFINITY;
+
+    /** Whether the results of {@link #surveyHosts} are up to date in this round. */
     private boolean surveyed;
+
+    /** Mean of the hosts' expected load over capacity, with the placements since their reports. */
     private double meanLoad;
-    private int activeHosts;
+
+    /** Number of hosts that may be given new tunnels by the roster and the operators. */
+    private int acceptingHosts;
+
+    /** Number of hosts that {@link #meanLoad} is taken over. */
     private int hostsInMean;
+
+    /** Whether too few hosts have reported to tell how busy the fleet is. */
     private boolean fewReports;
+
     private boolean nearHostAvailable;
 
     /**
@@ -212,8 +223,13 @@
     private double longestMessageGoal;
     private final TimeBuckets openings = new TimeBuckets(4, PERIOD_SECONDS / 2);
     private final TimeBuckets completions = new TimeBuckets(8, 2 * PERIOD_SECONDS);
+
+    /** Tunnels of this node that a warm host can take per second. */
     private double warmHostRate;
+
+    /** Tunnels held back while as many setups as allowed are in flight. */
     private final Deque<Tunnel> waitingTunnels = new ArrayDeque<>();
+
     private final SetupConcurrencyLimiter setupLimiter =
             new SetupConcurrencyLimiter(PERIOD_SECONDS);
 
@@ -223,6 +239,7 @@
      */
     private double averageTunnelLoad;
 
+    /** Mean of the load over capacity in the hosts' latest reports. */
     private double averageLoad;
 
     /** Tunnels placed so far, less those that ended while their host stayed up. */
@@ -237,7 +254,12 @@
     private double nextWakeAt = Double.POSITIVE_INFINITY;
     private boolean watchingRoster;
     private double rosterCallAt = Double.POSITIVE_INFINITY;
+
+    /**
+     * Seconds from which the pause before the next roster call is drawn; grows with each failure.
+     */
     private double rosterBackoff;
+
     private double rosterLostAt;
 
     public Policy(Deployment deployment, HostCapacityEstimate capacityEstimate) {
@@ -732,8 +754,8 @@
             // or to the limit of an idle host, it would stay empty in a busy fleet.
             eligible.removeIf(host -> host.expectedLoad() > (host.isCold() ? FULL_LOAD : maxLoad));
         }
-        // Unless only few hosts have reported: those few that a node knows just after its start
-        // would take all arrivals of a rush.
+        // Hosts with fresh reports are preferred, unless few hosts have reported: those few that a
+        // node knows just after its start would take all arrivals of a rush.
         if (!mayProbeFirst(tunnel)
                 && !fewReports
                 && eligible.stream().anyMatch(Host::hasFreshReport)) {
@@ -794,10 +816,13 @@
     }
 
     /**
-     * Each host that holds any tunnel of a group pays the group's cost, and nodes do not know where
-     * others have placed the group. So the numbers are derived from the group, not drawn for the
-     * tunnel, until they have fallen on hosts' weight intervals: all nodes find the same hosts, and
-     * a host that comes or goes shifts only its own groups.
+     * Returns a host for a tunnel of a group, or null where the tunnel is to be placed like any
+     * other.
+     *
+     * <p>Each host that holds any tunnel of a group pays the group's cost, and nodes do not know
+     * where others have placed the group. So the numbers are derived from the group, not drawn for
+     * the tunnel, until they have fallen on hosts' weight intervals: all nodes find the same hosts,
+     * and a host that comes or goes shifts only its own groups.
      */
     private Host drawHostForGroup(Tunnel tunnel) {
         boolean nearOnly = meanLoad < IDLE_LOAD && nearHostAvailable;
@@ -818,11 +843,14 @@
         for (int k = 0; drawsLeft > 0 && k < 4 * hostSlots.slotCount(); k++) {
             long hash = HostSlots.mix(groupHash + k);
             Host host = hostSlots.hostAt(hash);
+            // The last condition accepts a host with a probability of (total load - its load) /
+            // total
+            // load, in proportion to its weight.
             if (host == null
                     || !host.acceptsNew()
                     || (nearOnly && !host.isNear())
-                    || (hash & 0xffff) / 65536.0 * meanLoad * activeHosts
-                            >= meanLoad * activeHosts - drawLoad(host)) {
+                    || (hash & 0xffff) / 65536.0 * meanLoad * acceptingHosts
+                            >= meanLoad * acceptingHosts - drawLoad(host)) {
                 continue;
             }
             drawsLeft--;
@@ -852,12 +880,12 @@
         int reachable = 0;
         int warm = 0;
         List<Host> healthy = new ArrayList<>();
-        activeHosts = 0;
+        acceptingHosts = 0;
         nearHostAvailable = false;
         capacityEstimate.beginSurvey();
         for (Host host : hostsByName) {
             if (host.acceptsNew()) {
-                activeHosts++;
+                acceptingHosts++;
                 warm += host.isCold() && !host.hasRestarted ? 0 : 1;
                 reachable += host.isSilent() ? 0 : 1;
                 if (!host.isSilent() && !host.isAvoided()) {
@@ -898,7 +926,7 @@
                         .filter(Host::hasReport)
                         .mapToDouble(host -> Math.max(0, FULL_LOAD - host.expectedLoad()))
                         .sum();
-        fewReports = reportCount < Math.min(activeHosts, MIN_SAMPLES);
+        fewReports = reportCount < Math.min(acceptingHosts, MIN_SAMPLES);
         if (fewReports) {
             // A few reports do not show that the fleet is busy: tunnels would be declined without
             // any probe.
@@ -913,7 +941,7 @@
                 ROOM_OVERCOMMIT
                         * totalRoom
                         / Math.max(1, reportCount)
-                        * activeHosts
+                        * acceptingHosts
                         / deployment.nodeCount();
         double arrivingLoad = arrivals.rate(now) * PERIOD_SECONDS * averageTunnelLoad;
         admittedShare =
@@ -926,7 +954,7 @@
         warmHostRate =
                 Math.max(
                         completions.rate(now)
-                                / Math.max(1, warm > 0 ? warm : activeHosts)
+                                / Math.max(1, warm > 0 ? warm : acceptingHosts)
                                 / fleetLoad,
                         capacityEstimate.placementsPerSecond(hasJustStarted()));
     }
--- a/core/src/main/java/embershift/policy/SetupConcurrencyLimiter.java
+++ b/core/src/main/java/embershift/policy/SetupConcurrencyLimiter.java
@@ -3,7 +3,7 @@
 /**
  * Limits the setups in flight, to protect the session store or whatever else all setups share:
  * where setups fail at many hosts, sending more makes more fail. The limit is then halved, and
- * grows again by one for each such number of opened tunnels.
+ * grows again by one whenever as many tunnels as the limit have been opened.
  */
 final class SetupConcurrencyLimiter {
 
