--- a/core/src/main/java/embershift/policy/LatenessDetector.java
+++ b/core/src/main/java/embershift/policy/LatenessDetector.java
@@ -7,7 +7,7 @@
  */
 final class LatenessDetector {
 
-    /** Most periods between two late messages while messages stay late. */
+    /** Maximum number of periods between two late messages while messages stay late. */
     private static final double MAX_GAP_PERIODS = 1.5;
 
     /** Periods for which messages must have been late. */
--- a/core/src/main/java/embershift/policy/NodeDeparture.java
+++ b/core/src/main/java/embershift/policy/NodeDeparture.java
@@ -19,7 +19,9 @@
 
     private static final byte[] ANSWER = {2};
 
-    /** Most periods that a leaving node is given; fewer where clients wait for less. */
+    /**
+     * Maximum number of periods that a leaving node is given; fewer where clients wait for less.
+     */
     private static final double MAX_STAY_PERIODS = 3;
 
     /**
--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -67,7 +67,7 @@
      */
     private static final double PROBES_PER_TUNNEL = 5;
 
-    /** Most hosts probed on demand for one tunnel. */
+    /** Maximum number of hosts probed on demand for one tunnel. */
     private static final int MAX_PROBES_PER_TUNNEL = 4;
 
     private static final double PROBE_WAIT_GOAL_SHARE = 0.25;
@@ -151,12 +151,15 @@
      */
     private static final double FAILURE_BACKOFF_PERIODS = 4;
 
-    /** Most hosts that a node which declines tunnels probes per period to find new room. */
+    /**
+     * Maximum number of hosts that a node which declines tunnels probes per period to find new
+     * room.
+     */
     private static final double RECHECKS_PER_PERIOD = 5;
 
     /**
-     * Most seconds between two calls to the roster: a node has to know what the roster lists within
-     * six seconds of the roster's return, and an answer may take two.
+     * Maximum seconds between two calls to the roster: a node has to know what the roster lists
+     * within six seconds of the roster's return, and an answer may take two.
      */
     private static final double MAX_ROSTER_CALL_INTERVAL = 3.8;
 
--- a/core/src/main/java/embershift/policy/SetupConcurrencyLimiter.java
+++ b/core/src/main/java/embershift/policy/SetupConcurrencyLimiter.java
@@ -16,7 +16,7 @@
     private final double period;
     private int inFlight;
 
-    /** Most setups in flight; unlimited until setups fail at many hosts. */
+    /** Maximum number of setups in flight; unlimited until setups fail at many hosts. */
     private double window = Double.POSITIVE_INFINITY;
 
     private double lastReducedAt = Double.NEGATIVE_INFINITY;
--- a/core/src/main/java/embershift/policy/SlowStart.java
+++ b/core/src/main/java/embershift/policy/SlowStart.java
@@ -84,7 +84,7 @@
         sent.add(now, 0, 1);
     }
 
-    /** Most tunnels that this node may send within the window that ends now. */
+    /** Maximum number of tunnels that this node may send within the window that ends now. */
     private int sendLimit(double now, double warmHostRate) {
         double window = deployment.overloadWindow();
         // Taken at the middle of the window, as the host's capacity grows over it.
--- a/core/src/test/java/embershift/policy/FairnessTest.java
+++ b/core/src/test/java/embershift/policy/FairnessTest.java
@@ -40,7 +40,7 @@
 
     private static final double MEASURED_SECONDS = 24;
 
-    /** Most seconds in which a node may send nothing while tunnels arrive. */
+    /** Maximum seconds for which a node may send nothing while tunnels arrive. */
     private static final double MAX_PAUSE = 4;
 
     private static final List<Profile> PROFILES =
--- a/core/src/test/java/embershift/policy/PolicyTest.java
+++ b/core/src/test/java/embershift/policy/PolicyTest.java
@@ -546,10 +546,10 @@
 
     @Test(dataProvider = "invalidFigures")
     public void invalidReportDoesNotChangeTheDraw(double figure) {
-        PolicyHarness told = new PolicyHarness(4).reportLoads(0.2, 0.3, 0.2, 0.3);
-        told.round(events -> events.hostReported(PolicyHarness.host(0), figure, figure, figure));
+        PolicyHarness node = new PolicyHarness(4).reportLoads(0.2, 0.3, 0.2, 0.3);
+        node.round(events -> events.hostReported(PolicyHarness.host(0), figure, figure, figure));
         assertEquals(
-                told.arriveTunnels(0, 20, null),
+                node.arriveTunnels(0, 20, null),
                 new PolicyHarness(4).reportLoads(0.2, 0.3, 0.2, 0.3).arriveTunnels(0, 20, null));
     }
 
@@ -681,7 +681,7 @@
      * a busy fleet, all of them in a calm one.
      */
     @Test(dataProvider = "fleets")
-    public void emptyHostIsFilledFreelyInACalmFleetOnly(double load, int least, int most) {
+    public void emptyHostIsFilledFreelyInACalmFleetOnly(double load, int min, int max) {
         PolicyHarness node =
                 new PolicyHarness(Repeat.REPEATABLE, DedupScope.ALL, 8, 1, RetryBudget.NONE, 50);
         for (int host = 1; host < 8; host++) {
@@ -693,7 +693,7 @@
             node.arriveTunnels(i, 1, "g" + i);
             sent += node.setupsSentTo(0);
         }
-        assertTrue(sent >= least && sent <= most, sent + " sent");
+        assertTrue(sent >= min && sent <= max, sent + " sent");
     }
 
     /**
@@ -799,12 +799,12 @@
             node.now += 3;
             node.arriveTunnels(i, 1, "g" + i);
             assertTrue(node.count("probe") <= 1, "probes for one tunnel: " + node.count("probe"));
-            int asked = node.lastProbedHost();
+            int probedHost = node.lastProbedHost();
             node.round(
                     events -> {
-                        events.probeEnded(PolicyHarness.host(asked), true, 0.01);
+                        events.probeEnded(PolicyHarness.host(probedHost), true, 0.01);
                         events.hostReported(
-                                PolicyHarness.host(asked), 0.01, Double.NaN, Double.NaN);
+                                PolicyHarness.host(probedHost), 0.01, Double.NaN, Double.NaN);
                     });
             assertEquals(node.count("probe") + node.count("set up"), 1);
         }
@@ -948,10 +948,10 @@
 
     @Test
     public void successorInheritsCapacityEstimateAndFillsColdHosts() {
-        PolicyHarness told = new PolicyHarness(2);
-        PolicyHarness untold = new PolicyHarness(2);
-        told.capacityEstimate.adopt(200);
-        for (PolicyHarness node : List.of(told, untold)) {
+        PolicyHarness withEstimate = new PolicyHarness(2);
+        PolicyHarness withoutEstimate = new PolicyHarness(2);
+        withEstimate.capacityEstimate.adopt(200);
+        for (PolicyHarness node : List.of(withEstimate, withoutEstimate)) {
             node.now += 5;
             node.round(
                     events ->
@@ -966,10 +966,12 @@
                 node.round(events -> {});
             }
         }
-        assertTrue(untold.setupsSent >= 2, "otherwise it could never learn: " + untold.setupsSent);
         assertTrue(
-                told.setupsSent > 3 * untold.setupsSent,
-                told.setupsSent + " and " + untold.setupsSent);
+                withoutEstimate.setupsSent >= 2,
+                "otherwise it could never learn: " + withoutEstimate.setupsSent);
+        assertTrue(
+                withEstimate.setupsSent > 3 * withoutEstimate.setupsSent,
+                withEstimate.setupsSent + " and " + withoutEstimate.setupsSent);
     }
 
     @Test
--- a/core/src/test/java/embershift/policy/SlowStartFleetTest.java
+++ b/core/src/test/java/embershift/policy/SlowStartFleetTest.java
@@ -49,7 +49,7 @@
         final double warmHostRate;
         final SlowStart[] nodes;
         final double[] shares;
-        final double[] toldAt;
+        final double[] informedAt;
         final double[] sent = new double[100_000];
         int sentCount;
         String host;
@@ -62,11 +62,11 @@
             host = "s-" + Long.toHexString(random.nextInt());
             nodes = new SlowStart[nodeCount];
             shares = new double[nodeCount];
-            toldAt = new double[nodeCount];
+            informedAt = new double[nodeCount];
             for (int i = 0; i < nodeCount; i++) {
                 nodes[i] = node(nodeCount, i, START - 100);
                 shares[i] = evenShares ? 1 : -Math.log(1 - random.nextDouble());
-                toldAt[i] = START;
+                informedAt[i] = START;
             }
             double sum = Arrays.stream(shares).sum();
             for (int i = 0; i < nodeCount; i++) {
@@ -112,11 +112,11 @@
                     if (now >= restartAt && now < restartAt + step && i % 10 < 7) {
                         nodes[i] = node(nodes.length, i, now);
                         started[i] = false;
-                        toldAt[i] = now;
+                        informedAt[i] = now;
                     }
-                    if (!started[i] && now >= toldAt[i]) {
+                    if (!started[i] && now >= informedAt[i]) {
                         started[i] = true;
-                        nodes[i].hostStarted(new HostId(host), START, toldAt[i]);
+                        nodes[i].hostStarted(new HostId(host), START, informedAt[i]);
                     }
                     double arrivals =
                             switch (traffic) {
@@ -241,10 +241,10 @@
         double worst = -1;
         for (int seed = 1; seed <= seeds(nodes); seed++) {
             Fleet fleet = new Fleet(nodes, first, false, seed);
-            Arrays.setAll(fleet.toldAt, i -> START + 6 * fleet.random.nextDouble());
+            Arrays.setAll(fleet.informedAt, i -> START + 6 * fleet.random.nextDouble());
             worst = Math.max(worst, fleet.run(Traffic.RUSH, 0, 1e9).worstExcess());
         }
-        assertWithin(worst, nodes + " nodes, N " + first + ", told at different times");
+        assertWithin(worst, nodes + " nodes, N " + first + ", informed at different times");
     }
 
     /** A restarted node forgets what it sent before, but the host still bears the load. */
