--- a/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
+++ b/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
@@ -32,7 +32,7 @@
      */
     public interface Environment {
 
-        /** See {@link RaftEnvironment#send}. */
+        /** See {@link RaftEnvironment#sendRequest}. */
         void send(MemberId to, RaftMessage message);
 
         /** Writes to disk; {@link ReplicatedStore#writesCompleted} is owed for each, in order. */
--- a/node/src/main/java/embershift/operations/HostEjections.java
+++ b/node/src/main/java/embershift/operations/HostEjections.java
@@ -113,7 +113,7 @@
         } else {
             ejected.remove(host);
         }
-        router.byHand(host, isEjected(host), done);
+        router.setOutOfService(host, isEjected(host), done);
     }
 
     /** Whether the host is out by hand, whoever said so. */
@@ -133,7 +133,7 @@
         ejectedBySource.put(source, new LinkedHashSet<>(hosts));
         for (HostId host : affected) {
             if (isEjected(host) != before.get(host)) {
-                router.byHand(host, isEjected(host), () -> {});
+                router.setOutOfService(host, isEjected(host), () -> {});
             }
         }
     }
--- a/node/src/main/java/embershift/operations/OperatorServer.java
+++ b/node/src/main/java/embershift/operations/OperatorServer.java
@@ -24,7 +24,7 @@
      * Callers without a whole call at one time; the other descriptors are for answers on their way
      * out.
      */
-    private static final int MAX_WAITING = Router.OPERATORS * 3 / 4;
+    private static final int MAX_WAITING = Router.OPERATOR_DESCRIPTORS * 3 / 4;
 
     /**
      * Of the descriptors for operators, those for callers that the loop has accepted and not handed
@@ -67,7 +67,9 @@
                             public int free() {
                                 return listener == null
                                         ? 0
-                                        : Router.OPERATORS - ACCEPTED_AHEAD - listener.open();
+                                        : Router.OPERATOR_DESCRIPTORS
+                                                - ACCEPTED_AHEAD
+                                                - listener.open();
                             }
                         },
                         link -> {
@@ -91,7 +93,7 @@
         while (waiting.size() >= MAX_WAITING) {
             evictOldest();
         }
-        while (listener.open() > Router.OPERATORS - ACCEPTED_AHEAD) {
+        while (listener.open() > Router.OPERATOR_DESCRIPTORS - ACCEPTED_AHEAD) {
             if (!listener.closeLingering() && !evictOldest()) {
                 return false;
             }
--- a/node/src/main/java/embershift/program/NodeProcess.java
+++ b/node/src/main/java/embershift/program/NodeProcess.java
@@ -239,14 +239,14 @@
 
     private SiblingProcesses.ProcessStatus status() {
         return new SiblingProcesses.ProcessStatus(
-                router.claimedDescriptors(), router.tunnelsThatFill());
+                router.claimedDescriptors(), router.tunnelsPerFullHost());
     }
 
     private void applyStatuses(List<SiblingProcesses.ProcessStatus> others) {
-        router.heldElsewhere(
+        router.setDescriptorsHeldElsewhere(
                 others.stream().mapToInt(SiblingProcesses.ProcessStatus::descriptors).sum(),
                 others.size());
-        others.forEach(other -> router.toldOfFilling(other.tunnelsToFillHost()));
+        others.forEach(other -> router.learnTunnelsPerFullHost(other.tunnelsToFillHost()));
         if (!others.isEmpty()) {
             ejections.reloadStored();
         }
@@ -336,7 +336,8 @@
 
     private void checkDrained() {
         double elapsed = loop.now() - shutdownStartedAt;
-        if (elapsed > maxShutdownSeconds() || (elapsed > minShutdownSeconds && router.empty())) {
+        if (elapsed > maxShutdownSeconds()
+                || (elapsed > minShutdownSeconds && router.isDrained())) {
             enter(Phase.CLOSING);
             router.stop();
             loop.after(FLUSH_SECONDS, this::stop);
--- a/node/src/main/java/embershift/protocol/HttpRequest.java
+++ b/node/src/main/java/embershift/protocol/HttpRequest.java
@@ -41,7 +41,7 @@
     private long bodyBytes;
     private int status = 400;
 
-    /** As {@link #take}; what is wrong is told with its status. */
+    /** As {@link #tryAcquire}; what is wrong is told with its status. */
     public boolean read(ByteBuffer bytes) throws Refused {
         try {
             return take(bytes);
