--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -19,7 +19,7 @@
  * Hands the published list of endpoints to the node's router in place of discovery, and the node
  * back to discovery when no list comes for some time.
  */
-final class EndpointFeed implements Router.Lists {
+final class EndpointFeed implements Router.ExternalRoster {
 
     private final Companion.Node node;
     private final AgentSettings settings;
@@ -74,7 +74,7 @@
                 AuditEntry.Kind.LED,
                 Map.of("by", "discovery"),
                 "no list for " + settings.listTimeoutSeconds() + " s");
-        node.router().led(false);
+        node.router().useExternalRoster(false);
     }
 
     /** Takes a change of the list, if it fits; the router has it when this returns. */
@@ -91,7 +91,7 @@
             replaceDiscovery(token, update);
         } else if (outcome == AppliedEndpoints.Outcome.APPLIED) {
             node.router().tally().count("lists taken");
-            node.router().listed(update.isFullList() ? whole() : difference(update));
+            node.router().applyRoster(update.isFullList() ? fullList() : difference(update));
         }
         return outcome;
     }
@@ -103,8 +103,8 @@
                         "fence", String.valueOf(token.number()),
                         "number", String.valueOf(update.number()));
         auditLog.append(AuditEntry.Kind.LED, fields, "");
-        node.router().led(true);
-        node.router().listed(whole());
+        node.router().useExternalRoster(true);
+        node.router().applyRoster(fullList());
     }
 
     /** Discovery itself has moved: whatever generation it tells is news. */
@@ -113,12 +113,12 @@
     }
 
     @Override
-    public void discoverySaid(long generation) {
+    public void discoveryAnswered(long generation) {
         endpoints.discoveryReported(generation);
     }
 
     @Override
-    public RosterPage whole() {
+    public RosterPage fullList() {
         return page(true, endpoints.entries());
     }
 
--- a/door/src/main/java/embershift/door/RevisionApplier.java
+++ b/door/src/main/java/embershift/door/RevisionApplier.java
@@ -71,10 +71,10 @@
         } catch (RevisionFields.InvalidFieldException e) {
             return Optional.of(e.getMessage());
         }
-        InetSocketAddress discoveryBefore = router.discovery();
+        InetSocketAddress discoveryBefore = router.discoveryAddress();
         applied = parsed;
         router.reconfigure(adapt(node.configuration()));
-        if (!discoveryBefore.equals(router.discovery())) {
+        if (!discoveryBefore.equals(router.discoveryAddress())) {
             endpoints.discoveryMoved();
         }
         node.bans().by(EJECTION_SOURCE, parsed.ejectedHosts());
@@ -145,9 +145,10 @@
 
     private Optional<String> readBack(String field) {
         return switch (field) {
-            case ConfigRevision.DISCOVERY -> Optional.of(Addresses.written(router.discovery()));
-            case ConfigRevision.SOCKETS -> Optional.of(String.valueOf(router.descriptors()));
-            case ConfigRevision.PEERS -> Optional.of(written(router.peers()));
+            case ConfigRevision.DISCOVERY ->
+                    Optional.of(Addresses.written(router.discoveryAddress()));
+            case ConfigRevision.SOCKETS -> Optional.of(String.valueOf(router.descriptorLimit()));
+            case ConfigRevision.PEERS -> Optional.of(written(router.peerAddresses()));
             default -> Optional.empty();
         };
     }
--- a/door/src/main/java/embershift/door/RevisionFields.java
+++ b/door/src/main/java/embershift/door/RevisionFields.java
@@ -31,7 +31,7 @@
     static final RevisionFields NONE =
             new RevisionFields(Optional.empty(), Optional.empty(), Optional.empty(), Set.of());
 
-    private static final int MIN_SOCKETS = 2 * Router.OPERATORS;
+    private static final int MIN_SOCKETS = 2 * Router.OPERATOR_DESCRIPTORS;
 
     /** A field that this node can't go by. The message is told to operators. */
     static final class InvalidFieldException extends Exception {
--- a/door/src/main/java/embershift/door/RunningAgent.java
+++ b/door/src/main/java/embershift/door/RunningAgent.java
@@ -89,7 +89,7 @@
     }
 
     void start() {
-        node.router().lists(endpoints);
+        node.router().setExternalRoster(endpoints);
         auditLog.append(
                 AuditEntry.Kind.STARTED,
                 Map.of("revision", "0", "boot", registration.bootId()),
--- a/door/src/main/java/embershift/door/SessionCounter.java
+++ b/door/src/main/java/embershift/door/SessionCounter.java
@@ -82,7 +82,7 @@
     }
 
     private long addSetups(Map<String, String> fields, HostId host, long before) {
-        long total = router.setUps(host);
+        long total = router.setupsSent(host);
         if (total <= before) {
             return before;
         }
@@ -93,6 +93,6 @@
     /** Counts setups to these hosts from now on, and to no others. */
     void watch(Set<HostId> ejectedHosts) {
         recordedSetups.keySet().retainAll(ejectedHosts);
-        ejectedHosts.forEach(host -> recordedSetups.putIfAbsent(host, router.setUps(host)));
+        ejectedHosts.forEach(host -> recordedSetups.putIfAbsent(host, router.setupsSent(host)));
     }
 }
--- a/node/src/main/java/embershift/operations/Bans.java
+++ b/node/src/main/java/embershift/operations/Bans.java
@@ -109,7 +109,7 @@
         } else {
             out.remove(host);
         }
-        router.byHand(host, holds(host), done);
+        router.setOutOfService(host, holds(host), done);
     }
 
     /** Whether the host is out by hand, whoever said so. */
@@ -128,7 +128,7 @@
         others.put(whose, new LinkedHashSet<>(hosts));
         for (HostId host : touched) {
             if (holds(host) != before.get(host)) {
-                router.byHand(host, holds(host), () -> {});
+                router.setOutOfService(host, holds(host), () -> {});
             }
         }
     }
--- a/node/src/main/java/embershift/operations/Callers.java
+++ b/node/src/main/java/embershift/operations/Callers.java
@@ -24,7 +24,7 @@
      * Callers without a whole call at one time; the other descriptors are for answers on their way
      * out.
      */
-    private static final int MOST = Router.OPERATORS * 3 / 4;
+    private static final int MOST = Router.OPERATOR_DESCRIPTORS * 3 / 4;
 
     /**
      * Of the descriptors for operators, those for callers that the loop has accepted and not handed
@@ -67,7 +67,7 @@
                             public int free() {
                                 return listening == null
                                         ? 0
-                                        : Router.OPERATORS - AHEAD - listening.open();
+                                        : Router.OPERATOR_DESCRIPTORS - AHEAD - listening.open();
                             }
                         },
                         link -> {
@@ -91,7 +91,7 @@
         while (waiting.size() >= MOST) {
             giveWay();
         }
-        while (listening.open() > Router.OPERATORS - AHEAD) {
+        while (listening.open() > Router.OPERATOR_DESCRIPTORS - AHEAD) {
             if (!listening.closeLingering() && !giveWay()) {
                 return false;
             }
--- a/node/src/main/java/embershift/operations/Desk.java
+++ b/node/src/main/java/embershift/operations/Desk.java
@@ -106,7 +106,7 @@
             comma = ",";
         }
         out.append("},\"relayed\":")
-                .append(tally.of(Tally.RELAYED))
+                .append(tally.of(Tally.SETUPS_WRITTEN))
                 .append(",\"open_requests\":")
                 .append(router.openTunnels())
                 .append(",\"registry_entries\":")
@@ -114,7 +114,7 @@
                 .append(",\"out_of_rotation\":")
                 .append(router.avoidedHosts())
                 .append(",\"declined\":{\"want_of_descriptors\":")
-                .append(tally.of(Tally.NO_DESCRIPTORS));
+                .append(tally.of(Tally.DECLINED_FOR_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
             out.append(',')
                     .append(Json.quoted(reason.name().toLowerCase(Locale.ROOT)))
--- a/node/src/main/java/embershift/program/Service.java
+++ b/node/src/main/java/embershift/program/Service.java
@@ -235,13 +235,13 @@
     }
 
     private Neighbours.Word word() {
-        return new Neighbours.Word(router.claimedDescriptors(), router.tunnelsThatFill());
+        return new Neighbours.Word(router.claimedDescriptors(), router.tunnelsPerFullHost());
     }
 
     private void heed(List<Neighbours.Word> others) {
-        router.heldElsewhere(
+        router.setDescriptorsHeldElsewhere(
                 others.stream().mapToInt(Neighbours.Word::descriptors).sum(), others.size());
-        others.forEach(other -> router.toldOfFilling(other.filling()));
+        others.forEach(other -> router.learnTunnelsPerFullHost(other.filling()));
         if (!others.isEmpty()) {
             bans.readAgain();
         }
@@ -331,7 +331,7 @@
 
     private void lookWhetherEmpty() {
         double stayed = loop.now() - leavingSince;
-        if (stayed > mostStay() || (stayed > leastStay && router.empty())) {
+        if (stayed > mostStay() || (stayed > leastStay && router.isDrained())) {
             enter(Phase.CLOSING);
             router.stop();
             loop.after(LAST_WORDS, this::stop);
--- a/node/src/main/java/embershift/routing/DescriptorShare.java
+++ b/node/src/main/java/embershift/routing/DescriptorShare.java
@@ -14,7 +14,7 @@
      * The others, so many, have told that they hold or may yet take so many descriptors; this one
      * holds {@code held}. Returns whether that changes its share.
      */
-    boolean told(int limit, int held, int others, int processes) {
+    boolean update(int limit, int held, int others, int processes) {
         int part = limit / (processes + 1);
         int next =
                 processes == 0
@@ -28,7 +28,7 @@
     }
 
     /** Descriptors that this process may hold. */
-    int most(int limit) {
+    int allowed(int limit) {
         return Math.min(limit, share);
     }
 
--- a/node/src/main/java/embershift/routing/Contact.java
+++ b/node/src/main/java/embershift/routing/HostEndpoint.java
@@ -12,14 +12,14 @@
 import java.nio.ByteBuffer;
 
 /** How this node reaches one host: its address, and one kept connection on which it is asked. */
-final class Contact implements Link.Events {
+final class HostEndpoint implements Link.Events {
 
-    private static final ByteBuffer QUESTION = Line.of("STATS").asReadOnlyBuffer();
+    private static final ByteBuffer STATS_REQUEST = Line.of("STATS").asReadOnlyBuffer();
 
     final HostId host;
 
     /** Setups sent there since this node's start. */
-    long setUps;
+    long setupsSent;
 
     /**
      * Whether it is listed as ready, and whether staff have it out: what was decided before either
@@ -27,31 +27,31 @@
      */
     boolean listedReady;
 
-    boolean byHand;
+    boolean outOfService;
     private final Router router;
     private InetSocketAddress address;
     private Link link;
     private boolean connected;
-    private Line lines = new Line();
+    private Line lineReader = new Line();
 
     /** When the question now out was asked; NaN for none. */
-    private double askedAt = Double.NaN;
+    private double probeStartedAt = Double.NaN;
 
     /**
      * Whether it has been written to the connection that there is; before that, what comes is no
      * answer to it.
      */
-    private boolean written;
+    private boolean probeWritten;
 
     /** When this connection brought its last answer; negative infinity for none yet. */
-    private double answeredAt = Double.NEGATIVE_INFINITY;
+    private double lastAnswerAt = Double.NEGATIVE_INFINITY;
 
-    private Loop.Timer patience;
-    private boolean unheard;
-    private double messageDelayToldAt = Double.NEGATIVE_INFINITY;
+    private Loop.Timer probeTimer;
+    private boolean unresponsive;
+    private double messageDelayReportedAt = Double.NEGATIVE_INFINITY;
     private boolean messagesSlow;
 
-    Contact(Router router, HostId host) {
+    HostEndpoint(Router router, HostId host) {
         this.router = router;
         this.host = host;
     }
@@ -60,42 +60,42 @@
         return address;
     }
 
-    boolean takesNew() {
-        return listedReady && !byHand;
+    boolean acceptsNewTunnels() {
+        return listedReady && !outOfService;
     }
 
     /** The roster's latest word on where the host is; at a new address it is another process. */
-    void reachedAt(InetSocketAddress now) {
+    void setAddress(InetSocketAddress now) {
         if (!now.equals(address)) {
             address = now;
-            if (link != null && !Double.isNaN(askedAt)) {
+            if (link != null && !Double.isNaN(probeStartedAt)) {
                 // Another process is asked instead: that the one before has not answered tells
                 // nothing of it.
-                connectAnew();
+                reconnect();
             } else if (link != null) {
-                hangUp();
+                disconnect();
             }
         }
     }
 
     void probe() {
-        if (!Double.isNaN(askedAt)) {
+        if (!Double.isNaN(probeStartedAt)) {
             return;
         }
-        askedAt = router.now();
+        probeStartedAt = router.now();
         router.tally().count("probes sent");
         if (address == null) {
-            router.loop().execute(() -> answer(false, Report.NONE));
+            router.loop().execute(() -> endProbe(false, Report.NONE));
             return;
         }
         if (link == null) {
-            reach();
+            connectForProbe();
             return;
         }
-        router.kept().rests(this, false);
-        begin();
+        router.probeConnections().setIdle(this, false);
+        startProbeTimer();
         if (connected) {
-            question();
+            sendProbe();
         }
     }
 
@@ -103,37 +103,37 @@
      * Opens a connection for the question that is out, or waits in line for a place: until then no
      * time of the host's runs.
      */
-    void reach() {
-        if (router.kept().take(this)) {
-            askedAt = router.now();
-            begin();
-            connectAnew();
+    void connectForProbe() {
+        if (router.probeConnections().tryAcquire(this)) {
+            probeStartedAt = router.now();
+            startProbeTimer();
+            reconnect();
         }
     }
 
-    private void begin() {
-        patience = router.loop().after(router.probePatience(), () -> answer(false, Report.NONE));
+    private void startProbeTimer() {
+        probeTimer = router.loop().after(router.probeTimeout(), () -> endProbe(false, Report.NONE));
     }
 
     /** Gives the connection up, and its place. */
-    private void drop() {
+    private void releaseConnection() {
         if (link != null) {
             link.close();
             link = null;
-            router.kept().closed(this);
-            router.serveLine();
+            router.probeConnections().released(this);
+            router.retryWaitingProbe();
         }
     }
 
     /** In the place of the connection that there may be. */
-    private void connectAnew() {
+    private void reconnect() {
         if (link != null) {
             link.close();
         }
-        lines = new Line();
+        lineReader = new Line();
         connected = false;
-        written = false;
-        answeredAt = Double.NEGATIVE_INFINITY;
+        probeWritten = false;
+        lastAnswerAt = Double.NEGATIVE_INFINITY;
         link = router.loop().connect(address, this);
     }
 
@@ -141,73 +141,73 @@
      * Asks; not just after an answer, as that one's double may still come and would be taken for
      * the answer to this.
      */
-    private void question() {
-        double settled = answeredAt + router.doubleMayFollow();
+    private void sendProbe() {
+        double settled = lastAnswerAt + router.duplicateAnswerWindow();
         double now = router.now();
         if (now < settled) {
             Link of = link;
-            double asked = askedAt;
+            double asked = probeStartedAt;
             router.loop()
                     .after(
                             settled - now,
                             () -> {
-                                if (link == of && askedAt == asked && !written) {
-                                    question();
+                                if (link == of && probeStartedAt == asked && !probeWritten) {
+                                    sendProbe();
                                 }
                             });
             return;
         }
-        written = true;
-        link.write(QUESTION.duplicate());
+        probeWritten = true;
+        link.write(STATS_REQUEST.duplicate());
     }
 
     /** Ends the kept connection; a question still out counts as not answered. */
-    void hangUp() {
-        if (link != null || router.kept().leaveLine(this)) {
-            drop();
-            if (!Double.isNaN(askedAt)) {
-                router.loop().execute(() -> answer(false, Report.NONE));
+    void disconnect() {
+        if (link != null || router.probeConnections().cancelWait(this)) {
+            releaseConnection();
+            if (!Double.isNaN(probeStartedAt)) {
+                router.loop().execute(() -> endProbe(false, Report.NONE));
             }
         }
     }
 
-    private void answer(boolean answered, Report report) {
-        if (Double.isNaN(askedAt)) {
+    private void endProbe(boolean answered, Report report) {
+        if (Double.isNaN(probeStartedAt)) {
             return;
         }
-        double took = router.now() - askedAt;
-        askedAt = Double.NaN;
-        written = false;
-        answeredAt = router.now();
-        if (patience != null) {
-            patience.cancel();
-            patience = null;
+        double took = router.now() - probeStartedAt;
+        probeStartedAt = Double.NaN;
+        probeWritten = false;
+        lastAnswerAt = router.now();
+        if (probeTimer != null) {
+            probeTimer.cancel();
+            probeTimer = null;
         }
         if (!answered) {
             // A late answer would be taken for that to the next question.
-            drop();
+            releaseConnection();
         } else {
-            router.kept().rests(this, link != null);
-            router.serveLine();
+            router.probeConnections().setIdle(this, link != null);
+            router.retryWaitingProbe();
         }
-        unheard = !answered;
+        unresponsive = !answered;
         router.tally().count(answered ? "probes answered" : "probes failed");
-        if (unheard) {
-            router.hostUnheard(this);
+        if (unresponsive) {
+            router.hostUnresponsive(this);
         }
-        router.hear(
+        router.enqueueNews(
                 news -> {
                     news.probeEnded(host, answered, took);
-                    tell(news, report);
+                    reportLoad(news, report);
                 });
     }
 
     /** Whether the host left the latest question unanswered. */
-    boolean unheard() {
-        return unheard;
+    boolean isUnresponsive() {
+        return unresponsive;
     }
 
-    void tell(News news, Report report) {
+    void reportLoad(News news, Report report) {
         if (!report.empty()) {
             news.hostReported(
                     host, report.loadOverCapacity(), report.openTunnels(), report.queued());
@@ -218,47 +218,47 @@
      * A message on an open tunnel took this long: slow ones are told once a second, and their end
      * once.
      */
-    void messageTook(double delay, double now) {
-        boolean slow = delay > router.slowMessage();
-        if (slow ? now >= messageDelayToldAt + 1 : messagesSlow) {
+    void recordMessageDelay(double delay, double now) {
+        boolean slow = delay > router.slowMessageDelay();
+        if (slow ? now >= messageDelayReportedAt + 1 : messagesSlow) {
             messagesSlow = slow;
-            messageDelayToldAt = now;
-            router.hear(news -> news.messageDelayNoted(host, delay));
+            messageDelayReportedAt = now;
+            router.enqueueNews(news -> news.messageDelayNoted(host, delay));
         }
     }
 
     @Override
     public void connected() {
         connected = true;
-        if (!Double.isNaN(askedAt)) {
-            question();
+        if (!Double.isNaN(probeStartedAt)) {
+            sendProbe();
         }
     }
 
     @Override
     public void notConnected() {
-        lost();
+        connectionLost();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (!written) {
-            outOfStep();
+        if (!probeWritten) {
+            handleUnexpectedBytes();
             return;
         }
         try {
-            byte[] line = lines.next(bytes);
+            byte[] line = lineReader.next(bytes);
             if (line == null) {
                 return;
             }
             HostLine said = HostLine.read(Line.text(line));
-            answer(said.word() == HostLine.Word.PONG, said.report());
+            endProbe(said.word() == HostLine.Word.PONG, said.report());
             if (bytes.hasRemaining() && link != null) {
-                outOfStep();
+                handleUnexpectedBytes();
             }
         } catch (Unreadable e) {
             router.tally().count("probes unreadable");
-            lost();
+            connectionLost();
         }
     }
 
@@ -266,12 +266,12 @@
      * What nobody asked for, as a second answer: whatever comes on this connection later may belong
      * to an earlier question.
      */
-    private void outOfStep() {
+    private void handleUnexpectedBytes() {
         router.tally().count("probe connections out of step");
-        if (Double.isNaN(askedAt)) {
-            hangUp();
+        if (Double.isNaN(probeStartedAt)) {
+            disconnect();
         } else {
-            connectAnew();
+            reconnect();
         }
     }
 
@@ -287,16 +287,18 @@
      */
     @Override
     public void broken() {
-        if (!Double.isNaN(askedAt) && answeredAt > Double.NEGATIVE_INFINITY && !lines.begun()) {
+        if (!Double.isNaN(probeStartedAt)
+                && lastAnswerAt > Double.NEGATIVE_INFINITY
+                && !lineReader.begun()) {
             router.tally().count("probes asked again");
-            connectAnew();
+            reconnect();
         } else {
-            lost();
+            connectionLost();
         }
     }
 
-    private void lost() {
-        drop();
-        answer(false, Report.NONE);
+    private void connectionLost() {
+        releaseConnection();
+        endProbe(false, Report.NONE);
     }
 }
--- a/node/src/main/java/embershift/routing/Peers.java
+++ b/node/src/main/java/embershift/routing/Peers.java
@@ -11,17 +11,17 @@
 /** The other nodes, as far as this one may speak to them. */
 final class Peers {
 
-    private static final int LONGEST = 256;
+    private static final int MAX_DATAGRAM_BYTES = 256;
 
     private final Router router;
     private List<InetSocketAddress> addresses;
-    private InetSocketAddress all;
-    private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
+    private InetSocketAddress broadcastAddress;
+    private final Map<InetSocketAddress, Integer> nodeNumbers = new HashMap<>();
     private final Datagrams socket;
 
     Peers(Router router, NodeConfiguration configuration) throws IOException {
         this.router = router;
-        reachedBy(configuration);
+        setAddresses(configuration);
         socket =
                 configuration.peerListen() == null
                         ? null
@@ -40,12 +40,12 @@
     }
 
     /** Where the other nodes are, at the start and when that has changed. */
-    void reachedBy(NodeConfiguration configuration) {
+    void setAddresses(NodeConfiguration configuration) {
         addresses = configuration.peers();
-        all = configuration.peersAll();
-        numbers.clear();
+        broadcastAddress = configuration.peersAll();
+        nodeNumbers.clear();
         for (int i = 0; i < addresses.size(); i++) {
-            numbers.put(addresses.get(i), i);
+            nodeNumbers.put(addresses.get(i), i);
         }
     }
 
@@ -58,30 +58,30 @@
     }
 
     private void received(InetSocketAddress from, byte[] content) {
-        Integer node = numbers.get(from);
-        if (node == null || content.length > LONGEST) {
+        Integer node = nodeNumbers.get(from);
+        if (node == null || content.length > MAX_DATAGRAM_BYTES) {
             router.tally().count("datagrams dropped");
             return;
         }
         router.tally().count("datagrams received");
-        router.hear(news -> news.nodeHeard(node, content));
+        router.enqueueNews(news -> news.nodeHeard(node, content));
     }
 
-    void tell(int node, byte[] content) {
+    void sendTo(int node, byte[] content) {
         if (node >= 0 && node < addresses.size()) {
             send(addresses.get(node), content);
         }
     }
 
-    void tellAll(byte[] content) {
-        send(all, content);
+    void sendToAll(byte[] content) {
+        send(broadcastAddress, content);
     }
 
     private void send(InetSocketAddress to, byte[] content) {
         boolean sent =
                 socket != null
                         && to != null
-                        && content.length <= LONGEST
+                        && content.length <= MAX_DATAGRAM_BYTES
                         && socket.send(to, content);
         router.tally().count(sent ? "datagrams sent" : "datagrams not sent");
     }
--- a/node/src/main/java/embershift/routing/KeptConnections.java
+++ b/node/src/main/java/embershift/routing/ProbeConnectionPool.java
@@ -12,24 +12,24 @@
  *
  * @param <T> one host
  */
-final class KeptConnections<T> {
+final class ProbeConnectionPool<T> {
 
-    private final BooleanSupplier room;
+    private final BooleanSupplier hasRoomBeyondReserve;
     private final Consumer<T> close;
     private int reserved;
     private int open;
 
     /** Those with a connection on which nothing is out, the longest resting first. */
-    private final Set<T> resting = new LinkedHashSet<>();
+    private final Set<T> idle = new LinkedHashSet<>();
 
-    private final Set<T> line = new LinkedHashSet<>();
+    private final Set<T> waiting = new LinkedHashSet<>();
 
     /**
      * {@code room}: whether one more may be opened than is reserved; {@code close}: has one give
      * its connection up.
      */
-    KeptConnections(BooleanSupplier room, Consumer<T> close) {
-        this.room = room;
+    ProbeConnectionPool(BooleanSupplier room, Consumer<T> close) {
+        this.hasRoomBeyondReserve = room;
         this.close = close;
     }
 
@@ -38,46 +38,46 @@
     }
 
     /** Reserved descriptors that are not taken now. */
-    int unused() {
+    int unusedReserve() {
         return Math.max(0, reserved - open);
     }
 
     /** Whether it may open a connection now; else it is in line. */
-    boolean take(T host) {
-        if (open >= reserved && !room.getAsBoolean()) {
-            if (resting.isEmpty()) {
-                line.add(host);
+    boolean tryAcquire(T host) {
+        if (open >= reserved && !hasRoomBeyondReserve.getAsBoolean()) {
+            if (idle.isEmpty()) {
+                waiting.add(host);
                 return false;
             }
-            close.accept(resting.iterator().next());
+            close.accept(idle.iterator().next());
         }
-        line.remove(host);
+        waiting.remove(host);
         open++;
         return true;
     }
 
     /** Its connection is closed. */
-    void closed(T host) {
+    void released(T host) {
         open--;
-        resting.remove(host);
+        idle.remove(host);
     }
 
     /** Nothing is out on its connection, or something is. */
-    void rests(T host, boolean does) {
+    void setIdle(T host, boolean does) {
         if (does) {
-            resting.add(host);
+            idle.add(host);
         } else {
-            resting.remove(host);
+            idle.remove(host);
         }
     }
 
     /** Whether it was in line, which it leaves. */
-    boolean leaveLine(T host) {
-        return line.remove(host);
+    boolean cancelWait(T host) {
+        return waiting.remove(host);
     }
 
     /** Who waits the longest, or null. */
-    T first() {
-        return line.isEmpty() ? null : line.iterator().next();
+    T firstWaiting() {
+        return waiting.isEmpty() ? null : waiting.iterator().next();
     }
 }
--- a/node/src/main/java/embershift/routing/Roster.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -17,39 +17,39 @@
  * up is decided by {@link WatchSchedule}; where the module is the one to ask, it may have them
  * begin sooner after a failure.
  */
-final class Roster implements Link.Events {
+final class RosterClient implements Link.Events {
 
     private final Router router;
-    private final boolean byItself;
+    private final boolean alwaysWatches;
     private final WatchSchedule schedule;
     private InetSocketAddress address;
-    private String hostLine;
+    private String hostHeader;
     private Link link;
     private HttpReply reply;
     private Loop.Timer timer;
     private long generation = -1;
     private boolean watching;
-    private boolean wholeWanted;
+    private boolean fullListWanted;
 
     /** Whether the call that is out asks for the whole list. */
-    private boolean wholeAsked;
+    private boolean fullListRequested;
 
-    private boolean usedBefore;
+    private boolean reusedConnection;
 
     /** Lists come from elsewhere: discovery is not asked. */
-    private boolean led;
+    private boolean external;
 
     /** {@code byItself}: the module counts on news that come unasked, and never asks for them. */
-    Roster(Router router, InetSocketAddress address, boolean byItself, long seed) {
+    RosterClient(Router router, InetSocketAddress address, boolean byItself, long seed) {
         this.router = router;
-        this.byItself = byItself;
+        this.alwaysWatches = byItself;
         schedule = new WatchSchedule(byItself, new Chance(~seed)::nextApart);
-        at(address);
+        setAddress(address);
     }
 
-    private void at(InetSocketAddress where) {
+    private void setAddress(InetSocketAddress where) {
         address = where;
-        hostLine = "Host: " + where.getAddress().getHostAddress() + ":" + where.getPort();
+        hostHeader = "Host: " + where.getAddress().getHostAddress() + ":" + where.getPort();
     }
 
     /**
@@ -61,7 +61,7 @@
         if (where.equals(address)) {
             return;
         }
-        at(where);
+        setAddress(where);
         stop();
         generation = -1;
         watch(true);
@@ -75,49 +75,49 @@
      * Lists come from elsewhere from now on, or do no more: then discovery is asked again, for all
      * of it.
      */
-    void led(boolean on) {
-        led = on;
+    void useExternalRoster(boolean on) {
+        external = on;
         if (on) {
             stop();
-            wholeWanted = false;
+            fullListWanted = false;
         } else {
             generation = -1;
-            if (watching || byItself) {
+            if (watching || alwaysWatches) {
                 watch(true);
             }
         }
     }
 
-    void known(long generation) {
+    void setGeneration(long generation) {
         this.generation = generation;
     }
 
     private void stop() {
-        hangUp();
+        closeConnection();
         schedule.stopped();
-        follow();
+        scheduleNext();
     }
 
     void watch(boolean on) {
         watching = on;
-        if (on && !schedule.calling() && !led) {
-            call();
+        if (on && !schedule.calling() && !external) {
+            startCall();
         }
     }
 
-    void ask() {
-        if (led) {
-            router.listedElsewhere();
+    void requestFullList() {
+        if (external) {
+            router.applyExternalRoster();
             return;
         }
-        wholeWanted = true;
+        fullListWanted = true;
         if (!schedule.calling()) {
-            call();
+            startCall();
         }
     }
 
     /** Looks at the schedule again when something is due. */
-    private void follow() {
+    private void scheduleNext() {
         if (timer != null) {
             timer.cancel();
             timer = null;
@@ -129,31 +129,31 @@
                                     Math.max(0, schedule.due() - router.now()),
                                     () -> {
                                         if (schedule.calling()) {
-                                            failed();
+                                            callFailed();
                                         } else {
-                                            call();
+                                            startCall();
                                         }
                                     });
         }
     }
 
-    private void call() {
+    private void startCall() {
         reply = new HttpReply();
         router.tally().count("roster calls");
-        usedBefore = link != null;
-        schedule.called(router.now(), usedBefore);
-        follow();
+        reusedConnection = link != null;
+        schedule.called(router.now(), reusedConnection);
+        scheduleNext();
         if (link == null) {
             link = router.loop().connect(address, this);
         } else {
-            send();
+            sendRequest();
         }
     }
 
-    private void send() {
-        wholeAsked = wholeWanted || generation < 0;
+    private void sendRequest() {
+        fullListRequested = fullListWanted || generation < 0;
         String query =
-                wholeAsked
+                fullListRequested
                         ? ""
                         : "?after=" + generation + "&wait_ms=" + (long) (schedule.mayWait() * 1000);
         link.write(
@@ -161,84 +161,85 @@
                         ("GET /api/targets"
                                         + query
                                         + " HTTP/1.1\r\n"
-                                        + hostLine
+                                        + hostHeader
                                         + "\r\nAccept: application/json\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII)));
     }
 
-    private void hangUp() {
+    private void closeConnection() {
         if (link != null) {
             link.close();
             link = null;
         }
     }
 
-    private void failed() {
-        hangUp();
+    private void callFailed() {
+        closeConnection();
         if (!schedule.calling()) {
             return;
         }
-        wholeWanted = false;
+        fullListWanted = false;
         if (watching) {
             schedule.failed(router.now());
         } else {
             schedule.stopped();
         }
         router.tally().count("roster calls failed");
-        goOn();
-        if (!byItself) {
-            router.hear(News::rosterLost);
+        continueWatch();
+        if (!alwaysWatches) {
+            router.enqueueNews(News::rosterLost);
         }
     }
 
-    private void answered() {
+    private void replyReceived() {
         if (!reply.keptOpen()) {
-            hangUp();
+            closeConnection();
         }
         if (reply.status() != 200) {
-            failed();
+            callFailed();
             return;
         }
         RosterPage page;
         try {
             page = RosterPage.read(reply.body());
         } catch (Unreadable e) {
-            failed();
+            callFailed();
             return;
         }
         boolean sameAgain =
                 page.generation() == generation
                         && !page.listings().isEmpty()
                         && schedule.early(router.now());
-        if (usedBefore && (page.generation() < generation || (!wholeAsked && sameAgain))) {
+        if (reusedConnection
+                && (page.generation() < generation || (!fullListRequested && sameAgain))) {
             // On one connection versions only grow: this is an earlier answer that came once more,
             // and the call that is
             // out still waits there.
-            outOfStep();
+            repeatOnNewConnection();
             return;
         }
         // A discovery that came back may count anew: what has changed since its first version is
         // not all that has.
         boolean counted = page.whole() || page.generation() >= generation;
-        wholeWanted = (wholeWanted && !page.whole() && !wholeAsked) || !counted;
+        fullListWanted = (fullListWanted && !page.whole() && !fullListRequested) || !counted;
         schedule.answered(router.now(), page.generation() != generation);
         generation = page.generation();
-        router.discoverySaid(page);
-        if (led || (!watching && !wholeWanted)) {
+        router.discoveryAnswered(page);
+        if (external || (!watching && !fullListWanted)) {
             schedule.stopped();
-            follow();
-        } else if (wholeWanted) {
-            call();
+            scheduleNext();
+        } else if (fullListWanted) {
+            startCall();
         } else {
-            goOn();
+            continueWatch();
         }
     }
 
-    private void goOn() {
+    private void continueWatch() {
         if (schedule.due() <= router.now()) {
-            call();
+            startCall();
         } else {
-            follow();
+            scheduleNext();
         }
     }
 
@@ -246,29 +247,29 @@
      * What comes on this connection answers other calls than the one that is out: that one is made
      * anew.
      */
-    private void outOfStep() {
+    private void repeatOnNewConnection() {
         router.tally().count("roster connections out of step");
-        hangUp();
-        call();
+        closeConnection();
+        startCall();
     }
 
     @Override
     public void connected() {
         if (schedule.calling()) {
-            send();
+            sendRequest();
         }
     }
 
     @Override
     public void notConnected() {
         link = null;
-        failed();
+        callFailed();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
         if (!schedule.calling()) {
-            hangUp();
+            closeConnection();
             return;
         }
         try {
@@ -276,37 +277,37 @@
                 if (bytes.hasRemaining()) {
                     // More than was asked for, as a second answer: the rest of it would be taken
                     // for the next one.
-                    hangUp();
+                    closeConnection();
                 }
-                answered();
+                replyReceived();
             }
         } catch (Unreadable e) {
-            failed();
+            callFailed();
         }
     }
 
     @Override
     public void ended() {
-        gone();
+        connectionEnded();
     }
 
     @Override
     public void broken() {
-        gone();
+        connectionEnded();
     }
 
-    private void gone() {
-        hangUp();
+    private void connectionEnded() {
+        closeConnection();
         if (!schedule.calling()) {
             return;
         }
         if (reply.end()) {
-            answered();
-        } else if (usedBefore && !reply.begun()) {
+            replyReceived();
+        } else if (reusedConnection && !reply.begun()) {
             // A kept connection may be ended by the other side just as a call goes out on it.
-            call();
+            startCall();
         } else {
-            failed();
+            callFailed();
         }
     }
 }
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -36,104 +36,104 @@
      * By how much a client's wait is taken shorter, as a part of it, and in seconds at the most:
      * its line was under way, and a node that starts or shares its core may be late by that much.
      */
-    private static final double MARGIN = 0.1;
+    private static final double MARGIN_FRACTION = 0.1;
 
-    private static final double MOST_MARGIN = 0.1;
+    private static final double MAX_MARGIN_SECONDS = 0.1;
 
     /**
      * Seconds until a tunnel that stood before is sent to its host again, where that did not take
      * it.
      */
-    private static final double RESUME_AGAIN = 0.25;
+    private static final double RESUME_RETRY_SECONDS = 0.25;
 
     /**
      * Seconds after which a line that brought none back is looked into, as its host may have
      * vanished.
      */
-    static final double QUIET = 1.5;
+    static final double QUIET_SECONDS = 1.5;
 
     /** Seconds more after which its tunnel is ended in any case. */
-    private static final double SILENCE = 2.5;
+    private static final double SILENCE_SECONDS = 2.5;
 
-    private static final double ENDING = 0.8;
-    private static final double SWEEP = 0.1;
-    private static final double LEAST_WAKE = 0.002;
-    private static final int MOST_FAULTS = 20;
+    private static final double CLOSING_SECONDS = 0.8;
+    private static final double SWEEP_SECONDS = 0.1;
+    private static final double MIN_WAKE_SECONDS = 0.002;
+    private static final int MAX_LOGGED_FAULTS = 20;
 
     /** Descriptors kept for operators, which neither tunnels nor strangers may take. */
-    public static final int OPERATORS = 32;
+    public static final int OPERATOR_DESCRIPTORS = 32;
 
     /**
      * Part of the connect time-out, and its multiple, that setups given up and probes are waited
      * for.
      */
-    private static final double END_PATIENCE = 0.4;
+    private static final double GIVE_UP_FRACTION = 0.4;
 
-    private static final double PROBE_PATIENCE = 1.6;
+    private static final double PROBE_TIMEOUT_FACTOR = 1.6;
 
     /** Part of it within which a host's answer may come a second time. */
-    private static final double DOUBLE = 0.2;
+    private static final double DUPLICATE_ANSWER_FRACTION = 0.2;
 
     /** Part of the shortest setup goal from which a message counts as slow. */
-    private static final double SLOW_MESSAGE = 1 / 3.0;
+    private static final double SLOW_MESSAGE_FRACTION = 1 / 3.0;
 
     /**
      * Part of the descriptors, and their least number, that are for the connections on which hosts
      * are asked.
      */
-    private static final int KEPT_PART = 8;
+    private static final int PROBE_DESCRIPTORS_DIVISOR = 8;
 
-    private static final int LEAST_KEPT = 8;
+    private static final int MIN_PROBE_DESCRIPTORS = 8;
 
     private final Loop loop;
     private final Deployment deployment;
     private final Filling filling;
-    private final Policy module;
+    private final Policy policy;
     private final Consumer<String> log;
     private final Tally tally;
 
     /**
      * By the names that the module knows; those that clients gave, of the same passages, beside it.
      */
-    private final Map<TunnelId, Passage> passages = new HashMap<>();
+    private final Map<TunnelId, TunnelRelay> relays = new HashMap<>();
 
     private final Set<TunnelId> idsInUse = new HashSet<>();
-    private long named;
-    private final Map<HostId, Contact> contacts = new HashMap<>();
-    private final List<Passage> unplaced = new ArrayList<>();
-    private final Strangers strangers;
-    private final KeptConnections<Contact> kept;
-    private boolean lineDue;
-    private final Ageing<Passage> silences = new Ageing<>(QUIET);
-    private final Ageing<Passage> longSilences = new Ageing<>(SILENCE);
-    private final Ageing<Passage> endings = new Ageing<>(ENDING);
-    private final Roster roster;
+    private long relayCount;
+    private final Map<HostId, HostEndpoint> endpoints = new HashMap<>();
+    private final List<TunnelRelay> unresumed = new ArrayList<>();
+    private final UnopenedConnections unopenedConnections;
+    private final ProbeConnectionPool<HostEndpoint> probeConnections;
+    private boolean probeRetryDue;
+    private final TimeoutQueue<TunnelRelay> awaitingReply = new TimeoutQueue<>(QUIET_SECONDS);
+    private final TimeoutQueue<TunnelRelay> quietTunnels = new TimeoutQueue<>(SILENCE_SECONDS);
+    private final TimeoutQueue<TunnelRelay> closingTunnels = new TimeoutQueue<>(CLOSING_SECONDS);
+    private final RosterClient roster;
     private final Peers peers;
-    private Lists lists;
+    private ExternalRoster externalRoster;
     private final double connectTimeout;
-    private final double slowMessage;
-    private List<Consumer<News>> arrivals = new ArrayList<>();
+    private final double slowMessageDelay;
+    private List<Consumer<News>> pendingNews = new ArrayList<>();
     private boolean roundDue;
 
     /** Places in the code whose faults have been told: each is told once. */
-    private final Set<String> faultsTold = new HashSet<>();
+    private final Set<String> loggedFaults = new HashSet<>();
 
     private boolean leaving;
     private boolean replaced;
     private Loop.Listening listening;
 
     /** Whether operators have an address, and so descriptors of their own. */
-    private final boolean operators;
+    private final boolean hasOperators;
 
-    private int descriptors;
+    private int descriptorLimit;
 
     /**
      * Tunnels that wait and have no connection to a host, but will have one: in one wake-up many
      * may be taken in.
      */
-    private int unlinked;
+    private int neededHostConnections;
 
-    private final DescriptorShare share = new DescriptorShare();
+    private final DescriptorShare descriptorShare = new DescriptorShare();
     private int listedHosts;
     private int avoidedHosts;
 
@@ -143,22 +143,27 @@
         this.log = log;
         deployment = configuration.deployment();
         filling = new Filling(deployment);
-        module = new Policy(deployment, filling);
+        policy = new Policy(deployment, filling);
         tally = new Tally(deployment);
         connectTimeout = deployment.connectTimeout() > 0 ? deployment.connectTimeout() : 0.25;
-        slowMessage =
-                SLOW_MESSAGE
+        slowMessageDelay =
+                SLOW_MESSAGE_FRACTION
                         * deployment.profiles().stream()
                                 .mapToDouble(Deployment.Profile::setupGoal)
                                 .min()
                                 .orElse(1);
-        operators = configuration.operated();
-        descriptors = configuration.sockets();
-        kept = new KeptConnections<>(this::roomForHost, Contact::hangUp);
-        strangers = new Strangers(loop, tally, () -> unlinked + kept.unused());
-        limitStrangers();
+        hasOperators = configuration.operated();
+        descriptorLimit = configuration.sockets();
+        probeConnections =
+                new ProbeConnectionPool<>(this::hasRoomForProbe, HostEndpoint::disconnect);
+        unopenedConnections =
+                new UnopenedConnections(
+                        loop,
+                        tally,
+                        () -> neededHostConnections + probeConnections.unusedReserve());
+        applyDescriptorLimits();
         roster =
-                new Roster(
+                new RosterClient(
                         this,
                         configuration.discovery(),
                         !deployment.rosterOnRequest(),
@@ -166,9 +171,9 @@
         peers = new Peers(this, configuration);
         if (configuration.known() != null) {
             RosterPage known = configuration.known();
-            roster.known(known.generation());
-            addresses(known);
-            hear(news -> news.rosterListed(known.listings(), true));
+            roster.setGeneration(known.generation());
+            updateEndpoints(known);
+            enqueueNews(news -> news.rosterListed(known.listings(), true));
         }
         if (!deployment.rosterOnRequest()) {
             roster.watch(true);
@@ -177,60 +182,60 @@
     }
 
     /** Lists of hosts that come from elsewhere than discovery. */
-    public interface Lists {
+    public interface ExternalRoster {
 
         /** Discovery has said something itself, of this generation. */
-        void discoverySaid(long generation);
+        void discoveryAnswered(long generation);
 
         /** The whole list, as it was told last. */
-        RosterPage whole();
+        RosterPage fullList();
     }
 
-    /** Who may tell lists from now on, once {@link #led} says that they hold. */
-    public void lists(Lists others) {
-        lists = others;
+    /** Who may tell lists from now on, once {@link #useExternalRoster} says that they hold. */
+    public void setExternalRoster(ExternalRoster others) {
+        externalRoster = others;
     }
 
     /** Whether lists come from elsewhere now, and discovery is not asked. */
-    public void led(boolean on) {
-        roster.led(on);
+    public void useExternalRoster(boolean on) {
+        roster.useExternalRoster(on);
     }
 
     /** The module wants the whole list. */
-    void listedElsewhere() {
+    void applyExternalRoster() {
         // After the round in which it asked.
-        loop.execute(() -> listed(lists.whole()));
+        loop.execute(() -> applyRoster(externalRoster.fullList()));
     }
 
-    void discoverySaid(RosterPage page) {
-        if (lists != null) {
-            lists.discoverySaid(page.generation());
+    void discoveryAnswered(RosterPage page) {
+        if (externalRoster != null) {
+            externalRoster.discoveryAnswered(page.generation());
         }
-        listed(page);
+        applyRoster(page);
     }
 
     /** Where discovery is asked, and how many descriptors may be held, as this node goes by it. */
-    public InetSocketAddress discovery() {
+    public InetSocketAddress discoveryAddress() {
         return roster.address();
     }
 
-    public int descriptors() {
-        return descriptors;
+    public int descriptorLimit() {
+        return descriptorLimit;
     }
 
-    public List<InetSocketAddress> peers() {
+    public List<InetSocketAddress> peerAddresses() {
         return peers.addresses();
     }
 
     /** Setups sent to that host since this node's start. */
-    public long setUps(HostId host) {
-        Contact contact = contacts.get(host);
-        return contact == null ? 0 : contact.setUps;
+    public long setupsSent(HostId host) {
+        HostEndpoint contact = endpoints.get(host);
+        return contact == null ? 0 : contact.setupsSent;
     }
 
-    private void accepted(Link link) {
+    private void connectionAccepted(Link link) {
         tally.count("connections taken in");
-        strangers.begin(new Passage(this, link));
+        unopenedConnections.add(new TunnelRelay(this, link));
     }
 
     /**
@@ -238,27 +243,28 @@
      * as well.
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        listening = loop.listen(address, operators, strangers, this::accepted);
+        listening =
+                loop.listen(address, hasOperators, unopenedConnections, this::connectionAccepted);
         return listening.address();
     }
 
     /** Goes by a new configuration, as far as that can change while tunnels stand. */
     public void reconfigure(NodeConfiguration next) {
         roster.moveTo(next.discovery());
-        peers.reachedBy(next);
-        descriptors = next.sockets();
-        limitStrangers();
+        peers.setAddresses(next);
+        descriptorLimit = next.sockets();
+        applyDescriptorLimits();
     }
 
     /**
      * Tunnels that fill a host, as far as this process has learned: one that follows wants to know.
      */
-    public double tunnelsThatFill() {
+    public double tunnelsPerFullHost() {
         return filling.tunnels();
     }
 
     /** What another process at this address has learned of that. */
-    public void toldOfFilling(double tunnels) {
+    public void learnTunnelsPerFullHost(double tunnels) {
         filling.told(tunnels);
     }
 
@@ -266,48 +272,54 @@
      * So many descriptors other processes at this node's address hold or may yet take, and so many
      * they are.
      */
-    public void heldElsewhere(int many, int processes) {
-        if (share.told(descriptors, loop.descriptors(), many, processes)) {
-            limitStrangers();
+    public void setDescriptorsHeldElsewhere(int many, int processes) {
+        if (descriptorShare.update(descriptorLimit, loop.descriptors(), many, processes)) {
+            applyDescriptorLimits();
         }
     }
 
     /** Descriptors that this process tells others at its address to be its own. */
     public int claimedDescriptors() {
-        return share.claimed(descriptors, loop.descriptors(), leaving, OPERATORS);
+        return descriptorShare.claimed(
+                descriptorLimit, loop.descriptors(), leaving, OPERATOR_DESCRIPTORS);
     }
 
-    private void limitStrangers() {
-        kept.reserve(deployment.mayProbe() ? Math.max(LEAST_KEPT, descriptors / KEPT_PART) : 0);
-        strangers.limit(mostDescriptors() - (operators ? OPERATORS : 0));
+    private void applyDescriptorLimits() {
+        probeConnections.reserve(
+                deployment.mayProbe()
+                        ? Math.max(
+                                MIN_PROBE_DESCRIPTORS, descriptorLimit / PROBE_DESCRIPTORS_DIVISOR)
+                        : 0);
+        unopenedConnections.setDescriptorLimit(
+                allowedDescriptors() - (hasOperators ? OPERATOR_DESCRIPTORS : 0));
     }
 
     /** Descriptors that this process may hold now. */
-    public int mostDescriptors() {
-        return share.most(descriptors);
+    public int allowedDescriptors() {
+        return descriptorShare.allowed(descriptorLimit);
     }
 
-    KeptConnections<Contact> kept() {
-        return kept;
+    ProbeConnectionPool<HostEndpoint> probeConnections() {
+        return probeConnections;
     }
 
     /**
      * Whether one more host may be reached for a question than there are descriptors for that
      * alone.
      */
-    private boolean roomForHost() {
-        return strangers.makeRoom();
+    private boolean hasRoomForProbe() {
+        return unopenedConnections.makeRoom();
     }
 
     /** Has the next in line for a kept connection try again, behind what is under way. */
-    void serveLine() {
-        if (kept.first() != null && !lineDue) {
-            lineDue = true;
+    void retryWaitingProbe() {
+        if (probeConnections.firstWaiting() != null && !probeRetryDue) {
+            probeRetryDue = true;
             loop.execute(
                     () -> {
-                        lineDue = false;
-                        if (kept.first() != null) {
-                            kept.first().reach();
+                        probeRetryDue = false;
+                        if (probeConnections.firstWaiting() != null) {
+                            probeConnections.firstWaiting().connectForProbe();
                         }
                     });
         }
@@ -324,14 +336,14 @@
             listening.close();
             peers.close();
         }
-        hear(news -> news.nodeLeaving(replaced));
+        enqueueNews(news -> news.nodeLeaving(replaced));
     }
 
     /**
      * Whether the node is about to stop: its front must not take it for one that has just started.
      * Where another process serves in its place it still is what the front takes it for.
      */
-    boolean stopping() {
+    boolean isStopping() {
         return leaving && !replaced;
     }
 
@@ -339,20 +351,22 @@
      * Whether no tunnel is left, nor anybody whose first line has begun; where the node is
      * replaced, nobody whose first line may still come: its front sends it nothing more.
      */
-    public boolean empty() {
-        return passages.isEmpty()
-                && !(replaced ? strangers.any() || listening.waiting() > 0 : strangers.anyBegun());
+    public boolean isDrained() {
+        return relays.isEmpty()
+                && !(replaced
+                        ? unopenedConnections.hasAny() || listening.waiting() > 0
+                        : unopenedConnections.hasPartialFirstLine());
     }
 
     /** Whether a list or a ban has named this host. */
     public boolean knows(HostId host) {
-        return contacts.containsKey(host);
+        return endpoints.containsKey(host);
     }
 
     /** Staff take a host out, or back; {@code done} runs once that holds. */
-    public void byHand(HostId host, boolean out, Runnable done) {
-        contact(host).byHand = out;
-        hear(news -> news.hostByHand(host, out));
+    public void setOutOfService(HostId host, boolean out, Runnable done) {
+        endpoint(host).outOfService = out;
+        enqueueNews(news -> news.hostByHand(host, out));
         log.accept("by hand: " + host.name() + (out ? " out" : " back"));
         // Behind the round that takes it.
         loop.execute(done);
@@ -360,7 +374,7 @@
 
     /** Tunnels taken and not ended. */
     public int openTunnels() {
-        return passages.size();
+        return relays.size();
     }
 
     /** Hosts on the list as last told. */
@@ -381,12 +395,12 @@
         if (listening != null) {
             listening.handOverAll();
         }
-        new ArrayList<>(passages.values()).forEach(Passage::stop);
-        strangers.turnAway();
+        new ArrayList<>(relays.values()).forEach(TunnelRelay::stop);
+        unopenedConnections.closeAll();
     }
 
     /** Where datagrams of other nodes come in; null where there are none. */
-    InetSocketAddress peerAddress() {
+    InetSocketAddress peerListenAddress() {
         return peers.address();
     }
 
@@ -406,87 +420,87 @@
         return connectTimeout;
     }
 
-    double probePatience() {
-        return connectTimeout * PROBE_PATIENCE;
+    double probeTimeout() {
+        return connectTimeout * PROBE_TIMEOUT_FACTOR;
     }
 
-    double endPatience() {
-        return connectTimeout * END_PATIENCE;
+    double giveUpTimeout() {
+        return connectTimeout * GIVE_UP_FRACTION;
     }
 
     /** Seconds for which an answer may be followed by its own double. */
-    double doubleMayFollow() {
-        return connectTimeout * DOUBLE;
+    double duplicateAnswerWindow() {
+        return connectTimeout * DUPLICATE_ANSWER_FRACTION;
     }
 
-    double slowMessage() {
-        return slowMessage;
+    double slowMessageDelay() {
+        return slowMessageDelay;
     }
 
-    Strangers strangers() {
-        return strangers;
+    UnopenedConnections unopenedConnections() {
+        return unopenedConnections;
     }
 
-    Ageing<Passage> silences() {
-        return silences;
+    TimeoutQueue<TunnelRelay> awaitingReply() {
+        return awaitingReply;
     }
 
-    Ageing<Passage> longSilences() {
-        return longSilences;
+    TimeoutQueue<TunnelRelay> quietTunnels() {
+        return quietTunnels;
     }
 
-    Ageing<Passage> endings() {
-        return endings;
+    TimeoutQueue<TunnelRelay> closingTunnels() {
+        return closingTunnels;
     }
 
     private void sweep() {
         double now = now();
-        strangers.expire(now);
-        silences.expire(now, Passage::quiet);
-        longSilences.expire(now, Passage::silent);
-        endings.expire(now, Passage::endingTooLong);
-        listedHosts = module.listed(false);
-        avoidedHosts = module.listed(true);
-        serveLine();
-        loop.after(SWEEP, this::sweep);
+        unopenedConnections.expire(now);
+        awaitingReply.expire(now, TunnelRelay::onHostQuiet);
+        quietTunnels.expire(now, TunnelRelay::onHostSilent);
+        closingTunnels.expire(now, TunnelRelay::onClosingTimeout);
+        listedHosts = policy.listed(false);
+        avoidedHosts = policy.listed(true);
+        retryWaitingProbe();
+        loop.after(SWEEP_SECONDS, this::sweep);
     }
 
     // ---- News ----
 
     /** Keeps a piece of news for the round that follows this wake-up. */
-    void hear(Consumer<News> arrival) {
-        arrivals.add(arrival);
+    void enqueueNews(Consumer<News> arrival) {
+        pendingNews.add(arrival);
         if (!roundDue) {
             roundDue = true;
-            loop.execute(this::round);
+            loop.execute(this::runRound);
         }
     }
 
-    private void round() {
+    private void runRound() {
         roundDue = false;
-        List<Consumer<News>> news = arrivals;
-        arrivals = new ArrayList<>();
+        List<Consumer<News>> news = pendingNews;
+        pendingNews = new ArrayList<>();
         try {
-            module.round(now(), heard -> news.forEach(arrival -> tell(heard, arrival)), this);
+            policy.round(now(), heard -> news.forEach(arrival -> deliver(heard, arrival)), this);
         } catch (RuntimeException e) {
-            fault(e);
+            logFault(e);
         }
     }
 
     /** Guards the rest of a round's news from a piece that the module stumbles over. */
-    private void tell(News heard, Consumer<News> arrival) {
+    private void deliver(News heard, Consumer<News> arrival) {
         try {
             arrival.accept(heard);
         } catch (RuntimeException e) {
-            fault(e);
+            logFault(e);
         }
     }
 
-    private void fault(RuntimeException e) {
+    private void logFault(RuntimeException e) {
         tally.count("faults");
         StackTraceElement[] trace = e.getStackTrace();
-        if (faultsTold.size() < MOST_FAULTS
-                && faultsTold.add(trace.length == 0 ? "" : trace[0].toString())) {
+        if (loggedFaults.size() < MAX_LOGGED_FAULTS
+                && loggedFaults.add(trace.length == 0 ? "" : trace[0].toString())) {
             log.accept("fault: " + e);
             for (StackTraceElement at : trace) {
                 log.accept("    at " + at);
@@ -497,17 +511,17 @@
     /**
      * A host has left a question unanswered: tunnels there that bring no line back have lost it.
      */
-    void hostUnheard(Contact contact) {
-        for (Passage passage : longSilences.all()) {
+    void hostUnresponsive(HostEndpoint contact) {
+        for (TunnelRelay passage : quietTunnels.snapshot()) {
             if (passage.isAt(contact)) {
-                passage.silent();
+                passage.onHostSilent();
             }
         }
     }
 
     /** A tunnel has come to want a connection to a host, or wants it no more. */
-    void wantsLink(boolean does) {
-        unlinked += does ? 1 : -1;
+    void hostConnectionNeeded(boolean does) {
+        neededHostConnections += does ? 1 : -1;
     }
 
     boolean knows(TunnelId id) {
@@ -518,39 +532,39 @@
      * A name for a tunnel that no other has had here: what is still told of one that is over
      * reaches none of the same id.
      */
-    TunnelId named(TunnelId id) {
-        return new TunnelId(id.name() + "." + ++named);
+    TunnelId uniqueId(TunnelId id) {
+        return new TunnelId(id.name() + "." + ++relayCount);
     }
 
     /**
      * A client has opened: its tunnel is the module's to place, or stood at a host before this
      * start.
      */
-    void taken(Passage passage) {
+    void tunnelAccepted(TunnelRelay passage) {
         Opening opening = passage.opening();
-        passages.put(passage.id(), passage);
+        relays.put(passage.id(), passage);
         idsInUse.add(opening.id());
         tally.count("tunnels taken");
         if (!(opening.standingAt() == null
-                ? strangers.makeRoom()
-                : strangers.makeRoomAsPromised())) {
+                ? unopenedConnections.makeRoom()
+                : unopenedConnections.makeRoomForStanding())) {
             // Guards the descriptors: with none left, nothing could be taken in or answered at all.
-            tally.count(Tally.NO_DESCRIPTORS);
-            passage.answer("BUSY", Tally.Outcome.DECLINED);
+            tally.count(Tally.DECLINED_FOR_DESCRIPTORS);
+            passage.sendFinalAnswer("BUSY", Tally.Outcome.DECLINED);
             return;
         }
         if (opening.standingAt() != null) {
             if (!resume(passage)) {
-                unplaced.add(passage);
+                unresumed.add(passage);
             }
             return;
         }
         if (profile(opening.profile()).isEmpty()) {
-            forget(passage);
-            passage.refuse("unknown profile " + opening.profile().name());
+            remove(passage);
+            passage.rejectFirstLine("unknown profile " + opening.profile().name());
             return;
         }
-        hear(
+        enqueueNews(
                 news ->
                         news.tunnelArrived(
                                 passage.id(),
@@ -571,39 +585,39 @@
     /**
      * Seconds from its first setup for which a tunnel that may have run may be sent again (rule 2).
      */
-    double repeatableFor(ProfileId id) {
+    double repeatWindow(ProfileId id) {
         return profile(id)
                 .filter(profile -> profile.repeat() == Deployment.Repeat.REFERENCED)
                 .map(Deployment.Profile::dedupWindow)
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
-    static double margin(double clientTimeout) {
-        return Math.min(MOST_MARGIN, MARGIN * clientTimeout);
+    static double answerMargin(double clientTimeout) {
+        return Math.min(MAX_MARGIN_SECONDS, MARGIN_FRACTION * clientTimeout);
     }
 
     /**
      * Guards standing tunnels against a list that is old: their host may be at another address by
      * now.
      */
-    void resumeLater(Passage passage) {
-        loop.after(RESUME_AGAIN, () -> resume(passage));
+    void resumeLater(TunnelRelay passage) {
+        loop.after(RESUME_RETRY_SECONDS, () -> resume(passage));
     }
 
     /** Sends a tunnel that stood before back to its host, if that is known by now. */
-    private boolean resume(Passage passage) {
-        Contact contact = contacts.get(passage.opening().standingAt());
+    private boolean resume(TunnelRelay passage) {
+        HostEndpoint contact = endpoints.get(passage.opening().standingAt());
         if (contact == null) {
             return false;
         }
-        passage.setUp(contact, 0);
+        passage.sendSetup(contact, 0);
         return true;
     }
 
-    void opened(Passage passage, Contact contact, int setup, double took) {
+    void tunnelOpened(TunnelRelay passage, HostEndpoint contact, int setup, double took) {
         Opening opening = passage.opening();
         if (opening.standingAt() != null) {
-            hear(
+            enqueueNews(
                     news ->
                             news.tunnelStanding(
                                     passage.id(),
@@ -613,53 +627,53 @@
                                     opening.group(),
                                     contact.host));
         } else {
-            hear(news -> news.tunnelOpened(passage.id(), setup, contact.host, took));
+            enqueueNews(news -> news.tunnelOpened(passage.id(), setup, contact.host, took));
         }
     }
 
-    void forget(Passage passage) {
-        if (passages.remove(passage.id()) != null) {
+    void remove(TunnelRelay passage) {
+        if (relays.remove(passage.id()) != null) {
             idsInUse.remove(passage.opening().id());
-            unplaced.remove(passage);
+            unresumed.remove(passage);
         }
     }
 
     /** A list of hosts, or what is new in one. */
-    public void listed(RosterPage page) {
+    public void applyRoster(RosterPage page) {
         tally.add("roster entries unreadable", page.unreadable());
-        addresses(page);
-        hear(
+        updateEndpoints(page);
+        enqueueNews(
                 page.whole()
                         ? news -> news.rosterListed(page.listings(), false)
                         : news -> news.rosterChanged(page.listings()));
         // Over a copy: a client that is found to have left takes its tunnel off the list by itself.
-        for (Passage passage : List.copyOf(unplaced)) {
+        for (TunnelRelay passage : List.copyOf(unresumed)) {
             if (resume(passage)) {
-                unplaced.remove(passage);
+                unresumed.remove(passage);
             }
         }
     }
 
-    private Contact contact(HostId host) {
-        return contacts.computeIfAbsent(host, id -> new Contact(this, id));
+    private HostEndpoint endpoint(HostId host) {
+        return endpoints.computeIfAbsent(host, id -> new HostEndpoint(this, id));
     }
 
-    private void addresses(RosterPage page) {
+    private void updateEndpoints(RosterPage page) {
         if (page.whole()) {
-            contacts.forEach(
+            endpoints.forEach(
                     (host, contact) -> {
                         contact.listedReady = false;
                         if (!page.addresses().containsKey(host)) {
-                            contact.hangUp();
+                            contact.disconnect();
                         }
                     });
         }
-        page.addresses().forEach((host, address) -> contact(host).reachedAt(address));
+        page.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
         for (Listing listing : page.listings()) {
-            Contact contact = contact(listing.host());
+            HostEndpoint contact = endpoint(listing.host());
             contact.listedReady = listing.state() == Listing.State.READY;
             if (listing.state() == Listing.State.GONE) {
-                contact.hangUp();
+                contact.disconnect();
             }
         }
     }
@@ -668,15 +682,15 @@
 
     @Override
     public void setUp(TunnelId id, HostId host, double timeOut) {
-        Passage passage = passages.get(id);
-        if (passage != null && passage.setUp(contact(host), timeOut)) {
-            contact(host).setUps++;
+        TunnelRelay passage = relays.get(id);
+        if (passage != null && passage.sendSetup(endpoint(host), timeOut)) {
+            endpoint(host).setupsSent++;
         }
     }
 
     @Override
     public void cancel(TunnelId id, int setup) {
-        Passage passage = passages.get(id);
+        TunnelRelay passage = relays.get(id);
         if (passage != null) {
             passage.cancel(setup);
         }
@@ -684,7 +698,7 @@
 
     @Override
     public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
-        Passage passage = passages.get(id);
+        TunnelRelay passage = relays.get(id);
         if (passage != null) {
             long millis = (long) Math.ceil(returnAfter * 1000);
             passage.decline(millis > 0 ? "BUSY " + millis : "BUSY", reason);
@@ -693,15 +707,15 @@
 
     @Override
     public void closeWithError(TunnelId id) {
-        Passage passage = passages.get(id);
+        TunnelRelay passage = relays.get(id);
         if (passage != null) {
-            passage.answer("ERR no host took it", Tally.Outcome.CLOSED_WITH_ERROR);
+            passage.sendFinalAnswer("ERR no host took it", Tally.Outcome.CLOSED_WITH_ERROR);
         }
     }
 
     @Override
     public void move(TunnelId id) {
-        Passage passage = passages.get(id);
+        TunnelRelay passage = relays.get(id);
         if (passage != null) {
             passage.move();
         }
@@ -709,14 +723,14 @@
 
     @Override
     public void probe(HostId host) {
-        contact(host).probe();
+        endpoint(host).probe();
     }
 
     @Override
     public void closeIdle(HostId host) {
-        Contact contact = contacts.get(host);
+        HostEndpoint contact = endpoints.get(host);
         if (contact != null) {
-            contact.hangUp();
+            contact.disconnect();
         }
     }
 
@@ -727,23 +741,23 @@
 
     @Override
     public void askRoster() {
-        roster.ask();
+        roster.requestFullList();
     }
 
     @Override
     public void tellNode(int node, byte[] content) {
-        peers.tell(node, content);
+        peers.sendTo(node, content);
     }
 
     @Override
     public void tellAllNodes(byte[] content) {
-        peers.tellAll(content);
+        peers.sendToAll(content);
     }
 
     @Override
     public void wakeAfter(double delay) {
         // Guards the sockets: a module that asks for rounds without a pause would let none be read.
-        loop.after(Math.max(delay, LEAST_WAKE), () -> hear(news -> {}));
+        loop.after(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueNews(news -> {}));
     }
 
     @Override
--- a/node/src/main/java/embershift/routing/Tally.java
+++ b/node/src/main/java/embershift/routing/Tally.java
@@ -32,10 +32,11 @@
     }
 
     /** Setups whose line was written whole to a host. */
-    public static final String RELAYED = "setups written whole";
+    public static final String SETUPS_WRITTEN = "setups written whole";
 
     /** Tunnels that the node itself declined, unseen by the module. */
-    public static final String NO_DESCRIPTORS = "tunnels declined for want of descriptors";
+    public static final String DECLINED_FOR_DESCRIPTORS =
+            "tunnels declined for want of descriptors";
 
     private final Map<String, long[]> counts = new TreeMap<>();
 
--- a/node/src/main/java/embershift/routing/Ageing.java
+++ b/node/src/main/java/embershift/routing/TimeoutQueue.java
@@ -11,54 +11,54 @@
  * Things that may wait for the same time each, oldest first: looking for those that waited too long
  * costs nothing for the others.
  */
-final class Ageing<T> {
+final class TimeoutQueue<T> {
 
-    private final Map<T, Double> since = new LinkedHashMap<>();
-    private final double patience;
+    private final Map<T, Double> addedAt = new LinkedHashMap<>();
+    private final double timeout;
 
-    Ageing(double patience) {
-        this.patience = patience;
+    TimeoutQueue(double patience) {
+        this.timeout = patience;
     }
 
     /** Begins to wait, unless it does already. */
-    void begin(T thing, double now) {
-        since.putIfAbsent(thing, now);
+    void add(T thing, double now) {
+        addedAt.putIfAbsent(thing, now);
     }
 
     /** Ends the wait; returns when it began, or NaN. */
-    double end(T thing) {
-        Double begun = since.remove(thing);
+    double remove(T thing) {
+        Double begun = addedAt.remove(thing);
         return begun == null ? Double.NaN : begun;
     }
 
-    boolean has(T thing) {
-        return since.containsKey(thing);
+    boolean contains(T thing) {
+        return addedAt.containsKey(thing);
     }
 
     /** When the wait of that one began. */
-    double begun(T thing) {
-        return since.get(thing);
+    double addedAt(T thing) {
+        return addedAt.get(thing);
     }
 
     int size() {
-        return since.size();
+        return addedAt.size();
     }
 
     /** The one that waits the longest, or null. */
     T oldest() {
-        return since.isEmpty() ? null : since.keySet().iterator().next();
+        return addedAt.isEmpty() ? null : addedAt.keySet().iterator().next();
     }
 
     /** Those that wait now, oldest first. */
-    List<T> all() {
-        return new ArrayList<>(since.keySet());
+    List<T> snapshot() {
+        return new ArrayList<>(addedAt.keySet());
     }
 
     void expire(double now, Consumer<T> tooLong) {
-        while (!since.isEmpty()) {
-            Iterator<Map.Entry<T, Double>> oldest = since.entrySet().iterator();
+        while (!addedAt.isEmpty()) {
+            Iterator<Map.Entry<T, Double>> oldest = addedAt.entrySet().iterator();
             Map.Entry<T, Double> entry = oldest.next();
-            if (now < entry.getValue() + patience) {
+            if (now < entry.getValue() + timeout) {
                 return;
             }
             T thing = entry.getKey();
--- a/node/src/main/java/embershift/routing/Passage.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -19,30 +19,30 @@
  * One tunnel on this node, from its client's connection to its end: both sides, and what is
  * between.
  */
-final class Passage {
+final class TunnelRelay {
 
     /** Where a tunnel is: its first line, with the module, open, on its way out, or over. */
     private enum State {
-        GREETING,
-        TAKEN,
+        AWAITING_OPEN,
+        PENDING,
         OPEN,
-        ENDING,
-        OVER
+        CLOSING,
+        CLOSED
     }
 
     /**
      * What a client may send ahead of its host's answer: who sends more is not waiting, and must
      * still be read to its end.
      */
-    private static final int AHEAD = 8 * 1024;
+    private static final int MAX_EARLY_BYTES = 8 * 1024;
 
     /** Questions that one connection may ask before it opens: hundreds at once are no front's. */
-    private static final int MOST_PINGS = 16;
+    private static final int MAX_PINGS = 16;
 
     private final Router router;
     private final Link client;
-    private State state = State.GREETING;
-    private Line greeting = new Line();
+    private State state = State.AWAITING_OPEN;
+    private Line firstLineReader = new Line();
     private int pings;
     private Opening opening;
 
@@ -53,27 +53,27 @@
     private TunnelId id;
 
     private double clientTimeoutAt;
-    private ByteBuffer ahead;
-    private Loop.Timer overdue;
-    private boolean askingToMove;
-    private boolean unlinked;
+    private ByteBuffer earlyBytes;
+    private Loop.Timer answerTimer;
+    private boolean moveRequested;
+    private boolean needsHostConnection;
 
     /** The setup that was sent last, and all that is known of it. */
     private Setup setup;
 
-    private int setups;
-    private double firstSentAt;
+    private int setupCount;
+    private double firstSetupSentAt;
 
     /**
      * Until when it may be sent again, once it may have run: the module's word is older than a
      * host's late connection.
      */
-    private double repeatsUntil = Double.POSITIVE_INFINITY;
+    private double repeatableUntil = Double.POSITIVE_INFINITY;
 
-    private Trail trail;
-    private Tail tail;
+    private Trail hostLineTracker;
+    private Tail partialLineBuffer;
 
-    Passage(Router router, Link client) {
+    TunnelRelay(Router router, Link client) {
         this.router = router;
         this.client = client;
         client.events(new ClientSide());
@@ -81,27 +81,27 @@
 
     // ---- The client's first lines ----
 
-    private void greet(ByteBuffer bytes) {
+    private void readFirstLines(ByteBuffer bytes) {
         try {
-            while (state == State.GREETING) {
-                byte[] line = greeting.next(bytes);
+            while (state == State.AWAITING_OPEN) {
+                byte[] line = firstLineReader.next(bytes);
                 if (line == null) {
                     return;
                 }
-                take(line);
+                handleFirstLine(line);
             }
         } catch (Unreadable e) {
-            refuse(e.getMessage());
+            rejectFirstLine(e.getMessage());
         }
     }
 
-    private void take(byte[] line) throws Unreadable {
+    private void handleFirstLine(byte[] line) throws Unreadable {
         String text = Line.text(line);
         if (text.equals("PING")) {
-            if (router.stopping()) {
+            if (router.isStopping()) {
                 throw new Unreadable("this node stops");
             }
-            if (++pings > MOST_PINGS) {
+            if (++pings > MAX_PINGS) {
                 throw new Unreadable("too many questions");
             }
             router.tally().count("pings answered");
@@ -116,21 +116,22 @@
             opening = null;
             throw new Unreadable("this id has been used");
         }
-        id = router.named(opening.id());
-        greeting = null;
-        router.strangers().end(this);
-        double margin = Router.margin(opening.clientTimeout());
+        id = router.uniqueId(opening.id());
+        firstLineReader = null;
+        router.unopenedConnections().remove(this);
+        double margin = Router.answerMargin(opening.clientTimeout());
         clientTimeoutAt = router.now() + opening.clientTimeout() - margin;
-        state = State.TAKEN;
-        unlinked(true);
-        overdue = router.loop().after(opening.clientTimeout() - margin / 2, this::overdue);
-        router.taken(this);
+        state = State.PENDING;
+        setNeedsHostConnection(true);
+        answerTimer =
+                router.loop().after(opening.clientTimeout() - margin / 2, this::answerOverdue);
+        router.tunnelAccepted(this);
     }
 
     /** Guards rule 1 whatever befalls the module: the client hears before it stops waiting. */
-    private void overdue() {
-        if (state == State.TAKEN) {
-            failUnasked("tunnels overdue", "out of time");
+    private void answerOverdue() {
+        if (state == State.PENDING) {
+            failLocally("tunnels overdue", "out of time");
         }
     }
 
@@ -138,62 +139,62 @@
      * Ends a tunnel that still waits, without the module, which hears of it; a setup that is out is
      * given up.
      */
-    private void failUnasked(String counted, String why) {
+    private void failLocally(String counted, String why) {
         router.tally().count(counted);
-        router.hear(news -> news.tunnelLeft(id));
-        answer("ERR " + why, Outcome.CLOSED_WITH_ERROR);
+        router.enqueueNews(news -> news.tunnelLeft(id));
+        sendFinalAnswer("ERR " + why, Outcome.CLOSED_WITH_ERROR);
     }
 
     /** Says what is wrong with a first line, and ends the connection. */
-    void refuse(String why) {
+    void rejectFirstLine(String why) {
         router.tally().count("first lines refused");
         client.write(Line.of("ERR " + why));
-        over();
+        markClosed();
         client.finish();
     }
 
     /** Reads what it has sent by now; whether no tunnel has come of that. */
-    boolean stillStranger() {
+    boolean isUnopenedAfterRead() {
         client.look();
-        return state == State.GREETING;
+        return state == State.AWAITING_OPEN;
     }
 
     /**
      * No whole first line has come in time, or others need the room: who only asked needs no word.
      */
-    void greetingOver(String word) {
-        if (pings == 0 || greeting.begun()) {
+    void closeUnopened(String word) {
+        if (pings == 0 || firstLineReader.begun()) {
             client.write(Line.of(word));
         }
-        over();
+        markClosed();
         client.finish();
     }
 
     /** Whether it still needs a connection to a host that it does not have. */
-    private void unlinked(boolean is) {
-        if (unlinked != is) {
-            unlinked = is;
-            router.wantsLink(is);
+    private void setNeedsHostConnection(boolean is) {
+        if (needsHostConnection != is) {
+            needsHostConnection = is;
+            router.hostConnectionNeeded(is);
         }
     }
 
-    private void over() {
-        if (state == State.GREETING) {
-            router.strangers().end(this);
+    private void markClosed() {
+        if (state == State.AWAITING_OPEN) {
+            router.unopenedConnections().remove(this);
         }
-        unlinked(false);
-        if (overdue != null) {
-            overdue.cancel();
-            overdue = null;
+        setNeedsHostConnection(false);
+        if (answerTimer != null) {
+            answerTimer.cancel();
+            answerTimer = null;
         }
-        state = State.OVER;
-        endSilence();
-        ahead = null;
+        state = State.CLOSED;
+        stopReplyTimeouts();
+        earlyBytes = null;
     }
 
-    private double endSilence() {
-        router.longSilences().end(this);
-        return router.silences().end(this);
+    private double stopReplyTimeouts() {
+        router.quietTunnels().remove(this);
+        return router.awaitingReply().remove(this);
     }
 
     Opening opening() {
@@ -205,8 +206,8 @@
     }
 
     /** Whether a first line has begun to come, and may still become a tunnel. */
-    boolean greetingBegun() {
-        return state == State.GREETING && greeting.begun();
+    boolean hasPartialFirstLine() {
+        return state == State.AWAITING_OPEN && firstLineReader.begun();
     }
 
     double timeLeft(double now) {
@@ -219,21 +220,21 @@
      * Sends the next setup, unless the client has left; {@code timeOut} 0 waits as long as the
      * client does.
      */
-    boolean setUp(Contact contact, double timeOut) {
+    boolean sendSetup(HostEndpoint contact, double timeOut) {
         // What was decided may be late: a list that came in the same wake-up, a round behind a
         // pause of the process. A host
         // may count an attempt from its connection on, so the client is looked at before that is
         // begun.
-        if (state == State.TAKEN) {
+        if (state == State.PENDING) {
             client.look();
         }
-        if (state != State.TAKEN) {
+        if (state != State.PENDING) {
             return false;
         }
         double left = timeLeft(router.now());
-        setup = new Setup(contact, setups++);
-        firstSentAt = setups == 1 ? setup.sentAt : firstSentAt;
-        setup.begin(timeOut == 0 ? left : Math.min(left, timeOut));
+        setup = new Setup(contact, setupCount++);
+        firstSetupSentAt = setupCount == 1 ? setup.sentAt : firstSetupSentAt;
+        setup.start(timeOut == 0 ? left : Math.min(left, timeOut));
         return true;
     }
 
@@ -249,40 +250,40 @@
      */
     /** The final answer that the module declines it. */
     void decline(String line, DeclineReason reason) {
-        if (state == State.TAKEN) {
+        if (state == State.PENDING) {
             router.tally().count(reason);
         }
-        answer(line, Outcome.DECLINED);
+        sendFinalAnswer(line, Outcome.DECLINED);
     }
 
-    void answer(String line, Outcome outcome) {
-        if (state != State.TAKEN) {
+    void sendFinalAnswer(String line, Outcome outcome) {
+        if (state != State.PENDING) {
             return;
         }
         router.tally().count(outcome, opening.profile());
         client.write(Line.of(line));
-        over();
+        markClosed();
         client.finish();
         if (setup != null) {
             setup.cancel();
         }
-        router.forget(this);
+        router.remove(this);
     }
 
     /** Tells an open tunnel's client to come again, as soon as no line is in the middle. */
     void move() {
-        if (state != State.OPEN || askingToMove) {
+        if (state != State.OPEN || moveRequested) {
             return;
         }
-        askingToMove = true;
-        moveBetweenLines();
+        moveRequested = true;
+        moveIfBetweenLines();
     }
 
-    private void moveBetweenLines() {
-        if (askingToMove && state == State.OPEN && trail.betweenLines()) {
+    private void moveIfBetweenLines() {
+        if (moveRequested && state == State.OPEN && hostLineTracker.betweenLines()) {
             router.tally().count("tunnels moved");
             client.write(Line.of("MOVE"));
-            finish(SetupEnd.CANCELLED, Report.NONE);
+            endTunnel(SetupEnd.CANCELLED, Report.NONE);
             client.finish();
             setup.link.finish();
         }
@@ -292,22 +293,22 @@
      * No line has come back for a while. Where the host does not answer questions either, it has
      * vanished; else the module hears of it, which asks the host, and the tunnel waits for longer.
      */
-    void quiet() {
+    void onHostQuiet() {
         if (client.backedUp()) {
             // A client that does not read keeps its host's lines from coming; that is no host's
             // silence.
             return;
         }
-        if (setup.contact.unheard()) {
-            silent();
+        if (setup.contact.isUnresponsive()) {
+            onHostSilent();
         } else {
             double now = router.now();
-            setup.contact.messageTook(Router.QUIET, now);
-            router.longSilences().begin(this, now);
+            setup.contact.recordMessageDelay(Router.QUIET_SECONDS, now);
+            router.quietTunnels().add(this, now);
         }
     }
 
-    boolean isAt(Contact contact) {
+    boolean isAt(HostEndpoint contact) {
         return setup != null && setup.contact == contact;
     }
 
@@ -315,31 +316,31 @@
      * No line has come back from the host for too long: as it says nothing, its client is sent
      * away.
      */
-    void silent() {
+    void onHostSilent() {
         if (state == State.OPEN) {
             router.tally().count("tunnels at silent hosts");
-            if (trail.betweenLines()) {
+            if (hostLineTracker.betweenLines()) {
                 client.write(Line.of("MOVE"));
             }
-            finish(SetupEnd.BROKEN, Report.NONE);
+            endTunnel(SetupEnd.BROKEN, Report.NONE);
             client.finish();
             setup.link.close();
         }
     }
 
     /** The open tunnel has ended; the module hears it once. */
-    private void finish(SetupEnd end, Report report) {
-        over();
-        tellEnd(setup, end, report, true);
-        router.forget(this);
+    private void endTunnel(SetupEnd end, Report report) {
+        markClosed();
+        reportSetupEnd(setup, end, report, true);
+        router.remove(this);
     }
 
-    private void tellEnd(Setup of, SetupEnd end, Report report, boolean last) {
+    private void reportSetupEnd(Setup of, SetupEnd end, Report report, boolean last) {
         double took = router.now() - of.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
-        router.hear(
+        router.enqueueNews(
                 news -> {
-                    of.contact.tell(news, report);
+                    of.contact.reportLoad(news, report);
                     news.setupEnded(id, of.number, of.contact.host, end, took, last);
                 });
     }
@@ -351,16 +352,16 @@
         @Override
         public void received(ByteBuffer bytes) {
             switch (state) {
-                case GREETING -> {
-                    greet(bytes);
-                    if (state != State.GREETING && bytes.hasRemaining()) {
+                case AWAITING_OPEN -> {
+                    readFirstLines(bytes);
+                    if (state != State.AWAITING_OPEN && bytes.hasRemaining()) {
                         received(bytes);
                     }
                 }
-                case TAKEN -> keepAhead(bytes);
+                case PENDING -> keepEarlyBytes(bytes);
                 case OPEN -> {
-                    if (!router.longSilences().has(Passage.this) && Line.endsIn(bytes)) {
-                        router.silences().begin(Passage.this, router.now());
+                    if (!router.quietTunnels().contains(TunnelRelay.this) && Line.endsIn(bytes)) {
+                        router.awaitingReply().add(TunnelRelay.this, router.now());
                     }
                     router.tally().add("bytes to hosts", bytes.remaining());
                     setup.link.write(bytes);
@@ -369,24 +370,24 @@
                     }
                 }
                 default -> {
-                    if (state == State.ENDING && setup != null) {
+                    if (state == State.CLOSING && setup != null) {
                         setup.link.write(bytes);
                     }
                 }
             }
         }
 
-        private void keepAhead(ByteBuffer bytes) {
+        private void keepEarlyBytes(ByteBuffer bytes) {
             ByteBuffer grown =
                     ByteBuffer.allocate(
-                            (ahead == null ? 0 : ahead.remaining()) + bytes.remaining());
-            if (ahead != null) {
-                grown.put(ahead);
+                            (earlyBytes == null ? 0 : earlyBytes.remaining()) + bytes.remaining());
+            if (earlyBytes != null) {
+                grown.put(earlyBytes);
             }
-            ahead = grown.put(bytes).flip();
-            if (ahead.remaining() > AHEAD) {
+            earlyBytes = grown.put(bytes).flip();
+            if (earlyBytes.remaining() > MAX_EARLY_BYTES) {
                 // Left unread until a host answers, its end would go unseen.
-                failUnasked("tunnels closed for what was sent ahead", "too much before the answer");
+                failLocally("tunnels closed for what was sent ahead", "too much before the answer");
             }
         }
 
@@ -396,19 +397,19 @@
                 case OPEN -> {
                     // The host may still say BYE; what ends the tunnel is the end of its
                     // connection.
-                    state = State.ENDING;
-                    endSilence();
+                    state = State.CLOSING;
+                    stopReplyTimeouts();
                     setup.link.endSending();
-                    router.endings().begin(Passage.this, router.now());
+                    router.closingTunnels().add(TunnelRelay.this, router.now());
                 }
-                case ENDING -> close();
-                default -> left(false);
+                case CLOSING -> close();
+                default -> clientLeft(false);
             }
         }
 
         @Override
         public void broken() {
-            left(true);
+            clientLeft(true);
         }
 
         @Override
@@ -420,11 +421,11 @@
     }
 
     /** The client is gone. */
-    private void left(boolean reset) {
+    private void clientLeft(boolean reset) {
         State was = state;
-        if (was == State.OPEN || was == State.ENDING) {
-            router.endings().end(this);
-            finish(SetupEnd.CANCELLED, Report.NONE);
+        if (was == State.OPEN || was == State.CLOSING) {
+            router.closingTunnels().remove(this);
+            endTunnel(SetupEnd.CANCELLED, Report.NONE);
             if (reset) {
                 setup.link.reset();
             } else {
@@ -433,74 +434,77 @@
             client.close();
             return;
         }
-        over();
+        markClosed();
         client.close();
-        if (was == State.TAKEN) {
+        if (was == State.PENDING) {
             router.tally().count("tunnels left early");
             router.tally()
                     .count("tunnels left early " + (setup == null ? "unplaced" : setup.stage()));
-            router.hear(news -> news.tunnelLeft(id));
+            router.enqueueNews(news -> news.tunnelLeft(id));
             if (setup != null) {
                 setup.cancel();
             }
-            router.forget(this);
+            router.remove(this);
         }
     }
 
     /** The node stops: what is still here ends now, as politely as may be. */
     void stop() {
         switch (state) {
-            case TAKEN -> answer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
+            case PENDING -> sendFinalAnswer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
             case OPEN -> {
-                if (trail.betweenLines()) {
+                if (hostLineTracker.betweenLines()) {
                     client.write(Line.of("MOVE"));
                 }
-                finish(SetupEnd.CANCELLED, Report.NONE);
+                endTunnel(SetupEnd.CANCELLED, Report.NONE);
                 client.finish();
                 setup.link.close();
             }
             // Its client has taken its leave: the end goes on to both sides, as it would when the
             // host answers.
-            case ENDING -> close();
+            case CLOSING -> close();
             default -> {}
         }
     }
 
     /** An ending that the host does not answer. */
-    void endingTooLong() {
-        if (state == State.ENDING) {
+    void onClosingTimeout() {
+        if (state == State.CLOSING) {
             close();
         }
     }
 
     private void close() {
-        router.endings().end(this);
-        finish(SetupEnd.CANCELLED, Report.NONE);
+        router.closingTunnels().remove(this);
+        endTunnel(SetupEnd.CANCELLED, Report.NONE);
         client.finish();
         setup.link.finish();
     }
 
     /** The host has ended its sending, or its connection broke, on an open tunnel. */
     private void hostEnded(boolean reset) {
-        if (state == State.OVER) {
+        if (state == State.CLOSED) {
             return;
         }
-        ByteBuffer rest = reset ? null : tail.rest();
+        ByteBuffer rest = reset ? null : partialLineBuffer.rest();
         if (rest != null) {
-            setup.toClient(rest);
+            setup.writeToClient(rest);
         }
-        HostLine.Word last = trail.betweenLines() ? trail.last().word() : HostLine.Word.OTHER;
+        HostLine.Word last =
+                hostLineTracker.betweenLines()
+                        ? hostLineTracker.last().word()
+                        : HostLine.Word.OTHER;
         // A host that takes its leave while a client's line is under way has its end turned into a
         // reset.
         boolean tookLeave = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
         SetupEnd end =
                 last == HostLine.Word.BYE
                         ? SetupEnd.COMPLETED
-                        : tookLeave || (state == State.ENDING && !reset)
+                        : tookLeave || (state == State.CLOSING && !reset)
                                 ? SetupEnd.CANCELLED
                                 : SetupEnd.BROKEN;
-        router.endings().end(this);
-        finish(end, end == SetupEnd.COMPLETED ? trail.last().report() : Report.NONE);
+        router.closingTunnels().remove(this);
+        endTunnel(end, end == SetupEnd.COMPLETED ? hostLineTracker.last().report() : Report.NONE);
         if (reset && !tookLeave) {
             client.reset();
         } else {
@@ -511,40 +515,40 @@
 
     /** A setup, and the tunnel that comes of it, on the connection to its host. */
     private final class Setup implements Link.Events {
-        final Contact contact;
+        final HostEndpoint contact;
         final int number;
         final double sentAt = router.now();
         Link link;
-        private Line lines = new Line();
+        private Line lineReader = new Line();
         private Loop.Timer timer;
-        private double waitsUntil;
+        private double deadline;
 
         /**
          * Whether the last byte of the first line has been handed over: from then on it may have
          * run.
          */
-        private boolean written;
+        private boolean firstLineWritten;
 
-        private boolean answered;
+        private boolean resolved;
 
         /**
          * How it will end once its connection has, where this node has given it up; null before.
          */
-        private SetupEnd givenUp;
+        private SetupEnd pendingEnd;
 
-        Setup(Contact contact, int number) {
+        Setup(HostEndpoint contact, int number) {
             this.contact = contact;
             this.number = number;
         }
 
-        void begin(double wait) {
+        void start(double wait) {
             router.tally().count("setups sent");
-            waitsUntil = sentAt + wait;
+            deadline = sentAt + wait;
             if (wait <= 0 || contact.address() == null) {
                 router.loop().execute(() -> end(SetupEnd.NOT_SENT, Report.NONE));
                 return;
             }
-            unlinked(false);
+            setNeedsHostConnection(false);
             link = router.loop().connect(contact.address(), this);
             timer =
                     router.loop()
@@ -557,12 +561,14 @@
         public void connected() {
             timer.cancel();
             client.look();
-            if (answered) {
+            if (resolved) {
                 // The client had left: nothing goes on for it.
                 return;
             }
-            double wait = waitsUntil - router.now();
-            if (wait <= 0 || (!standing() && !contact.takesNew()) || router.now() >= repeatsUntil) {
+            double wait = deadline - router.now();
+            if (wait <= 0
+                    || (!standing() && !contact.acceptsNewTunnels())
+                    || router.now() >= repeatableUntil) {
                 // This node came late to it, or was told meanwhile that the host drains or is gone:
                 // by the time that the
                 // connection took, the grace may be over, and so may the time in which a repeat is
@@ -573,7 +579,7 @@
             }
             timer = router.loop().after(wait, this::timedOut);
             if (link.write(opening.toHost(wait)) && !link.backedUp()) {
-                writtenWhole();
+                markFirstLineWritten();
             }
         }
 
@@ -583,7 +589,7 @@
          */
         @Override
         public void draining() {
-            if (!written) {
+            if (!firstLineWritten) {
                 client.look();
             }
         }
@@ -592,18 +598,18 @@
         String stage() {
             return standing()
                     ? "standing before"
-                    : answered
+                    : resolved
                             ? "between setups"
-                            : givenUp != null
+                            : pendingEnd != null
                                     ? "while a setup ended"
-                                    : written
+                                    : firstLineWritten
                                             ? "while a host was asked"
                                             : "while a host was reached";
         }
 
-        private void writtenWhole() {
-            written = true;
-            router.tally().count(Tally.RELAYED);
+        private void markFirstLineWritten() {
+            firstLineWritten = true;
+            router.tally().count(Tally.SETUPS_WRITTEN);
         }
 
         @Override
@@ -617,7 +623,7 @@
         }
 
         void cancel() {
-            if (!answered && givenUp == null) {
+            if (!resolved && pendingEnd == null) {
                 giveUp(SetupEnd.CANCELLED);
             }
         }
@@ -627,46 +633,48 @@
          * other may follow before. A final answer that is due does not wait.
          */
         private void giveUp(SetupEnd as) {
-            if (answered) {
+            if (resolved) {
                 return;
             }
-            if (!written || state != State.TAKEN || timeLeft(router.now()) < router.endPatience()) {
-                end(written ? as : SetupEnd.NO_CONNECTION, Report.NONE);
+            if (!firstLineWritten
+                    || state != State.PENDING
+                    || timeLeft(router.now()) < router.giveUpTimeout()) {
+                end(firstLineWritten ? as : SetupEnd.NO_CONNECTION, Report.NONE);
                 return;
             }
-            givenUp = as;
+            pendingEnd = as;
             timer.cancel();
-            timer = router.loop().after(router.endPatience(), () -> end(as, Report.NONE));
+            timer = router.loop().after(router.giveUpTimeout(), () -> end(as, Report.NONE));
             link.endSending();
         }
 
         private void end(SetupEnd end, Report report) {
-            if (answered) {
+            if (resolved) {
                 return;
             }
-            answered = true;
+            resolved = true;
             if (timer != null) {
                 timer.cancel();
             }
             if (link != null) {
                 link.close();
             }
-            unlinked(state == State.TAKEN);
-            if (standing() && end.neverRan() && state == State.TAKEN) {
-                router.resumeLater(Passage.this);
+            setNeedsHostConnection(state == State.PENDING);
+            if (standing() && end.neverRan() && state == State.PENDING) {
+                router.resumeLater(TunnelRelay.this);
                 return;
             }
             if (standing()) {
                 router.tally().count("standing tunnels lost");
-                answer(
+                sendFinalAnswer(
                         "ERR host " + end.name().toLowerCase(java.util.Locale.ROOT),
                         Outcome.CLOSED_WITH_ERROR);
                 return;
             }
             if (!end.neverRan()) {
-                repeatsUntil = firstSentAt + router.repeatableFor(opening.profile());
+                repeatableUntil = firstSetupSentAt + router.repeatWindow(opening.profile());
             }
-            tellEnd(this, end, report, state != State.TAKEN);
+            reportSetupEnd(this, end, report, state != State.PENDING);
         }
 
         private boolean standing() {
@@ -675,21 +683,21 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            if (answered && state != State.OPEN && state != State.ENDING) {
+            if (resolved && state != State.OPEN && state != State.CLOSING) {
                 return;
             }
-            if (!answered) {
-                firstLine(bytes);
+            if (!resolved) {
+                readAnswer(bytes);
             }
-            if (bytes.hasRemaining() && (state == State.OPEN || state == State.ENDING)) {
-                passOn(bytes);
+            if (bytes.hasRemaining() && (state == State.OPEN || state == State.CLOSING)) {
+                relayToClient(bytes);
             }
         }
 
-        private void firstLine(ByteBuffer bytes) {
+        private void readAnswer(ByteBuffer bytes) {
             byte[] line;
             try {
-                line = lines.next(bytes);
+                line = lineReader.next(bytes);
             } catch (Unreadable e) {
                 end(SetupEnd.ERROR, Report.NONE);
                 return;
@@ -699,71 +707,71 @@
             }
             HostLine said = HostLine.read(Line.text(line));
             switch (said.word()) {
-                case UP -> up(line);
+                case UP -> openTunnel(line);
                 case BUSY -> end(SetupEnd.FULL, said.report());
                 default -> end(SetupEnd.ERROR, said.report());
             }
         }
 
-        private void up(byte[] line) {
-            if (givenUp != null || state != State.TAKEN) {
+        private void openTunnel(byte[] line) {
+            if (pendingEnd != null || state != State.PENDING) {
                 // It came too late: this node has ended its sending, and the tunnel could not live
                 // so.
-                end(givenUp == null ? SetupEnd.CANCELLED : givenUp, Report.NONE);
+                end(pendingEnd == null ? SetupEnd.CANCELLED : pendingEnd, Report.NONE);
                 return;
             }
-            answered = true;
-            lines = null;
+            resolved = true;
+            lineReader = null;
             timer.cancel();
-            overdue.cancel();
-            overdue = null;
+            answerTimer.cancel();
+            answerTimer = null;
             state = State.OPEN;
-            trail = new Trail();
-            tail = new Tail();
+            hostLineTracker = new Trail();
+            partialLineBuffer = new Tail();
             double took = router.now() - sentAt;
             if (standing()) {
                 router.tally().count("standing tunnels resumed");
             }
             router.tally().count(Outcome.OPENED, opening.profile());
             client.write(ByteBuffer.wrap(line));
-            router.opened(Passage.this, contact, number, took);
-            if (ahead != null) {
-                link.write(ahead);
-                ahead = null;
+            router.tunnelOpened(TunnelRelay.this, contact, number, took);
+            if (earlyBytes != null) {
+                link.write(earlyBytes);
+                earlyBytes = null;
                 client.receive(true);
             }
         }
 
-        private void passOn(ByteBuffer bytes) {
+        private void relayToClient(ByteBuffer bytes) {
             double now = router.now();
-            double since = endSilence();
+            double since = stopReplyTimeouts();
             if (!Double.isNaN(since)) {
-                contact.messageTook(now - since, now);
+                contact.recordMessageDelay(now - since, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
-            tail.pass(bytes, this::toClient);
+            partialLineBuffer.pass(bytes, this::writeToClient);
             if (client.backedUp()) {
                 link.receive(false);
             }
-            moveBetweenLines();
+            moveIfBetweenLines();
         }
 
-        private void toClient(ByteBuffer bytes) {
-            trail.follow(bytes);
-            double load = trail.takeLoad();
+        private void writeToClient(ByteBuffer bytes) {
+            hostLineTracker.follow(bytes);
+            double load = hostLineTracker.takeLoad();
             if (!Double.isNaN(load)) {
-                router.hear(news -> news.tunnelLoadNoted(id, load * 1e-6));
+                router.enqueueNews(news -> news.tunnelLoadNoted(id, load * 1e-6));
             }
             client.write(bytes);
         }
 
         @Override
         public void ended() {
-            if (!answered) {
+            if (!resolved) {
                 end(
-                        givenUp != null
-                                ? givenUp
-                                : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                        pendingEnd != null
+                                ? pendingEnd
+                                : firstLineWritten ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
                         Report.NONE);
             } else {
                 hostEnded(false);
@@ -772,11 +780,11 @@
 
         @Override
         public void broken() {
-            if (!answered) {
+            if (!resolved) {
                 end(
-                        givenUp != null
-                                ? givenUp
-                                : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                        pendingEnd != null
+                                ? pendingEnd
+                                : firstLineWritten ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
                         Report.NONE);
             } else {
                 hostEnded(true);
@@ -785,8 +793,8 @@
 
         @Override
         public void drained() {
-            if (!written) {
-                writtenWhole();
+            if (!firstLineWritten) {
+                markFirstLineWritten();
             }
             client.receive(true);
         }
--- a/node/src/main/java/embershift/routing/Strangers.java
+++ b/node/src/main/java/embershift/routing/UnopenedConnections.java
@@ -8,51 +8,51 @@
  * descriptors only what tunnels leave. When these run short, who was turned away goes first, then
  * who says nothing.
  */
-final class Strangers implements Loop.Admission {
+final class UnopenedConnections implements Loop.Admission {
 
     /**
      * Seconds from the accept within which a whole first line must have come, however many
      * questions come before it. Clients send theirs at once; within three seconds all others must
      * have heard.
      */
-    private static final double FIRST_LINE = 2;
+    private static final double FIRST_LINE_SECONDS = 2;
 
     /**
      * Descriptors that no tunnel takes, so that clients can still be read and answered; and those
      * that no client takes, for discovery and for what the loop has accepted and not yet handed
      * over.
      */
-    private static final int RESERVE = 32;
+    private static final int CLIENT_RESERVE = 32;
 
-    private static final int OWN_RESERVE = RESERVE / 2;
+    private static final int NODE_RESERVE = CLIENT_RESERVE / 2;
 
     /**
      * Clients that are read and answered even where others, as tunnels after a lower limit, hold
      * all there is.
      */
-    private static final int ALWAYS = 4;
+    private static final int MIN_CLIENTS = 4;
 
     /** Seconds for which they are left alone then, so that what they have sent is read. */
-    private static final double TO_BE_READ = 0.02;
+    private static final double READ_GRACE_SECONDS = 0.02;
 
     private final Loop loop;
     private final Tally tally;
     private final IntSupplier promised;
-    private int sockets;
+    private int descriptorLimit;
 
     /**
      * Whether one is being read on its way out: a tunnel that comes of that sends no other away in
      * turn.
      */
-    private boolean looking;
+    private boolean readingOldest;
 
-    private final Ageing<Passage> waiting = new Ageing<>(FIRST_LINE);
+    private final TimeoutQueue<TunnelRelay> waiting = new TimeoutQueue<>(FIRST_LINE_SECONDS);
 
     /**
      * {@code promised}: descriptors that tunnels taken in will need, or that are for hosts, and are
      * not taken yet.
      */
-    Strangers(Loop loop, Tally tally, IntSupplier promised) {
+    UnopenedConnections(Loop loop, Tally tally, IntSupplier promised) {
         this.loop = loop;
         this.promised = promised;
         this.tally = tally;
@@ -61,35 +61,35 @@
     /**
      * The limit on descriptors from now on; what strangers hold beyond it they give back at once.
      */
-    void limit(int most) {
-        sockets = most;
-        while (held() > sockets - OWN_RESERVE
-                && waiting.size() + loop.lingering() >= ALWAYS
-                && oneGoes()) {
+    void setDescriptorLimit(int most) {
+        descriptorLimit = most;
+        while (heldDescriptors() > descriptorLimit - NODE_RESERVE
+                && waiting.size() + loop.lingering() >= MIN_CLIENTS
+                && evictOne()) {
             // One after the other.
         }
     }
 
-    void begin(Passage passage) {
-        waiting.begin(passage, loop.now());
+    void add(TunnelRelay passage) {
+        waiting.add(passage, loop.now());
     }
 
-    boolean any() {
+    boolean hasAny() {
         return waiting.oldest() != null;
     }
 
     /** Whether part of a first line has come from one of them. */
-    boolean anyBegun() {
-        return waiting.all().stream().anyMatch(Passage::greetingBegun);
+    boolean hasPartialFirstLine() {
+        return waiting.snapshot().stream().anyMatch(TunnelRelay::hasPartialFirstLine);
     }
 
     /** The node stops: whoever is still here hears so, rather than an end without a word. */
-    void turnAway() {
-        waiting.all().forEach(passage -> passage.greetingOver("BUSY"));
+    void closeAll() {
+        waiting.snapshot().forEach(passage -> passage.closeUnopened("BUSY"));
     }
 
-    void end(Passage passage) {
-        waiting.end(passage);
+    void remove(TunnelRelay passage) {
+        waiting.remove(passage);
     }
 
     void expire(double now) {
@@ -98,24 +98,24 @@
                 passage -> {
                     // What it has sent by now has come in time, also where the loop stood still
                     // over it.
-                    if (passage.stillStranger()) {
+                    if (passage.isUnopenedAfterRead()) {
                         tally.count("connections silent for too long");
-                        passage.greetingOver("ERR no first line came");
+                        passage.closeUnopened("ERR no first line came");
                     }
                 });
     }
 
     /** Whether a tunnel may take the descriptors that it needs, once strangers have made room. */
     boolean makeRoom() {
-        return leaves(RESERVE);
+        return makeRoomLeaving(CLIENT_RESERVE);
     }
 
     /**
      * The same for a tunnel that stood before, whose place has been promised. Any client can say
      * that it is such a one, so it does not get those that no client takes either.
      */
-    boolean makeRoomAsPromised() {
-        return leaves(OWN_RESERVE);
+    boolean makeRoomForStanding() {
+        return makeRoomLeaving(NODE_RESERVE);
     }
 
     /**
@@ -125,34 +125,34 @@
      */
     @Override
     public boolean mayAccept() {
-        while (held() > sockets - OWN_RESERVE) {
-            if (waiting.size() + loop.lingering() < ALWAYS) {
+        while (heldDescriptors() > descriptorLimit - NODE_RESERVE) {
+            if (waiting.size() + loop.lingering() < MIN_CLIENTS) {
                 tally.count("connections let in beyond the descriptors");
                 return true;
             }
             if (loop.lingering() == 0
-                    && waiting.size() <= ALWAYS
-                    && loop.now() < waiting.begun(waiting.oldest()) + TO_BE_READ) {
+                    && waiting.size() <= MIN_CLIENTS
+                    && loop.now() < waiting.addedAt(waiting.oldest()) + READ_GRACE_SECONDS) {
                 tally.count("accepts paused");
                 return false;
             }
-            oneGoes();
+            evictOne();
         }
         return true;
     }
 
     @Override
     public int free() {
-        return sockets - OWN_RESERVE - held();
+        return descriptorLimit - NODE_RESERVE - heldDescriptors();
     }
 
-    private int held() {
+    private int heldDescriptors() {
         return loop.descriptors() + promised.getAsInt();
     }
 
-    private boolean leaves(int free) {
-        while (held() > sockets - free) {
-            if (!oneGoes()) {
+    private boolean makeRoomLeaving(int free) {
+        while (heldDescriptors() > descriptorLimit - free) {
+            if (!evictOne()) {
                 return false;
             }
         }
@@ -163,24 +163,24 @@
      * Who was turned away goes first, then who says nothing; whether there was one, or one has
      * spoken after all.
      */
-    private boolean oneGoes() {
+    private boolean evictOne() {
         if (loop.closeLingering()) {
             return true;
         }
-        Passage silent = waiting.oldest();
-        if (silent == null || looking) {
+        TunnelRelay silent = waiting.oldest();
+        if (silent == null || readingOldest) {
             return false;
         }
         // What it has sent may be unread, as after a pause of the process; closed over that, it
         // would hear nothing.
-        looking = true;
-        boolean stranger = silent.stillStranger();
-        looking = false;
+        readingOldest = true;
+        boolean stranger = silent.isUnopenedAfterRead();
+        readingOldest = false;
         if (!stranger) {
             return true;
         }
         tally.count("connections turned away for want of descriptors");
-        silent.greetingOver("BUSY");
+        silent.closeUnopened("BUSY");
         return true;
     }
 }
--- a/node/src/test/java/embershift/operations/OperatorsTest.java
+++ b/node/src/test/java/embershift/operations/OperatorsTest.java
@@ -218,7 +218,7 @@
                     router.reconfigure(lower);
                     return null;
                 });
-        for (int i = 0; i < 2 * Router.OPERATORS; i++) {
+        for (int i = 0; i < 2 * Router.OPERATOR_DESCRIPTORS; i++) {
             assertEquals(call("GET", "/api/ready").status(), 200);
         }
         for (int i = 0; i < 100; i++) {
@@ -233,7 +233,7 @@
 
     @Test
     public void operatorsAreAnsweredWhereClientsHaveTakenAllDescriptors() throws Exception {
-        start(on(loop::descriptors) + Router.OPERATORS + 60);
+        start(on(loop::descriptors) + Router.OPERATOR_DESCRIPTORS + 60);
         for (int i = 0; i < 150; i++) {
             talk(clients, i % 2 == 0 ? "" : "OPEN ");
         }
@@ -241,7 +241,7 @@
                 && !on(() -> router.tally().toString()).contains("turned away")) {
             Thread.onSpinWait();
         }
-        for (int i = 0; i < 2 * Router.OPERATORS; i++) {
+        for (int i = 0; i < 2 * Router.OPERATOR_DESCRIPTORS; i++) {
             assertEquals(call("GET", "/api/ready").status(), 200);
         }
     }
--- a/node/src/test/java/embershift/routing/CrossingsTest.java
+++ b/node/src/test/java/embershift/routing/CrossingsTest.java
@@ -98,7 +98,7 @@
         }
         goOn.run();
         assertNothingComes(host);
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
     }
 
     @Test(dataProvider = "ways")
@@ -142,7 +142,7 @@
         page(watch, list(2, true, entry(host, "in_service")));
         call(watch);
         assertNothingComes(host);
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
     }
 
     @Test(dataProvider = "ways")
@@ -172,7 +172,7 @@
         awaitCounted(LEFT + " unplaced", 1);
         say(asked, "PONG x0=0.1\r\n");
         assertNothingComes(host);
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
     }
 
     @Test
@@ -187,7 +187,7 @@
         assertEquals(hear(client), null);
         assertEquals(heard(side), "");
         assertNothingComes(host);
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
     }
 
     @DataProvider
@@ -207,7 +207,7 @@
         Socket client = client("OPEN i k c=p,d=12000\r\n");
         awaitCounted("setups sent", 1);
         if (told.equals("by hand")) {
-            onLoop(() -> router.byHand(new HostId(name(host)), true, () -> {}));
+            onLoop(() -> router.setOutOfService(new HostId(name(host)), true, () -> {}));
         } else {
             page(watch, list(2, false, entry(host, told)));
             call(watch);
@@ -240,7 +240,7 @@
         // The module still knows the second one: it is sent on where its host turns it away.
         say(side, "BUSY\r\n");
         assertTrue(hear(accept(host)).startsWith("OPEN same "));
-        assertFalse(on(router::empty));
+        assertFalse(on(router::isDrained));
         second.close();
     }
 
@@ -514,7 +514,7 @@
         ends[0].shutdownOutput();
         assertEquals(hear(ends[1]), null);
         onLoop(router::stop);
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
         assertEquals(hear(ends[0]), null);
     }
 
@@ -547,10 +547,10 @@
         Socket client = client("PING\r\nOPEN i k c=p,");
         assertEquals(hear(client), "PONG");
         onLoop(() -> router.leave(false));
-        assertFalse(on(router::empty));
+        assertFalse(on(router::isDrained));
         say(client, "d=3000\r\n");
         assertTrue(hear(client).startsWith("BUSY"));
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
     }
 
     @Test
--- a/node/src/test/java/embershift/routing/DepartedClientsTest.java
+++ b/node/src/test/java/embershift/routing/DepartedClientsTest.java
@@ -230,7 +230,7 @@
         Thread.sleep(STALL_MS);
         goesOn.countDown();
         assertEquals(comesTo(hosts, ARRIVES_MS), null, "an attempt for a client that has gone");
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
         assertEquals(counted("faults"), 0);
     }
 
@@ -270,7 +270,7 @@
         goOn.run();
         assertEquals(
                 comesTo(List.of(host), ARRIVES_MS), null, "an attempt for a client that has gone");
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
         assertEquals(counted("faults"), 0);
     }
 
@@ -294,7 +294,7 @@
         goOn.run();
         assertEquals(
                 comesTo(List.of(host), ARRIVES_MS), null, "an attempt for a client that has gone");
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
     }
 
     // ---- The whole way at a tenth of a core ----
--- a/node/src/test/java/embershift/routing/DescriptorSharesTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorSharesTest.java
@@ -12,39 +12,39 @@
 /** Who gets which part of the descriptors: hosts that are asked, and processes at one address. */
 public class DescriptorSharesTest {
 
-    private KeptConnections<String> kept;
+    private ProbeConnectionPool<String> kept;
 
     @Test
     public void hostsThatFindNoPlaceWaitInLineAndTakeThatOfOneThatRests() {
         List<String> closed = new ArrayList<>();
         boolean[] room = new boolean[1];
         kept =
-                new KeptConnections<>(
+                new ProbeConnectionPool<>(
                         () -> room[0],
                         host -> {
                             closed.add(host);
-                            kept.closed(host);
+                            kept.released(host);
                         });
         kept.reserve(2);
-        assertEquals(kept.unused(), 2);
-        assertTrue(kept.take("a"));
-        assertTrue(kept.take("b"));
-        assertEquals(kept.unused(), 0);
-        assertFalse(kept.take("c"));
-        assertEquals(kept.first(), "c");
-        kept.rests("b", true);
-        assertTrue(kept.take("c"));
+        assertEquals(kept.unusedReserve(), 2);
+        assertTrue(kept.tryAcquire("a"));
+        assertTrue(kept.tryAcquire("b"));
+        assertEquals(kept.unusedReserve(), 0);
+        assertFalse(kept.tryAcquire("c"));
+        assertEquals(kept.firstWaiting(), "c");
+        kept.setIdle("b", true);
+        assertTrue(kept.tryAcquire("c"));
         assertEquals(closed, List.of("b"));
-        assertEquals(kept.first(), null);
+        assertEquals(kept.firstWaiting(), null);
         room[0] = true;
-        assertTrue(kept.take("d"));
-        kept.closed("a");
-        kept.closed("c");
+        assertTrue(kept.tryAcquire("d"));
+        kept.released("a");
+        kept.released("c");
         room[0] = false;
-        assertTrue(kept.take("a"));
-        assertFalse(kept.take("e"));
-        assertTrue(kept.leaveLine("e"));
-        assertFalse(kept.leaveLine("e"));
+        assertTrue(kept.tryAcquire("a"));
+        assertFalse(kept.tryAcquire("e"));
+        assertTrue(kept.cancelWait("e"));
+        assertFalse(kept.cancelWait("e"));
     }
 
     @Test
@@ -59,7 +59,7 @@
                 told[i] = shares[i].claimed(limit, held[i], false, 32);
             }
             for (int i = 0; i < 2; i++) {
-                shares[i].told(limit, held[i], told[1 - i], 1);
+                shares[i].update(limit, held[i], told[1 - i], 1);
             }
             // From here on both know of each other; each looks when it does, and fills or frees as
             // it likes in between.
@@ -67,8 +67,8 @@
                 int who = random.nextInt(2);
                 switch (random.nextInt(4)) {
                     case 0 -> told[who] = shares[who].claimed(limit, held[who], false, 32);
-                    case 1 -> shares[who].told(limit, held[who], told[1 - who], 1);
-                    case 2 -> held[who] = Math.max(held[who], shares[who].most(limit));
+                    case 1 -> shares[who].update(limit, held[who], told[1 - who], 1);
+                    case 2 -> held[who] = Math.max(held[who], shares[who].allowed(limit));
                     default -> held[who] -= random.nextInt(held[who] / 2 + 1);
                 }
                 assertTrue(
@@ -85,14 +85,14 @@
         DescriptorShare next = new DescriptorShare();
         int told = next.claimed(1000, 60, false, 32);
         assertEquals(told, 500);
-        old.told(1000, 900, told, 1);
-        next.told(1000, 60, old.claimed(1000, 900, false, 32), 1);
-        assertEquals(next.most(1000), 100);
-        old.told(1000, 900, next.claimed(1000, 60, false, 32), 1);
-        assertEquals(old.most(1000), 900);
-        next.told(1000, 60, old.claimed(1000, 200, true, 32), 1);
-        assertEquals(next.most(1000), 768);
-        next.told(1000, 700, 0, 0);
-        assertEquals(next.most(1000), 1000);
+        old.update(1000, 900, told, 1);
+        next.update(1000, 60, old.claimed(1000, 900, false, 32), 1);
+        assertEquals(next.allowed(1000), 100);
+        old.update(1000, 900, next.claimed(1000, 60, false, 32), 1);
+        assertEquals(old.allowed(1000), 900);
+        next.update(1000, 60, old.claimed(1000, 200, true, 32), 1);
+        assertEquals(next.allowed(1000), 768);
+        next.update(1000, 700, 0, 0);
+        assertEquals(next.allowed(1000), 1000);
     }
 }
--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -252,7 +252,7 @@
         hear(side);
         client.close();
         assertEquals(hear(side), null);
-        assertTrue(on(router::empty));
+        assertTrue(on(router::isDrained));
     }
 
     @Test
@@ -425,7 +425,7 @@
         // once.
         on(
                 () -> {
-                    router.hear(News::rosterLost);
+                    router.enqueueNews(News::rosterLost);
                     return null;
                 });
         assertEquals(hear(client("PING\r\n")), "PONG");
@@ -451,7 +451,7 @@
     @Test
     public void strangeDatagramsAreDropped() throws Exception {
         start("1024");
-        InetSocketAddress peers = on(router::peerAddress);
+        InetSocketAddress peers = on(router::peerListenAddress);
         try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             for (int size : new int[] {5, 0, 300}) {
                 stranger.send(new DatagramPacket(new byte[size], size, peers));
--- a/node/src/test/java/embershift/routing/StandingFaultsTest.java
+++ b/node/src/test/java/embershift/routing/StandingFaultsTest.java
@@ -134,17 +134,17 @@
         ServerSocket host = listening();
         start("1024", host);
         Socket[] ends = opened(host);
-        onLoop(() -> router.heldElsewhere(1024 - loop.descriptors(), 1));
+        onLoop(() -> router.setDescriptorsHeldElsewhere(1024 - loop.descriptors(), 1));
         try {
             Socket more = client("PING\r\n");
             awaitCounted("connections let in beyond the descriptors", 1);
             say(ends[0], "line\r\n");
             ends[1].setSoTimeout(500);
             assertEquals(heardOrHowOftenRoomWasSought(ends[1]), "line");
-            onLoop(() -> router.heldElsewhere(0, 0));
+            onLoop(() -> router.setDescriptorsHeldElsewhere(0, 0));
             assertEquals(hear(more), "PONG");
         } finally {
-            onLoop(() -> router.heldElsewhere(0, 0));
+            onLoop(() -> router.setDescriptorsHeldElsewhere(0, 0));
         }
     }
 
@@ -177,7 +177,7 @@
             assertEquals(hear(resting), "PONG");
         }
         Runnable goOn = hold();
-        loop.execute(() -> router.strangers().expire(router.now() + 2));
+        loop.execute(() -> router.unopenedConnections().expire(router.now() + 2));
         say(resting, "OPEN i k c=p,d=3000\r\n");
         goOn.run();
         host.setSoTimeout(1000);
--- a/node/src/test/java/embershift/routing/StandingTermsTest.java
+++ b/node/src/test/java/embershift/routing/StandingTermsTest.java
@@ -180,7 +180,7 @@
         start("1024", host);
         Socket resting = client("");
         awaitCounted("connections taken in", 1);
-        onLoop(() -> router.strangers().expire(router.now() + 2));
+        onLoop(() -> router.unopenedConnections().expire(router.now() + 2));
         say(resting, "OPEN i k c=p,d=3000\r\n");
         assertEquals(hear(resting), "ERR no first line came");
         assertNull(hear(resting));
@@ -195,7 +195,7 @@
         Socket begun = client("OPEN i ");
         awaitCounted("connections taken in", 2);
         Runnable goOn = hold();
-        loop.execute(() -> router.strangers().expire(router.now() + 2));
+        loop.execute(() -> router.unopenedConnections().expire(router.now() + 2));
         for (Socket each : List.of(resting, begun)) {
             say(each, "line sent ahead\r\n".repeat(2000));
         }
