--- a/node/src/test/java/embershift/Loopback.java
+++ b/node/src/test/java/embershift/LoopbackTestBase.java
@@ -28,50 +28,50 @@
  * For tests that play a node's clients, hosts and other callers on loopback: a loop, and sockets
  * that end with each.
  */
-public abstract class Loopback {
+public abstract class LoopbackTestBase {
 
-    protected static final int PATIENCE_MS = 10_000;
+    protected static final int TIMEOUT_MS = 10_000;
 
     protected Loop loop;
     protected Router router;
-    protected InetSocketAddress address;
+    protected InetSocketAddress routerAddress;
     protected ServerSocket discovery;
     protected boolean rosterOnRequest;
 
     /** Settings of the deployment under test, where they are other than usual: name, then value. */
-    protected String[] settings;
+    protected String[] settingOverrides;
 
-    protected final List<AutoCloseable> open = new ArrayList<>();
+    protected final List<AutoCloseable> closeables = new ArrayList<>();
 
     @BeforeMethod
-    public void beginLoop() throws IOException {
+    public void startLoop() throws IOException {
         loop = new Loop();
-        discovery = listening();
+        discovery = openServerSocket();
         rosterOnRequest = true;
-        settings = new String[0];
+        settingOverrides = new String[0];
     }
 
     @AfterMethod
-    public void endLoop() throws Exception {
+    public void stopLoop() throws Exception {
         loop.stop();
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : closeables) {
             each.close();
         }
-        open.clear();
+        closeables.clear();
     }
 
-    protected ServerSocket listening() throws IOException {
+    protected ServerSocket openServerSocket() throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        server.setSoTimeout(PATIENCE_MS);
-        open.add(server);
+        server.setSoTimeout(TIMEOUT_MS);
+        closeables.add(server);
         return server;
     }
 
     /** Starts a router with these hosts known. */
-    protected void start(String sockets, ServerSocket... hosts) throws Exception {
+    protected void startRouter(String sockets, ServerSocket... hosts) throws Exception {
         NodeConfiguration configuration = configuration(sockets, hosts);
-        address =
-                on(
+        routerAddress =
+                callOnLoop(
                         () -> {
                             router = new Router(loop, configuration, line -> {});
                             return router.listen(configuration.listen());
@@ -82,7 +82,7 @@
             throws Exception {
         String known =
                 Arrays.stream(hosts)
-                        .map(host -> entry(host, "in_service"))
+                        .map(host -> rosterEntry(host, "in_service"))
                         .collect(Collectors.joining(","));
         String text =
                 """
@@ -101,11 +101,11 @@
                                 sockets,
                                 known,
                                 rosterOnRequest ? "subscribe" : "automatic");
-        for (int i = 0; i < settings.length; i += 2) {
+        for (int i = 0; i < settingOverrides.length; i += 2) {
             text =
                     text.replaceFirst(
-                            "\"" + settings[i] + "\":[^,}]*",
-                            "\"" + settings[i] + "\":" + settings[i + 1]);
+                            "\"" + settingOverrides[i] + "\":[^,}]*",
+                            "\"" + settingOverrides[i] + "\":" + settingOverrides[i + 1]);
         }
         return NodeConfiguration.read(text, null);
     }
@@ -116,16 +116,16 @@
 
     protected void reconfigure(String sockets) throws Exception {
         NodeConfiguration next = configuration(sockets);
-        on(
+        callOnLoop(
                 () -> {
                     router.reconfigure(next);
                     return null;
                 });
     }
 
-    protected static String entry(ServerSocket host, String lifecycle) {
+    protected static String rosterEntry(ServerSocket host, String lifecycle) {
         return "{\"instanceId\":\""
-                + name(host)
+                + instanceId(host)
                 + "\",\"hostPort\":\"127.0.0.1:"
                 + host.getLocalPort()
                 + "\",\"zone\":\"a\",\"lifecycle\":\""
@@ -133,12 +133,12 @@
                 + "\",\"weight\":1,\"startedAtMs\":0}";
     }
 
-    protected static String name(ServerSocket host) {
+    protected static String instanceId(ServerSocket host) {
         return "s-" + host.getLocalPort();
     }
 
     /** A list as discovery tells it. */
-    protected static String list(int generation, boolean whole, String... entries) {
+    protected static String rosterJson(int generation, boolean whole, String... entries) {
         return "{\"generation\":"
                 + generation
                 + ",\"reset\":"
@@ -148,25 +148,27 @@
                 + "]}";
     }
 
-    protected static void page(Socket call, String body) throws IOException {
-        say(call, answer(body));
+    protected static void sendOkResponse(Socket call, String body) throws IOException {
+        send(call, okResponse(body));
     }
 
-    protected static String answer(String body) {
+    protected static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
     /** The next call on a connection to discovery: its first line, once the rest of it is read. */
-    protected static String call(Socket watch) throws IOException {
-        String first = hear(watch);
-        for (String line = hear(watch); line != null && !line.isEmpty(); line = hear(watch)) {
+    protected static String readRequest(Socket watch) throws IOException {
+        String first = readLine(watch);
+        for (String line = readLine(watch);
+                line != null && !line.isEmpty();
+                line = readLine(watch)) {
             // Its other lines.
         }
         return first;
     }
 
-    protected Socket client(String words) throws IOException {
-        return talk(address, words);
+    protected Socket connectClient(String words) throws IOException {
+        return connect(routerAddress, words);
     }
 
     protected static void reset(Socket socket) throws IOException {
@@ -175,26 +177,30 @@
     }
 
     /** A client's open tunnel and its host's side. */
-    protected Socket[] opened(ServerSocket host) throws IOException {
-        Socket client = client("OPEN i" + open.size() + " k c=p,d=3000\r\n");
+    protected Socket[] openTunnel(ServerSocket host) throws IOException {
+        Socket client = connectClient("OPEN i" + closeables.size() + " k c=p,d=3000\r\n");
         Socket side = accept(host);
-        hear(side);
-        say(side, "UP r\r\n");
-        assertEquals(hear(client), "UP r");
+        readLine(side);
+        send(side, "UP r\r\n");
+        assertEquals(readLine(client), "UP r");
         return new Socket[] {client, side};
     }
 
     /** The router's counter of that name. */
-    protected long counted(String name) throws Exception {
-        return on(() -> router.tally().of(name));
+    protected long counter(String name) throws Exception {
+        return callOnLoop(() -> router.tally().of(name));
     }
 
     /** Waits until the counter is there; fails where it does not come. */
-    protected void awaitCounted(String name, long many) throws Exception {
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L; counted(name) < many; ) {
+    protected void awaitCounter(String name, long many) throws Exception {
+        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L; counter(name) < many; ) {
             assertTrue(
                     System.nanoTime() < until,
-                    name + " " + counted(name) + "\n" + on(() -> router.tally().toString()));
+                    name
+                            + " "
+                            + counter(name)
+                            + "\n"
+                            + callOnLoop(() -> router.tally().toString()));
             Thread.sleep(1);
         }
     }
@@ -203,7 +209,7 @@
      * Keeps the loop from its next turn on until {@code run}: what happens meanwhile it finds all
      * at once.
      */
-    protected Runnable hold() throws Exception {
+    protected Runnable pauseLoop() throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch goOn = new CountDownLatch(1);
         loop.execute(
@@ -220,7 +226,7 @@
     }
 
     /** Does something on the loop's thread, and waits until it is done. */
-    protected <T> T on(Callable<T> step) throws Exception {
+    protected <T> T callOnLoop(Callable<T> step) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(
                 () -> {
@@ -233,28 +239,28 @@
         return done.get();
     }
 
-    protected Socket talk(InetSocketAddress to, String words) throws IOException {
-        Socket socket = patient(new Socket(to.getAddress(), to.getPort()));
-        say(socket, words);
+    protected Socket connect(InetSocketAddress to, String words) throws IOException {
+        Socket socket = withReadTimeout(new Socket(to.getAddress(), to.getPort()));
+        send(socket, words);
         return socket;
     }
 
     protected Socket accept(ServerSocket server) throws IOException {
-        return patient(server.accept());
+        return withReadTimeout(server.accept());
     }
 
-    private Socket patient(Socket socket) throws IOException {
-        socket.setSoTimeout(PATIENCE_MS);
-        open.add(socket);
+    private Socket withReadTimeout(Socket socket) throws IOException {
+        socket.setSoTimeout(TIMEOUT_MS);
+        closeables.add(socket);
         return socket;
     }
 
-    protected static void say(Socket socket, String words) throws IOException {
+    protected static void send(Socket socket, String words) throws IOException {
         socket.getOutputStream().write(words.getBytes(StandardCharsets.ISO_8859_1));
     }
 
     /** The next line without its end; null at the end of the stream. */
-    protected static String hear(Socket socket) throws IOException {
+    protected static String readLine(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder line = new StringBuilder();
         for (int b = in.read(); b >= 0; b = in.read()) {
@@ -267,7 +273,7 @@
     }
 
     /** All that comes on this connection until it ends, however that is. */
-    protected static String heard(Socket side) throws IOException {
+    protected static String readUntilClosed(Socket side) throws IOException {
         StringBuilder all = new StringBuilder();
         try {
             for (int b = side.getInputStream().read(); b >= 0; b = side.getInputStream().read()) {
@@ -285,21 +291,21 @@
      * A host with a queue of one: what comes beyond it is left to come again, a second later, and
      * is up once there is room.
      */
-    protected ServerSocket comesUpLate() throws IOException {
+    protected ServerSocket openSmallBacklogServerSocket() throws IOException {
         ServerSocket host = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        host.setSoTimeout(PATIENCE_MS);
-        open.add(host);
+        host.setSoTimeout(TIMEOUT_MS);
+        closeables.add(host);
         return host;
     }
 
-    protected void fill(ServerSocket host) throws IOException {
+    protected void fillBacklog(ServerSocket host) throws IOException {
         for (int i = 0; i < 2; i++) {
-            open.add(new Socket(host.getInetAddress(), host.getLocalPort()));
+            closeables.add(new Socket(host.getInetAddress(), host.getLocalPort()));
         }
     }
 
     /** Takes what filled it; returns the first connection that comes up after that. */
-    protected Socket comesUp(ServerSocket host) throws IOException {
+    protected Socket drainBacklogAndAccept(ServerSocket host) throws IOException {
         accept(host).close();
         accept(host).close();
         return accept(host);
@@ -310,9 +316,9 @@
      * on the last one that was. A connection that brings something and stays open fails as one that
      * brings something and ends.
      */
-    protected void assertNothingComes(ServerSocket host, int within) throws IOException {
+    protected void assertNothingReceived(ServerSocket host, int within) throws IOException {
         host.setSoTimeout(within);
-        for (Socket side = acceptIfAny(host); side != null; side = acceptIfAny(host)) {
+        for (Socket side = acceptOrNull(host); side != null; side = acceptOrNull(host)) {
             side.setSoTimeout(within);
             try {
                 assertEquals(side.getInputStream().read(), -1, "something was sent on");
@@ -322,7 +328,7 @@
         }
     }
 
-    private Socket acceptIfAny(ServerSocket host) throws IOException {
+    private Socket acceptOrNull(ServerSocket host) throws IOException {
         try {
             return accept(host);
         } catch (SocketTimeoutException e) {
--- a/node/src/test/java/embershift/WireFormatTest.java
+++ b/node/src/test/java/embershift/WireFormatTest.java
@@ -20,7 +20,7 @@
  * What a node says to clients, hosts, discovery and operators, and the names of its counters, stay
  * as earlier versions have them.
  */
-public class WireFormatTest extends Loopback {
+public class WireFormatTest extends LoopbackTestBase {
 
     private final GoldenSamples samples = new GoldenSamples();
 
@@ -36,16 +36,16 @@
 
     private String http(InetSocketAddress operators, String request) throws Exception {
         Socket caller =
-                talk(
+                connect(
                         operators,
                         request
                                 + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\nContent-Length: 0\r\n\r\n");
-        return heard(caller);
+        return readUntilClosed(caller);
     }
 
     private String request(Socket watch) throws Exception {
         StringBuilder all = new StringBuilder();
-        for (String line = hear(watch); line != null; line = hear(watch)) {
+        for (String line = readLine(watch); line != null; line = readLine(watch)) {
             all.append(line).append('\n');
             if (line.isEmpty()) {
                 break;
@@ -56,10 +56,10 @@
 
     @Test
     public void conversationIsAsBefore() throws Exception {
-        ServerSocket host = listening();
-        start("1024", host);
+        ServerSocket host = openServerSocket();
+        startRouter("1024", host);
         InetSocketAddress operators =
-                on(
+                callOnLoop(
                         () ->
                                 new Callers(
                                                 loop,
@@ -73,22 +73,22 @@
                                                         InetAddress.getLoopbackAddress(), 0)));
         Socket watch = accept(discovery);
         samples.text("call of discovery", stable(request(watch), discovery));
-        page(watch, list(3, true, entry(host, "in_service")));
+        sendOkResponse(watch, rosterJson(3, true, rosterEntry(host, "in_service")));
         samples.text("next call of discovery", stable(request(watch), discovery));
         Socket client = clientsAndHosts(host);
         operators(operators, host);
-        on(
+        callOnLoop(
                 () -> {
                     router.leave(true);
                     return null;
                 });
-        samples.text("line of a node that moves its sessions", hear(client));
+        samples.text("line of a node that moves its sessions", readLine(client));
         samples.text("ban list", BanList.write(List.of(new HostId("h1"), new HostId("h \"2\""))));
         assertEquals(
                 BanList.read(BanList.write(List.of(new HostId("h1"), new HostId("h2")))),
                 List.of(new HostId("h1"), new HostId("h2")));
         TreeSet<String> names = new TreeSet<>();
-        on(() -> router.tally().toString())
+        callOnLoop(() -> router.tally().toString())
                 .lines()
                 .forEach(line -> names.add(line.replaceAll(" \\d+$", "")));
         samples.text("counters", String.join("\n", names));
@@ -96,32 +96,36 @@
     }
 
     private Socket clientsAndHosts(ServerSocket host) throws Exception {
-        Socket client = client("PING\r\nOPEN i1 k c=p,x=1,d=3000,g=room\r\nahead\r\n");
-        samples.text("answer to PING", hear(client));
+        Socket client = connectClient("PING\r\nOPEN i1 k c=p,x=1,d=3000,g=room\r\nahead\r\n");
+        samples.text("answer to PING", readLine(client));
         Socket side = accept(host);
-        samples.text("first line at a host", stable(hear(side)));
-        say(side, "UP  r-1 z\r\nline of the host\r\n");
-        samples.text("first lines at a client", hear(client) + "\n" + hear(client));
-        samples.text("line that came ahead of the answer", hear(side));
-        say(client, "line of the client\r\n");
-        samples.text("line of a client at its host", hear(side));
-        samples.text("id of an open session", stable(heard(client("OPEN i1 k c=p,d=3000\r\n"))));
-        samples.text("no first line", heard(client("GET / HTTP/1.1\r\n\r\n")));
-        samples.text("no such class", heard(client("OPEN i2 k c=unheard,d=5\r\n")));
-        samples.text("nothing is asked for", heard(client("OPEN\r\n")));
-        Socket refused = client("OPEN i3 k c=p,d=3000\r\n");
+        samples.text("first line at a host", stable(readLine(side)));
+        send(side, "UP  r-1 z\r\nline of the host\r\n");
+        samples.text("first lines at a client", readLine(client) + "\n" + readLine(client));
+        samples.text("line that came ahead of the answer", readLine(side));
+        send(client, "line of the client\r\n");
+        samples.text("line of a client at its host", readLine(side));
+        samples.text(
+                "id of an open session",
+                stable(readUntilClosed(connectClient("OPEN i1 k c=p,d=3000\r\n"))));
+        samples.text("no first line", readUntilClosed(connectClient("GET / HTTP/1.1\r\n\r\n")));
+        samples.text(
+                "no such class", readUntilClosed(connectClient("OPEN i2 k c=unheard,d=5\r\n")));
+        samples.text("nothing is asked for", readUntilClosed(connectClient("OPEN\r\n")));
+        Socket refused = connectClient("OPEN i3 k c=p,d=3000\r\n");
         for (int i = 0; i < 3; i++) {
             Socket other = accept(host);
-            hear(other);
-            say(other, "ERR full\r\n");
+            readLine(other);
+            send(other, "ERR full\r\n");
             other.close();
         }
-        samples.text("answer once hosts have refused", heard(refused).replaceAll("\\d+", "N"));
-        Socket cancelled = client("OPEN i4 k c=p,d=3000\r\n");
+        samples.text(
+                "answer once hosts have refused", readUntilClosed(refused).replaceAll("\\d+", "N"));
+        Socket cancelled = connectClient("OPEN i4 k c=p,d=3000\r\n");
         Socket other = accept(host);
-        hear(other);
+        readLine(other);
         reset(cancelled);
-        samples.text("at a host once its client has gone", heard(other));
+        samples.text("at a host once its client has gone", readUntilClosed(other));
         return client;
     }
 
@@ -131,13 +135,15 @@
                 "GET telemetry",
                 http(operators, "GET /api/telemetry").replaceAll("\\d+(?=[,}\r])", "N"));
         samples.text(
-                "POST exclude", stable(http(operators, "POST /api/exclude/" + name(host)), host));
+                "POST exclude",
+                stable(http(operators, "POST /api/exclude/" + instanceId(host)), host));
         samples.text(
-                "POST include", stable(http(operators, "POST /api/include/" + name(host)), host));
+                "POST include",
+                stable(http(operators, "POST /api/include/" + instanceId(host)), host));
         samples.text("POST exclude of no host", http(operators, "POST /api/exclude/none"));
         samples.text("GET exclude", http(operators, "GET /api/exclude/none"));
         samples.text("POST ready", http(operators, "POST /api/ready"));
         samples.text("GET of nothing", http(operators, "GET /api/nothing"));
-        samples.text("no request", heard(talk(operators, "nonsense\r\n\r\n")));
+        samples.text("no request", readUntilClosed(connect(operators, "nonsense\r\n\r\n")));
     }
 }
--- a/node/src/test/java/embershift/operations/OperatorsTest.java
+++ b/node/src/test/java/embershift/operations/OperatorsTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import embershift.model.DeclineReason;
 import embershift.protocol.HttpReply;
 import embershift.protocol.NodeConfiguration;
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 
 /** Operators' calls on loopback, beside the tunnels that they ask about. */
-public class OperatorsTest extends Loopback {
+public class OperatorsTest extends LoopbackTestBase {
 
     private InetSocketAddress clients;
     private InetSocketAddress operators;
@@ -57,7 +57,7 @@
 
     private void start(int sockets, ServerSocket... hosts) throws Exception {
         NodeConfiguration configuration = configuration(sockets, hosts);
-        on(
+        callOnLoop(
                 () -> {
                     router = new Router(loop, configuration, line -> {});
                     operators =
@@ -83,20 +83,20 @@
     }
 
     private HttpReply call(String method, String path) throws Exception {
-        return reply(talk(operators, method + " " + path + " HTTP/1.1\r\nHost: n\r\n\r\n"));
+        return reply(connect(operators, method + " " + path + " HTTP/1.1\r\nHost: n\r\n\r\n"));
     }
 
     /** A client's line, and its host's side once that has read it. */
     private Socket[] tunnel(ServerSocket host, String id) throws IOException {
-        Socket client = talk(clients, "OPEN " + id + " k c=p\"q,d=3000\r\n");
+        Socket client = connect(clients, "OPEN " + id + " k c=p\"q,d=3000\r\n");
         Socket side = accept(host);
-        hear(side);
+        readLine(side);
         return new Socket[] {client, side};
     }
 
     private void telemetryBecomes(String expected) throws Exception {
         String body = "";
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
                 System.nanoTime() < until; ) {
             body = call("GET", "/api/telemetry").body().trim();
             if (body.equals(expected)) {
@@ -143,14 +143,14 @@
 
     @Test
     public void hostOutByHandIsNotUsedOnceTheNodeHasSaidYes() throws Exception {
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         start(1024, host);
         assertEquals(call("GET", "/api/exclude/s0").status(), 405);
         assertEquals(call("POST", "/api/exclude/unheard%22of").status(), 404);
         for (int i = 0; i < 2; i++) {
             assertEquals(call("POST", "/api/exclude/s0").status(), 200);
         }
-        assertTrue(hear(talk(clients, "OPEN a k c=p\"q,d=3000\r\n")).startsWith("BUSY"));
+        assertTrue(readLine(connect(clients, "OPEN a k c=p\"q,d=3000\r\n")).startsWith("BUSY"));
         telemetryBecomes(figures(0, 0, 0, 0, 1, DeclineReason.NO_HOST_READY));
         for (int i = 0; i < 2; i++) {
             assertEquals(call("POST", "/api/include/s%30").status(), 200);
@@ -160,41 +160,41 @@
 
     @Test
     public void figuresCountEachTunnelOnceByItsAnswer() throws Exception {
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         start(1024, host);
         telemetryBecomes(figures(0, 0, 0, 0, 0));
         Socket[] opened = tunnel(host, "a");
-        say(opened[1], "UP r\r\n");
-        assertEquals(hear(opened[0]), "UP r");
+        send(opened[1], "UP r\r\n");
+        assertEquals(readLine(opened[0]), "UP r");
         telemetryBecomes(figures(1, 0, 1, 1, 0));
         Socket[] failed = tunnel(host, "b");
-        say(failed[1], "ERR\r\n");
-        assertTrue(hear(failed[0]).startsWith("ERR"));
+        send(failed[1], "ERR\r\n");
+        assertTrue(readLine(failed[0]).startsWith("ERR"));
         telemetryBecomes(figures(1, 1, 2, 1, 1));
         host.close();
-        Socket declined = talk(clients, "OPEN c k c=p\"q,d=3000\r\n");
-        assertTrue(hear(declined).startsWith("BUSY"));
-        say(opened[1], "BYE\r\n");
+        Socket declined = connect(clients, "OPEN c k c=p\"q,d=3000\r\n");
+        assertTrue(readLine(declined).startsWith("BUSY"));
+        send(opened[1], "BYE\r\n");
         opened[1].close();
         telemetryBecomes(figures(1, 1, 2, 0, 1, DeclineReason.HOSTS_SILENT));
     }
 
     @Test
     public void crowdWithoutAWholeCallKeepsNoSoundCallerOutNorAnyClient() throws Exception {
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         // Beyond what this process holds already: tests before may have left it some.
-        start(on(loop::descriptors) + 1024, host);
-        Socket first = talk(operators, "");
+        start(callOnLoop(loop::descriptors) + 1024, host);
+        Socket first = connect(operators, "");
         for (int i = 0; i < 100; i++) {
-            talk(operators, i % 2 == 0 ? "" : "GET /api/re");
+            connect(operators, i % 2 == 0 ? "" : "GET /api/re");
         }
         assertEquals(call("GET", "/api/ready").status(), 200);
         assertEquals(reply(first).status(), 503);
-        Socket slow = talk(operators, "GET /api/ready HTTP/1.1\r\n");
+        Socket slow = connect(operators, "GET /api/ready HTTP/1.1\r\n");
         for (int i = 0; i < 7; i++) {
-            talk(operators, "");
+            connect(operators, "");
         }
-        say(slow, "\r\n");
+        send(slow, "\r\n");
         assertEquals(reply(slow).status(), 200);
         tunnel(host, "a");
     }
@@ -202,18 +202,18 @@
     @Test
     public void operatorsAreAnsweredWhereALowerLimitLeavesTunnelsMoreThanThereIs()
             throws Exception {
-        ServerSocket host = listening();
-        int held = on(loop::descriptors);
+        ServerSocket host = openServerSocket();
+        int held = callOnLoop(loop::descriptors);
         start(held + 200, host);
         List<Socket[]> tunnels = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             Socket[] ends = tunnel(host, "t" + i);
-            say(ends[1], "UP r\r\n");
-            assertEquals(hear(ends[0]), "UP r");
+            send(ends[1], "UP r\r\n");
+            assertEquals(readLine(ends[0]), "UP r");
             tunnels.add(ends);
         }
         NodeConfiguration lower = configuration(held + 20, host);
-        on(
+        callOnLoop(
                 () -> {
                     router.reconfigure(lower);
                     return null;
@@ -222,23 +222,23 @@
             assertEquals(call("GET", "/api/ready").status(), 200);
         }
         for (int i = 0; i < 100; i++) {
-            talk(operators, i % 2 == 0 ? "" : "GET /api/re");
+            connect(operators, i % 2 == 0 ? "" : "GET /api/re");
         }
         assertEquals(call("GET", "/api/ready").status(), 200);
         for (Socket[] ends : tunnels) {
-            say(ends[0], "still here\r\n");
-            assertEquals(hear(ends[1]), "still here");
+            send(ends[0], "still here\r\n");
+            assertEquals(readLine(ends[1]), "still here");
         }
     }
 
     @Test
     public void operatorsAreAnsweredWhereClientsHaveTakenAllDescriptors() throws Exception {
-        start(on(loop::descriptors) + Router.OPERATORS + 60);
+        start(callOnLoop(loop::descriptors) + Router.OPERATORS + 60);
         for (int i = 0; i < 150; i++) {
-            talk(clients, i % 2 == 0 ? "" : "OPEN ");
+            connect(clients, i % 2 == 0 ? "" : "OPEN ");
         }
-        while (!on(() -> router.tally().toString()).contains("accepts paused")
-                && !on(() -> router.tally().toString()).contains("turned away")) {
+        while (!callOnLoop(() -> router.tally().toString()).contains("accepts paused")
+                && !callOnLoop(() -> router.tally().toString()).contains("turned away")) {
             Thread.onSpinWait();
         }
         for (int i = 0; i < 2 * Router.OPERATORS; i++) {
--- a/node/src/test/java/embershift/routing/DepartedClientsTest.java
+++ b/node/src/test/java/embershift/routing/ClientDisconnectTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
  * between what decides an attempt and the attempt itself, as on a tenth of a core, and has the
  * client go meanwhile; verdicts are from what arrives at the hosts.
  */
-public class DepartedClientsTest extends Loopback {
+public class ClientDisconnectTest extends LoopbackTestBase {
 
     /** Milliseconds for which the process stands still once the client has gone. */
     private static final int STALL_MS = 150;
@@ -55,7 +55,7 @@
 
     private static void go(Socket client, Going how) throws IOException {
         if (how.name().startsWith("MUCH")) {
-            say(client, "line sent ahead\r\n".repeat(300));
+            send(client, "line sent ahead\r\n".repeat(300));
         }
         switch (how) {
             case RESET, MUCH_THEN_RESET -> reset(client);
@@ -109,7 +109,7 @@
         goesOn = new CountDownLatch(1);
         CountDownLatch in = new CountDownLatch(1);
         InetSocketAddress at =
-                on(
+                callOnLoop(
                         () ->
                                 loop.listen(
                                                 new InetSocketAddress(
@@ -137,7 +137,7 @@
                                                     in.countDown();
                                                 })
                                         .address());
-        staller = talk(at, "");
+        staller = connect(at, "");
         in.await();
     }
 
@@ -156,34 +156,34 @@
      */
     private Occasion occasion(After after) throws Exception {
         hosts.clear();
-        settings =
+        settingOverrides =
                 switch (after) {
                     case PROBE -> new String[] {"may-probe", "true", "columns", "[\"x0\"]"};
                     case TIME_OUT -> new String[] {"setup-goal-s", "0.1", "connect-timeout-s", "1"};
                     default -> new String[0];
                 };
-        hosts.add(listening());
+        hosts.add(openServerSocket());
         if (after != After.PROBE) {
-            hosts.add(listening());
+            hosts.add(openServerSocket());
         }
-        start("1024", hosts.toArray(new ServerSocket[0]));
+        startRouter("1024", hosts.toArray(new ServerSocket[0]));
         stallable();
-        Socket client = client("");
-        awaitCounted("connections taken in", 1);
+        Socket client = connectClient("");
+        awaitCounter("connections taken in", 1);
         String line = "OPEN i k c=p,d=3000\r\n";
         if (after == After.FIRST_LINE) {
-            return new Occasion(client, () -> say(client, line));
+            return new Occasion(client, () -> send(client, line));
         }
-        say(client, line);
-        Socket side = comesTo(hosts, PATIENCE_MS);
-        assertEquals(hear(side).startsWith("OPEN i "), after != After.PROBE);
+        send(client, line);
+        Socket side = comesTo(hosts, TIMEOUT_MS);
+        assertEquals(readLine(side).startsWith("OPEN i "), after != After.PROBE);
         return switch (after) {
-            case BUSY -> new Occasion(client, () -> say(side, "BUSY\r\n"));
-            case ERROR -> new Occasion(client, () -> say(side, "ERR\r\n"));
+            case BUSY -> new Occasion(client, () -> send(side, "BUSY\r\n"));
+            case ERROR -> new Occasion(client, () -> send(side, "ERR\r\n"));
             case BREAK -> new Occasion(client, () -> reset(side));
-            case PROBE -> new Occasion(client, () -> say(side, "PONG x0=0.1\r\n"));
+            case PROBE -> new Occasion(client, () -> send(side, "PONG x0=0.1\r\n"));
             default -> {
-                assertEquals(hear(side), null);
+                assertEquals(readLine(side), null);
                 yield new Occasion(client, side::close);
             }
         };
@@ -211,9 +211,9 @@
     }
 
     private void decideAndStandStill(Occasion occasion) throws Exception {
-        Runnable goOn = hold();
+        Runnable goOn = pauseLoop();
         occasion.decides().take();
-        say(staller, "x");
+        send(staller, "x");
         // Both come up in one wake-up, in whichever order: the round that decides is still to come,
         // and what the client does
         // from now on is not read before that.
@@ -230,8 +230,8 @@
         Thread.sleep(STALL_MS);
         goesOn.countDown();
         assertEquals(comesTo(hosts, ARRIVES_MS), null, "an attempt for a client that has gone");
-        assertTrue(on(router::empty));
-        assertEquals(counted("faults"), 0);
+        assertTrue(callOnLoop(router::empty));
+        assertEquals(counter("faults"), 0);
     }
 
     /** That the attempt was due: the same order brings one to a host where the client stays. */
@@ -241,9 +241,9 @@
         decideAndStandStill(occasion);
         Thread.sleep(STALL_MS);
         goesOn.countDown();
-        Socket side = comesTo(hosts, PATIENCE_MS);
-        assertTrue(hear(side).startsWith("OPEN i "));
-        assertEquals(counted("faults"), 0);
+        Socket side = comesTo(hosts, TIMEOUT_MS);
+        assertTrue(readLine(side).startsWith("OPEN i "));
+        assertEquals(counter("faults"), 0);
     }
 
     // ---- Tunnels that stood before, which the module does not place ----
@@ -251,40 +251,41 @@
     @Test(dataProvider = "ways")
     public void noConnectionIsBegunForWhoWentBeforeTheListThatNamesItsHost(Going how)
             throws Exception {
-        ServerSocket host = listening();
-        start("1024");
+        ServerSocket host = openServerSocket();
+        startRouter("1024");
         Socket watch = accept(discovery);
-        call(watch);
+        readRequest(watch);
         List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            clients.add(client("OPEN i" + i + " k c=p,d=3000,at=" + name(host) + "\r\n"));
+            clients.add(
+                    connectClient("OPEN i" + i + " k c=p,d=3000,at=" + instanceId(host) + "\r\n"));
         }
-        awaitCounted("tunnels taken", 12);
-        Runnable goOn = hold();
+        awaitCounter("tunnels taken", 12);
+        Runnable goOn = pauseLoop();
         for (Socket client : clients) {
             go(client, how);
         }
-        page(watch, list(2, true, entry(host, "in_service")));
+        sendOkResponse(watch, rosterJson(2, true, rosterEntry(host, "in_service")));
         Thread.sleep(STALL_MS);
         // One wake-up brings the list and all the ends, in whichever order.
         goOn.run();
         assertEquals(
                 comesTo(List.of(host), ARRIVES_MS), null, "an attempt for a client that has gone");
-        assertTrue(on(router::empty));
-        assertEquals(counted("faults"), 0);
+        assertTrue(callOnLoop(router::empty));
+        assertEquals(counter("faults"), 0);
     }
 
     @Test(dataProvider = "ways")
     public void noConnectionIsBegunForWhoWentBeforeItsNextTry(Going how) throws Exception {
-        ServerSocket host = listening();
-        start("1024", host);
-        Socket client = client("OPEN i k c=p,d=3000,at=" + name(host) + "\r\n");
+        ServerSocket host = openServerSocket();
+        startRouter("1024", host);
+        Socket client = connectClient("OPEN i k c=p,d=3000,at=" + instanceId(host) + "\r\n");
         Socket side = accept(host);
-        hear(side);
+        readLine(side);
         long from = System.nanoTime();
-        say(side, "BUSY\r\n");
-        assertEquals(hear(side), null);
-        Runnable goOn = hold();
+        send(side, "BUSY\r\n");
+        assertEquals(readLine(side), null);
+        Runnable goOn = pauseLoop();
         go(client, how);
         // Until just after the next try is due: later still, and the loop would see to the sockets
         // first.
@@ -294,7 +295,7 @@
         goOn.run();
         assertEquals(
                 comesTo(List.of(host), ARRIVES_MS), null, "an attempt for a client that has gone");
-        assertTrue(on(router::empty));
+        assertTrue(callOnLoop(router::empty));
     }
 
     // ---- The whole way at a tenth of a core ----
@@ -316,23 +317,23 @@
             throws Exception {
         ServerSocket host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         ServerSocket other = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
-        open.add(host);
-        open.add(other);
+        closeables.add(host);
+        closeables.add(other);
         List<ServerSocket> both = List.of(host, other);
-        start("1024", host, other);
+        startRouter("1024", host, other);
         loop.execute(() -> throttle(new int[] {14}));
         int rounds = 3;
         for (int round = 0; round < rounds; round++) {
             List<Socket> clients = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
-                clients.add(client("OPEN r" + round + "i" + i + " k c=p,d=3000\r\n"));
+                clients.add(connectClient("OPEN r" + round + "i" + i + " k c=p,d=3000\r\n"));
             }
             long until = System.nanoTime() + 120_000_000L;
             while (System.nanoTime() < until) {
                 Socket side = comesTo(both, 5);
                 if (side != null) {
                     // Turned away: each has a further attempt due.
-                    say(side, "BUSY\r\n");
+                    send(side, "BUSY\r\n");
                 }
             }
             for (int i = 0; i < clients.size(); i++) {
@@ -347,6 +348,6 @@
             }
             assertEquals(comesTo(both, 200), null, "in round " + round);
         }
-        assertEquals(counted("faults"), 0);
+        assertEquals(counter("faults"), 0);
     }
 }
--- a/node/src/test/java/embershift/routing/DescriptorsTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorLimitTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import embershift.model.HostId;
 import java.io.File;
 import java.io.IOException;
@@ -18,17 +18,17 @@
  * Descriptors that no client can take: discovery, hosts and operators have theirs in whatever order
  * things happen.
  */
-public class DescriptorsTest extends Loopback {
+public class DescriptorLimitTest extends LoopbackTestBase {
 
     private int before;
     private int ownBefore;
 
     /** Starts with so many descriptors beyond those that this process holds now. */
     private int startWith(int more, ServerSocket... hosts) throws Exception {
-        int limit = on(loop::descriptors) + more;
-        before = held() - on(loop::descriptors);
-        ownBefore = open.size();
-        start("" + limit, hosts);
+        int limit = callOnLoop(loop::descriptors) + more;
+        before = held() - callOnLoop(loop::descriptors);
+        ownBefore = closeables.size();
+        startRouter("" + limit, hosts);
         return limit;
     }
 
@@ -41,29 +41,29 @@
      * since.
      */
     private int heldByNode() {
-        return held() - before - (open.size() - ownBefore);
+        return held() - before - (closeables.size() - ownBefore);
     }
 
     private ServerSocket wide() throws IOException {
         ServerSocket host = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
-        host.setSoTimeout(PATIENCE_MS);
-        open.add(host);
+        host.setSoTimeout(TIMEOUT_MS);
+        closeables.add(host);
         return host;
     }
 
     private List<Socket> idle(int many) throws IOException {
         List<Socket> idle = new ArrayList<>();
         for (int i = 0; i < many; i++) {
-            idle.add(client(i % 2 == 0 ? "" : "OPEN half"));
+            idle.add(connectClient(i % 2 == 0 ? "" : "OPEN half"));
         }
         return idle;
     }
 
     private void echoes(Socket[] ends, String line) throws IOException {
-        say(ends[0], line + "\r\n");
-        assertEquals(hear(ends[1]), line);
-        say(ends[1], line + " back\r\n");
-        assertEquals(hear(ends[0]), line + " back");
+        send(ends[0], line + "\r\n");
+        assertEquals(readLine(ends[1]), line);
+        send(ends[1], line + " back\r\n");
+        assertEquals(readLine(ends[0]), line + " back");
     }
 
     // ---- Idle clients ----
@@ -71,21 +71,21 @@
     @Test
     public void whatTheSystemHasAcceptedCountsWhileTheLoopStandsStill() throws Exception {
         int limit = startWith(80);
-        Runnable goOn = hold();
+        Runnable goOn = pauseLoop();
         idle(300);
         // The library accepts on a thread of its own: it has had the time to take them all.
         Thread.sleep(200);
         int held = heldByNode();
         goOn.run();
         assertTrue(held <= limit, held + " of " + limit);
-        awaitCounted("connections turned away for want of descriptors", 100);
+        awaitCounter("connections turned away for want of descriptors", 100);
         assertTrue(heldByNode() <= limit, heldByNode() + " of " + limit);
     }
 
     @Test
     public void crowdThatFillsWhileDiscoveryIsDownKeepsNeitherListNorSoundClientsOut()
             throws Exception {
-        settings =
+        settingOverrides =
                 new String[] {"may-probe", "true", "columns", "[\"x0\"]", "connect-timeout-s", "2"};
         ServerSocket[] hosts = new ServerSocket[12];
         for (int i = 0; i < hosts.length; i++) {
@@ -100,47 +100,47 @@
         answers.start();
         List<Socket> tunnels = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            Socket client = client("OPEN t" + i + " k c=p,d=3000\r\n");
-            assertEquals(hear(client), "UP r");
+            Socket client = connectClient("OPEN t" + i + " k c=p,d=3000\r\n");
+            assertEquals(readLine(client), "UP r");
             tunnels.add(client);
         }
         int most = 0;
         for (int i = 0; i < 6; i++) {
             idle(60);
-            most = Math.max(most, on(loop::descriptors));
+            most = Math.max(most, callOnLoop(loop::descriptors));
         }
         // The crowd has filled what there is.
-        awaitCounted("connections turned away for want of descriptors", 100);
-        most = Math.max(most, on(loop::descriptors));
+        awaitCounter("connections turned away for want of descriptors", 100);
+        most = Math.max(most, callOnLoop(loop::descriptors));
         long back = System.nanoTime();
         ServerSocket again = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        open.add(again);
-        again.setSoTimeout(PATIENCE_MS);
+        closeables.add(again);
+        again.setSoTimeout(TIMEOUT_MS);
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
-            entries[i] = entry(hosts[i], "in_service");
+            entries[i] = rosterEntry(hosts[i], "in_service");
             if (i > 0) {
                 ServerSocket other = hosts[i];
                 new Thread(() -> answer(other)).start();
             }
         }
         Socket watch = accept(again);
-        call(watch);
-        page(watch, list(2, true, entries));
-        call(watch);
+        readRequest(watch);
+        sendOkResponse(watch, rosterJson(2, true, entries));
+        readRequest(watch);
         double took = (System.nanoTime() - back) / 1e9;
         assertTrue(took < 6, "the list was there after " + took + " s");
         idle(60);
-        Socket sound = client("OPEN sound k c=p,d=3000\r\n");
-        assertEquals(hear(sound), "UP r");
+        Socket sound = connectClient("OPEN sound k c=p,d=3000\r\n");
+        assertEquals(readLine(sound), "UP r");
         for (Socket tunnel : tunnels) {
-            say(tunnel, "still here\r\n");
-            assertEquals(hear(tunnel), "still here");
+            send(tunnel, "still here\r\n");
+            assertEquals(readLine(tunnel), "still here");
         }
-        most = Math.max(most, on(loop::descriptors));
+        most = Math.max(most, callOnLoop(loop::descriptors));
         assertTrue(most <= limit, most + " of " + limit);
-        assertEquals(counted("probes failed"), 0);
-        assertEquals(counted("faults"), 0);
+        assertEquals(counter("probes failed"), 0);
+        assertEquals(counter("faults"), 0);
     }
 
     /**
@@ -154,10 +154,10 @@
                 new Thread(
                                 () -> {
                                     try (side) {
-                                        for (String line = hear(side);
+                                        for (String line = readLine(side);
                                                 line != null;
-                                                line = hear(side)) {
-                                            say(
+                                                line = readLine(side)) {
+                                            send(
                                                     side,
                                                     line.equals("STATS")
                                                             ? "PONG x0=0.1\r\n"
@@ -179,10 +179,10 @@
     // ---- Hosts' kept connections ----
 
     private void askAll(ServerSocket[] hosts) throws Exception {
-        on(
+        callOnLoop(
                 () -> {
                     for (ServerSocket host : hosts) {
-                        router.probe(new HostId(name(host)));
+                        router.probe(new HostId(instanceId(host)));
                     }
                     return null;
                 });
@@ -190,7 +190,7 @@
 
     @Test
     public void keptConnectionsThatAreLostWhileIdleClientsFillAllComeBack() throws Exception {
-        settings =
+        settingOverrides =
                 new String[] {"may-probe", "true", "columns", "[\"x0\"]", "connect-timeout-s", "2"};
         ServerSocket[] hosts = new ServerSocket[40];
         for (int i = 0; i < hosts.length; i++) {
@@ -201,17 +201,17 @@
         List<Socket> sides = new ArrayList<>();
         for (ServerSocket host : hosts) {
             Socket side = accept(host);
-            assertEquals(hear(side), "STATS");
-            say(side, "PONG x0=0.1\r\n");
+            assertEquals(readLine(side), "STATS");
+            send(side, "PONG x0=0.1\r\n");
             sides.add(side);
         }
-        awaitCounted("probes answered", hosts.length);
+        awaitCounter("probes answered", hosts.length);
         for (Socket side : sides) {
             side.close();
-            open.remove(side);
+            closeables.remove(side);
         }
         idle(150);
-        awaitCounted("connections turned away for want of descriptors", 30);
+        awaitCounter("connections turned away for want of descriptors", 30);
         // All are asked at once, and each host says what it has to once it is reached.
         askAll(hosts);
         int most = 0;
@@ -220,14 +220,14 @@
             answers.setDaemon(true);
             answers.start();
         }
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-                counted("probes answered") < 2L * hosts.length; ) {
+        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+                counter("probes answered") < 2L * hosts.length; ) {
             assertTrue(
                     System.nanoTime() < until,
-                    counted("probes answered") + " answered, failed " + counted("probes failed"));
-            most = Math.max(most, on(loop::descriptors));
+                    counter("probes answered") + " answered, failed " + counter("probes failed"));
+            most = Math.max(most, callOnLoop(loop::descriptors));
         }
-        assertEquals(counted("probes failed"), 0);
+        assertEquals(counter("probes failed"), 0);
         assertTrue(most <= limit, most + " of " + limit);
     }
 
@@ -239,43 +239,43 @@
         int limit = startWith(200, host);
         List<Socket[]> tunnels = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            tunnels.add(opened(host));
+            tunnels.add(openTunnel(host));
         }
         reconfigure("" + (limit - 180));
         for (int i = 0; i < 12; i++) {
-            assertEquals(hear(client("OPEN late" + i + " k c=p,d=3000\r\n")), "BUSY");
+            assertEquals(readLine(connectClient("OPEN late" + i + " k c=p,d=3000\r\n")), "BUSY");
         }
-        Runnable goOn = hold();
+        Runnable goOn = pauseLoop();
         List<Socket> together = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            together.add(client("OPEN both" + i + " k c=p,d=3000\r\n"));
+            together.add(connectClient("OPEN both" + i + " k c=p,d=3000\r\n"));
         }
         idle(20);
         goOn.run();
         for (Socket each : together) {
-            assertEquals(hear(each), "BUSY");
+            assertEquals(readLine(each), "BUSY");
         }
         for (Socket[] ends : tunnels) {
             echoes(ends, "still here");
         }
         // Discovery is heard all the same: one that the node has not been told of yet.
-        discovery = listening();
+        discovery = openServerSocket();
         reconfigure("" + (limit - 180));
-        assertEquals(call(accept(discovery)), "GET /api/targets HTTP/1.1");
-        assertEquals(counted("faults"), 0);
+        assertEquals(readRequest(accept(discovery)), "GET /api/targets HTTP/1.1");
+        assertEquals(counter("faults"), 0);
     }
 
     @Test
     public void whoClaimsToHaveStoodBeforeTakesNoneThatAreNotForClients() throws Exception {
         int limit = startWith(90);
         for (int i = 0; i < 150; i++) {
-            client("OPEN i" + i + " k c=p,d=3000,at=nobody\r\n");
+            connectClient("OPEN i" + i + " k c=p,d=3000,at=nobody\r\n");
         }
         int most = 0;
         for (long until = System.nanoTime() + 500_000_000L; System.nanoTime() < until; ) {
             most = Math.max(most, heldByNode());
         }
-        assertTrue(counted("tunnels declined for want of descriptors") > 0);
+        assertTrue(counter("tunnels declined for want of descriptors") > 0);
         assertTrue(most <= limit, most + " of " + limit);
     }
 }
--- a/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
@@ -4,7 +4,7 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.fail;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import embershift.model.Decisions;
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
@@ -38,7 +38,7 @@
  * calls before. Nodes are played in virtual time, with the module where it is the one to ask, and
  * on loopback.
  */
-public class DiscoveryReturnTest extends Loopback {
+public class DiscoveryRecoveryTest extends LoopbackTestBase {
 
     private static final double TOLD = 6;
 
@@ -305,31 +305,31 @@
      */
     private void fareIll(ServerSocket at, Fault fault, Runnable atCall) throws IOException {
         Socket first = accept(at);
-        call(first);
+        readRequest(first);
         atCall.run();
-        String answer = answer(list(2, true) + " ".repeat(500));
+        String answer = okResponse(rosterJson(2, true) + " ".repeat(500));
         switch (fault) {
             case RESET -> reset(first);
-            case BUSY -> say(first, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+            case BUSY -> send(first, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             case CUT_IN_HALF -> {
-                say(first, answer.substring(0, 70));
+                send(first, answer.substring(0, 70));
                 first.close();
             }
-            case HALF_THEN_SILENT, NEVER_ENDING -> say(first, answer.substring(0, 70));
+            case HALF_THEN_SILENT, NEVER_ENDING -> send(first, answer.substring(0, 70));
             default -> {}
         }
         at.setSoTimeout(100);
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
                 System.nanoTime() < until; ) {
             try {
                 Socket next = accept(at);
-                call(next);
-                page(next, list(2, true));
-                assertEquals(call(next), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
+                readRequest(next);
+                sendOkResponse(next, rosterJson(2, true));
+                assertEquals(readRequest(next), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
                 return;
             } catch (SocketTimeoutException e) {
                 if (fault == Fault.NEVER_ENDING) {
-                    say(first, " ");
+                    send(first, " ");
                 }
             }
         }
@@ -351,14 +351,14 @@
         for (int i = 0; i < 30; i++) {
             Fault fault = kinds.get(i % kinds.size());
             double mustAsk = List.of(0.0, 10.0, 30.0).get(i / kinds.size() % 3);
-            discovery = listening();
+            discovery = openServerSocket();
             rosterOnRequest = mustAsk > 0;
-            settings =
+            settingOverrides =
                     new String[] {
                         "must-ask-in-s", String.valueOf(mustAsk), "seed", "\"" + i + "\""
                     };
             ServerSocket at = discovery;
-            start("1024");
+            startRouter("1024");
             Router node = router;
             CompletableFuture<Long> many = new CompletableFuture<>();
             calls.add(many);
--- a/node/src/test/java/embershift/routing/StandingFaultsTest.java
+++ b/node/src/test/java/embershift/routing/RouterRegressionTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.File;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -15,7 +15,7 @@
  * Terms of the operators' acceptance that the program did not keep: each case failed before its
  * fault was mended.
  */
-public class StandingFaultsTest extends Loopback {
+public class RouterRegressionTest extends LoopbackTestBase {
 
     /**
      * Milliseconds within which what must not come would have come, the system's second try to
@@ -23,8 +23,8 @@
      */
     private static final int COMES_UP_MS = 1500;
 
-    private void onLoop(Runnable step) throws Exception {
-        on(
+    private void runOnLoop(Runnable step) throws Exception {
+        callOnLoop(
                 () -> {
                     step.run();
                     return null;
@@ -34,17 +34,17 @@
     /** Nothing is sent after the final answer, whose client may come again by then. */
     @Test
     public void setupThatIsBeingConnectedAtTheStopIsNotSentAfterTheAnswer() throws Exception {
-        settings = new String[] {"connect-timeout-s", "9", "client-timeout-s", "12"};
-        ServerSocket host = comesUpLate();
-        start("1024", host);
-        fill(host);
-        Socket client = client("OPEN i k c=p,d=12000\r\n");
-        awaitCounted("setups sent", 1);
-        onLoop(router::stop);
-        assertTrue(hear(client).startsWith("ERR "));
+        settingOverrides = new String[] {"connect-timeout-s", "9", "client-timeout-s", "12"};
+        ServerSocket host = openSmallBacklogServerSocket();
+        startRouter("1024", host);
+        fillBacklog(host);
+        Socket client = connectClient("OPEN i k c=p,d=12000\r\n");
+        awaitCounter("setups sent", 1);
+        runOnLoop(router::stop);
+        assertTrue(readLine(client).startsWith("ERR "));
         accept(host).close();
         accept(host).close();
-        assertNothingComes(host, COMES_UP_MS);
+        assertNothingReceived(host, COMES_UP_MS);
     }
 
     /**
@@ -53,7 +53,7 @@
      */
     @Test
     public void referencedIsNotSentToAHostThatComesUpAfterItsWindow() throws Exception {
-        settings =
+        settingOverrides =
                 new String[] {
                     "repeat",
                     "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":0.8",
@@ -62,23 +62,23 @@
                     "client-timeout-s",
                     "12"
                 };
-        ServerSocket first = listening();
-        ServerSocket late = comesUpLate();
-        start("1024", first);
-        fill(late);
+        ServerSocket first = openServerSocket();
+        ServerSocket late = openSmallBacklogServerSocket();
+        startRouter("1024", first);
+        fillBacklog(late);
         Socket watch = accept(discovery);
-        call(watch);
-        Socket client = client("OPEN i k c=p,d=12000\r\n");
+        readRequest(watch);
+        Socket client = connectClient("OPEN i k c=p,d=12000\r\n");
         Socket side = accept(first);
-        hear(side);
-        page(watch, list(2, true, entry(late, "in_service")));
-        call(watch);
+        readLine(side);
+        sendOkResponse(watch, rosterJson(2, true, rosterEntry(late, "in_service")));
+        readRequest(watch);
         side.close();
-        awaitCounted("setups sent", 2);
+        awaitCounter("setups sent", 2);
         accept(late).close();
         accept(late).close();
-        assertNothingComes(late, COMES_UP_MS);
-        assertTrue(hear(client).startsWith("ERR "));
+        assertNothingReceived(late, COMES_UP_MS);
+        assertTrue(readLine(client).startsWith("ERR "));
     }
 
     /**
@@ -88,21 +88,21 @@
     @Test
     public void referencedWhoseWindowIsOverFirstIsLeftToItsHostUntilTheClientsTimeIsUp()
             throws Exception {
-        settings =
+        settingOverrides =
                 new String[] {
                     "repeat",
                     "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":0.6",
                     "setup-goal-s",
                     "0.3"
                 };
-        ServerSocket host = listening();
-        start("1024", host);
-        Socket client = client("OPEN i k c=p,d=3000\r\n");
+        ServerSocket host = openServerSocket();
+        startRouter("1024", host);
+        Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
         Socket side = accept(host);
-        hear(side);
+        readLine(side);
         Thread.sleep(1300);
-        say(side, "UP late\r\n");
-        assertEquals(hear(client), "UP late");
+        send(side, "UP late\r\n");
+        assertEquals(readLine(client), "UP late");
     }
 
     /**
@@ -113,11 +113,11 @@
     public void connectionsTakenInWhileTheLoopStandsStillKeepToTheLimit() throws Exception {
         int room = 60;
         int clients = 200;
-        start("" + (on(loop::descriptors) + room));
-        Runnable goOn = hold();
+        startRouter("" + (callOnLoop(loop::descriptors) + room));
+        Runnable goOn = pauseLoop();
         int before = new File("/proc/self/fd").list().length;
         for (int i = 0; i < clients; i++) {
-            client("");
+            connectClient("");
         }
         Thread.sleep(200);
         int taken = new File("/proc/self/fd").list().length - before - clients;
@@ -131,28 +131,28 @@
      */
     @Test
     public void whatCantBeTakenInKeepsNobodyElseWaiting() throws Exception {
-        ServerSocket host = listening();
-        start("1024", host);
-        Socket[] ends = opened(host);
-        onLoop(() -> router.heldElsewhere(1024 - loop.descriptors(), 1));
+        ServerSocket host = openServerSocket();
+        startRouter("1024", host);
+        Socket[] ends = openTunnel(host);
+        runOnLoop(() -> router.heldElsewhere(1024 - loop.descriptors(), 1));
         try {
-            Socket more = client("PING\r\n");
-            awaitCounted("connections let in beyond the descriptors", 1);
-            say(ends[0], "line\r\n");
+            Socket more = connectClient("PING\r\n");
+            awaitCounter("connections let in beyond the descriptors", 1);
+            send(ends[0], "line\r\n");
             ends[1].setSoTimeout(500);
             assertEquals(heardOrHowOftenRoomWasSought(ends[1]), "line");
-            onLoop(() -> router.heldElsewhere(0, 0));
-            assertEquals(hear(more), "PONG");
+            runOnLoop(() -> router.heldElsewhere(0, 0));
+            assertEquals(readLine(more), "PONG");
         } finally {
-            onLoop(() -> router.heldElsewhere(0, 0));
+            runOnLoop(() -> router.heldElsewhere(0, 0));
         }
     }
 
     private String heardOrHowOftenRoomWasSought(Socket side) throws Exception {
         try {
-            return hear(side);
+            return readLine(side);
         } catch (SocketTimeoutException e) {
-            return "nothing, room sought " + counted("accepts paused") + " times";
+            return "nothing, room sought " + counter("accepts paused") + " times";
         }
     }
 
@@ -168,23 +168,23 @@
     @Test(dataProvider = "resting")
     public void requestThatLiesUnreadOnARestingConnectionWhoseTimeIsUpIsTaken(String before)
             throws Exception {
-        ServerSocket host = listening();
-        start("1024", host);
-        Socket resting = client(before);
+        ServerSocket host = openServerSocket();
+        startRouter("1024", host);
+        Socket resting = connectClient(before);
         if (before.isEmpty()) {
-            awaitCounted("connections taken in", 1);
+            awaitCounter("connections taken in", 1);
         } else {
-            assertEquals(hear(resting), "PONG");
+            assertEquals(readLine(resting), "PONG");
         }
-        Runnable goOn = hold();
+        Runnable goOn = pauseLoop();
         loop.execute(() -> router.strangers().expire(router.now() + 2));
-        say(resting, "OPEN i k c=p,d=3000\r\n");
+        send(resting, "OPEN i k c=p,d=3000\r\n");
         goOn.run();
         host.setSoTimeout(1000);
         Socket side = accept(host);
-        assertTrue(hear(side).startsWith("OPEN i k "));
-        say(side, "UP r\r\n");
-        assertEquals(hear(resting), "UP r");
+        assertTrue(readLine(side).startsWith("OPEN i k "));
+        send(side, "UP r\r\n");
+        assertEquals(readLine(resting), "UP r");
     }
 
     /**
@@ -192,17 +192,18 @@
      */
     @Test
     public void doubleOfTheLatestListIsNoAnswerToTheNextCall() throws Exception {
-        ServerSocket host = listening();
-        start("1024", host);
+        ServerSocket host = openServerSocket();
+        startRouter("1024", host);
         Socket watch = accept(discovery);
-        call(watch);
-        String list = list(2, true, entry(host, "in_service"));
-        page(watch, list);
-        assertEquals(call(watch), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
-        page(watch, list);
+        readRequest(watch);
+        String list = rosterJson(2, true, rosterEntry(host, "in_service"));
+        sendOkResponse(watch, list);
+        assertEquals(readRequest(watch), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
+        sendOkResponse(watch, list);
         // Not a second call on the connection on which the first is out: that one ends, and another
         // is opened.
-        assertEquals(heard(watch), "");
-        assertEquals(call(accept(discovery)), "GET /api/targets?after=2&wait_ms=1600 HTTP/1.1");
+        assertEquals(readUntilClosed(watch), "");
+        assertEquals(
+                readRequest(accept(discovery)), "GET /api/targets?after=2&wait_ms=1600 HTTP/1.1");
     }
 }
--- a/node/src/test/java/embershift/transport/LastWordsTest.java
+++ b/node/src/test/java/embershift/transport/LastWordsTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** What a peer said before its connection broke. */
-public class LastWordsTest extends Loopback {
+public class LastWordsTest extends LoopbackTestBase {
 
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
     private Link host;
@@ -40,9 +40,9 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         taken::complete);
-        Socket peer = talk(listening.address(), "");
-        host = taken.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        on(
+        Socket peer = connect(listening.address(), "");
+        host = taken.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        callOnLoop(
                 () -> {
                     host.events(
                             new Link.Events() {
@@ -73,7 +73,7 @@
                                             @Override
                                             public void received(ByteBuffer bytes) {
                                                 try {
-                                                    say(peer, "BYE\r\n");
+                                                    send(peer, "BYE\r\n");
                                                     reset(peer);
                                                 } catch (IOException e) {
                                                     seen.add(e.toString());
@@ -91,8 +91,8 @@
                                                 // The test is over.
                                             }
                                         }));
-        talk(other.address(), "line\r\n");
-        assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
-        assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "broken");
+        connect(other.address(), "line\r\n");
+        assertEquals(seen.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
+        assertEquals(seen.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "broken");
     }
 }
--- a/node/src/test/java/embershift/transport/SocketOptionsTest.java
+++ b/node/src/test/java/embershift/transport/SocketOptionsTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.IOException;
 import java.lang.reflect.Field;
 import java.net.InetAddress;
@@ -16,7 +16,7 @@
 import org.xnio.StreamConnection;
 
 /** What the system is told of each socket that the loop opens or accepts. */
-public class SocketOptionsTest extends Loopback {
+public class SocketOptionsTest extends LoopbackTestBase {
 
     /** Asks the system, not the program: what a library was told need not have got there. */
     private static boolean sendsAtOnce(Link link) throws ReflectiveOperationException, IOException {
@@ -59,15 +59,18 @@
                             shared,
                             () -> true,
                             accepted::complete);
-            talk(listening.address(), "");
-            Link link = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            assertTrue(on(() -> sendsAtOnce(link)));
+            connect(listening.address(), "");
+            Link link = accepted.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            assertTrue(callOnLoop(() -> sendsAtOnce(link)));
         }
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         Deaf events = new Deaf();
         Link opened =
-                on(() -> loop.connect((InetSocketAddress) host.getLocalSocketAddress(), events));
-        events.up.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        assertTrue(on(() -> sendsAtOnce(opened)));
+                callOnLoop(
+                        () ->
+                                loop.connect(
+                                        (InetSocketAddress) host.getLocalSocketAddress(), events));
+        events.up.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        assertTrue(callOnLoop(() -> sendsAtOnce(opened)));
     }
 }
