--- a/door/src/main/java/embershift/door/RevisionApplier.java
+++ b/door/src/main/java/embershift/door/RevisionApplier.java
@@ -146,7 +146,7 @@
     private Optional<String> readBack(String field) {
         return switch (field) {
             case ConfigRevision.DISCOVERY ->
-                    Optional.of(Addresses.written(router.discoveryAddress()));
+                    Optional.of(Addresses.format(router.discoveryAddress()));
             case ConfigRevision.SOCKETS -> Optional.of(String.valueOf(router.descriptorLimit()));
             case ConfigRevision.PEERS -> Optional.of(written(router.peerAddresses()));
             default -> Optional.empty();
@@ -154,12 +154,12 @@
     }
 
     private static String written(List<InetSocketAddress> addresses) {
-        return String.join(",", addresses.stream().map(Addresses::written).toList());
+        return String.join(",", addresses.stream().map(Addresses::format).toList());
     }
 
     /** Returns a node's configuration with the revision's fields in place of its own. */
     NodeConfiguration adapt(NodeConfiguration configuration) {
-        return configuration.with(
+        return configuration.withOverrides(
                 applied.discovery().orElse(null),
                 applied.sockets().orElse(null),
                 applied.peers().orElse(null));
--- a/node/src/main/java/embershift/operations/HostEjections.java
+++ b/node/src/main/java/embershift/operations/HostEjections.java
@@ -2,7 +2,7 @@
 
 import embershift.model.HostId;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -49,7 +49,7 @@
         TOO_LATE
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Router router;
     private final Store store;
     private final Set<HostId> ejected = new LinkedHashSet<>();
@@ -64,7 +64,7 @@
     private long changeCount;
 
     /** {@code keeping} null: bans end with this process. */
-    public HostEjections(Loop loop, Router router, Store store) {
+    public HostEjections(EventLoop loop, Router router, Store store) {
         this.loop = loop;
         this.router = router;
         this.store = store;
@@ -83,7 +83,7 @@
                         return;
                     }
                     List<HostId> known = List.copyOf(ejected);
-                    loop.aside(
+                    loop.executeBlocking(
                             () -> {
                                 StoreResult result =
                                         store.change(
@@ -146,7 +146,7 @@
     /** Goes by what is kept now, as the other process may have been told something. */
     public void reloadStored() {
         long countBefore = changeCount;
-        loop.aside(
+        loop.executeBlocking(
                 () -> {
                     Collection<HostId> stored = store.read();
                     loop.execute(
--- a/node/src/main/java/embershift/operations/OperatorApi.java
+++ b/node/src/main/java/embershift/operations/OperatorApi.java
@@ -3,8 +3,8 @@
 import embershift.model.DeclineReason;
 import embershift.model.HostId;
 import embershift.model.ProfileId;
-import embershift.protocol.HttpAnswer;
-import embershift.protocol.HttpRequest;
+import embershift.protocol.HttpRequestParser;
+import embershift.protocol.HttpResponse;
 import embershift.protocol.Json;
 import embershift.routing.Router;
 import embershift.routing.Tally;
@@ -37,19 +37,20 @@
      * waited}: it may have lain here so long that its caller has given up, and has since had the
      * contrary done at another process.
      */
-    public void handle(HttpRequest request, boolean mayBeStale, Consumer<HttpAnswer> answer) {
+    public void handle(
+            HttpRequestParser request, boolean mayBeStale, Consumer<HttpResponse> answer) {
         List<String> path = request.path();
         String name = path.size() > 1 && path.get(0).equals(PATH_ROOT) ? path.get(1) : "";
         boolean isQuery = path.size() == 2 && (name.equals("ready") || name.equals("telemetry"));
         boolean isEjection = path.size() == 3 && (name.equals("exclude") || name.equals("include"));
         String method = isEjection ? "POST" : "GET";
         if (!isQuery && !isEjection) {
-            answer.accept(HttpAnswer.error(404, "no such call"));
+            answer.accept(HttpResponse.error(404, "no such call"));
         } else if (!request.method().equals(method)) {
-            answer.accept(HttpAnswer.onlyBy(method));
+            answer.accept(HttpResponse.methodNotAllowed(method));
         } else if (isEjection && mayBeStale) {
             answer.accept(
-                    HttpAnswer.error(
+                    HttpResponse.error(
                             503, "this process stood still, nothing was changed: call again"));
         } else if (isEjection) {
             setEjected(new HostId(path.get(2)), name.equals("exclude"), answer);
@@ -58,15 +59,15 @@
         }
     }
 
-    private HttpAnswer ready() {
+    private HttpResponse ready() {
         return ready.getAsBoolean()
-                ? HttpAnswer.of(200, "{\"ready\":true}")
-                : HttpAnswer.error(503, "this node takes no clients now");
+                ? HttpResponse.of(200, "{\"ready\":true}")
+                : HttpResponse.error(503, "this node takes no clients now");
     }
 
-    private void setEjected(HostId host, boolean ejected, Consumer<HttpAnswer> answer) {
+    private void setEjected(HostId host, boolean ejected, Consumer<HttpResponse> answer) {
         if (!router.knows(host)) {
-            answer.accept(HttpAnswer.error(404, "no host " + host.name() + " is known here"));
+            answer.accept(HttpResponse.error(404, "no host " + host.name() + " is known here"));
             return;
         }
         ejections.setEjected(
@@ -75,13 +76,13 @@
                 end ->
                         answer.accept(
                                 end == HostEjections.Outcome.TOO_LATE
-                                        ? HttpAnswer.error(
+                                        ? HttpResponse.error(
                                                 503,
                                                 "this process stood still in the middle of it: look which hosts are out, call again")
-                                        : HttpAnswer.of(
+                                        : HttpResponse.of(
                                                 200,
                                                 "{\"host\":"
-                                                        + Json.quoted(host.name())
+                                                        + Json.quote(host.name())
                                                         + ",\"out\":"
                                                         + ejections.isEjected(host)
                                                         + ",\"kept\":"
@@ -89,13 +90,13 @@
                                                         + "}")));
     }
 
-    private HttpAnswer telemetry() {
+    private HttpResponse telemetry() {
         Tally tally = router.tally();
         StringBuilder out = new StringBuilder("{\"operations\":{");
         String comma = "";
         for (ProfileId profile : tally.profiles()) {
             out.append(comma)
-                    .append(Json.quoted(profile.name()))
+                    .append(Json.quote(profile.name()))
                     .append(":{\"fulfilled\":")
                     .append(tally.of(profile, Outcome.OPENED))
                     .append(",\"throttled\":")
@@ -117,11 +118,11 @@
                 .append(tally.of(Tally.DECLINED_FOR_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
             out.append(',')
-                    .append(Json.quoted(reason.name().toLowerCase(Locale.ROOT)))
+                    .append(Json.quote(reason.name().toLowerCase(Locale.ROOT)))
                     .append(':')
                     .append(tally.of(reason));
         }
         out.append("}}");
-        return HttpAnswer.of(200, out.toString());
+        return HttpResponse.of(200, out.toString());
     }
 }
--- a/node/src/main/java/embershift/operations/OperatorServer.java
+++ b/node/src/main/java/embershift/operations/OperatorServer.java
@@ -1,11 +1,11 @@
 package embershift.operations;
 
-import embershift.protocol.HttpAnswer;
-import embershift.protocol.HttpRequest;
+import embershift.protocol.HttpRequestParser;
+import embershift.protocol.HttpResponse;
 import embershift.routing.Router;
 import embershift.routing.Tally;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -35,7 +35,7 @@
     /** Seconds from the accept within which the whole call must have come. */
     private static final double REQUEST_TIMEOUT_SECONDS = 5;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final OperatorApi api;
     private final Tally tally;
 
@@ -43,9 +43,9 @@
     private final Set<OperatorConnection> waiting = new LinkedHashSet<>();
 
     private final StallDetector stallDetector;
-    private Loop.Listening listener;
+    private EventLoop.Acceptor listener;
 
-    public OperatorServer(Loop loop, OperatorApi api, Tally tally) {
+    public OperatorServer(EventLoop loop, OperatorApi api, Tally tally) {
         this.loop = loop;
         this.api = api;
         this.tally = tally;
@@ -57,31 +57,31 @@
         listener =
                 loop.listen(
                         address,
-                        new Loop.Admission() {
+                        new EventLoop.Admission() {
                             @Override
                             public boolean mayAccept() {
                                 return makeRoom();
                             }
 
                             @Override
-                            public int free() {
+                            public int freeDescriptors() {
                                 return listener == null
                                         ? 0
                                         : Router.OPERATOR_DESCRIPTORS
                                                 - ACCEPTED_AHEAD
-                                                - listener.open();
+                                                - listener.openConnections();
                             }
                         },
                         link -> {
                             tally.count("operators' connections");
                             new OperatorConnection(link);
                         });
-        return listener.address();
+        return listener.localAddress();
     }
 
     private void heartbeat() {
         stallDetector.heartbeat(loop.now());
-        loop.after(StallDetector.HEARTBEAT_SECONDS, this::heartbeat);
+        loop.schedule(StallDetector.HEARTBEAT_SECONDS, this::heartbeat);
     }
 
     /**
@@ -93,8 +93,8 @@
         while (waiting.size() >= MAX_WAITING) {
             evictOldest();
         }
-        while (listener.open() > Router.OPERATOR_DESCRIPTORS - ACCEPTED_AHEAD) {
-            if (!listener.closeLingering() && !evictOldest()) {
+        while (listener.openConnections() > Router.OPERATOR_DESCRIPTORS - ACCEPTED_AHEAD) {
+            if (!listener.closeOldestLingering() && !evictOldest()) {
                 return false;
             }
         }
@@ -108,38 +108,38 @@
         }
         tally.count("operators' connections that gave way");
         OperatorConnection caller = oldest.next();
-        caller.answer(HttpAnswer.error(503, "others call, and no whole call has come here"));
+        caller.answer(HttpResponse.error(503, "others call, and no whole call has come here"));
         // Nothing that it sent is unread, so the answer is not lost by this.
         caller.link.close();
         return true;
     }
 
-    private final class OperatorConnection implements Link.Events {
-        private final Link link;
-        private final HttpRequest request = new HttpRequest();
-        private final Loop.Timer timeout;
+    private final class OperatorConnection implements TcpConnection.Listener {
+        private final TcpConnection link;
+        private final HttpRequestParser request = new HttpRequestParser();
+        private final EventLoop.Timer timeout;
 
-        OperatorConnection(Link link) {
+        OperatorConnection(TcpConnection link) {
             this.link = link;
             waiting.add(this);
             timeout =
-                    loop.after(
+                    loop.schedule(
                             REQUEST_TIMEOUT_SECONDS,
-                            () -> answerAndFinish(HttpAnswer.error(408, "no whole call came")));
-            link.events(this);
+                            () -> answerAndFinish(HttpResponse.error(408, "no whole call came")));
+            link.setListener(this);
         }
 
-        private void answer(HttpAnswer answer) {
+        private void answer(HttpResponse answer) {
             stopWaiting();
-            if (!link.closed()) {
+            if (!link.isClosed()) {
                 tally.count("operators' calls answered " + answer.status());
-                link.write(answer.bytes());
+                link.write(answer.encode());
             }
         }
 
-        private void answerAndFinish(HttpAnswer answer) {
+        private void answerAndFinish(HttpResponse answer) {
             answer(answer);
-            link.finish();
+            link.closeGracefully();
         }
 
         private void stopWaiting() {
@@ -153,13 +153,13 @@
                 return;
             }
             try {
-                if (request.read(bytes)) {
+                if (request.parse(bytes)) {
                     stopWaiting();
                     api.handle(
                             request, stallDetector.mayBeStale(loop.now()), this::answerAndFinish);
                 }
-            } catch (HttpRequest.Refused e) {
-                answerAndFinish(HttpAnswer.error(e.status(), e.getMessage()));
+            } catch (HttpRequestParser.RejectedException e) {
+                answerAndFinish(HttpResponse.error(e.status(), e.getMessage()));
             }
         }
 
@@ -168,14 +168,14 @@
          * more.
          */
         @Override
-        public void ended() {
+        public void inputEnded() {
             if (waiting.contains(this)) {
-                broken();
+                connectionLost();
             }
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             stopWaiting();
             link.close();
         }
--- a/node/src/main/java/embershift/program/NodeProcess.java
+++ b/node/src/main/java/embershift/program/NodeProcess.java
@@ -5,11 +5,11 @@
 import embershift.operations.OperatorApi;
 import embershift.operations.OperatorServer;
 import embershift.protocol.Addresses;
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import embershift.routing.Router;
 import embershift.signals.Signals;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -51,7 +51,7 @@
 
     /** Where the configuration is read, at the start and whenever it has been replaced. */
     public interface ConfigurationSource {
-        NodeConfiguration read() throws Unreadable;
+        NodeConfiguration read() throws MalformedDataException;
     }
 
     private final ConfigurationSource source;
@@ -64,7 +64,7 @@
     private NodeConfiguration latestConfiguration;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private Phase phase = Phase.STARTING;
-    private Loop loop;
+    private EventLoop loop;
     private Router router;
     private double shutdownStartedAt;
     private double minShutdownSeconds;
@@ -73,12 +73,12 @@
     /** Null where operators have no address, or there is no folder for it. */
     private volatile SiblingProcesses siblings;
 
-    NodeProcess(ConfigurationSource source, Log log) throws Unreadable {
+    NodeProcess(ConfigurationSource source, Log log) throws MalformedDataException {
         this(source, log, null);
     }
 
     private NodeProcess(ConfigurationSource source, Log log, NodeExtension extension)
-            throws Unreadable {
+            throws MalformedDataException {
         this.source = source;
         this.log = log;
         this.extension = extension;
@@ -91,13 +91,13 @@
      * where it can't.
      */
     public static InetSocketAddress start(ConfigurationSource source, NodeExtension extension)
-            throws IOException, Unreadable {
+            throws IOException, MalformedDataException {
         return new NodeProcess(source, new Log(System.err), extension).start();
     }
 
     /** Listens, and returns where; the node then lives on its loop. Fails where it can't listen. */
     InetSocketAddress start() throws IOException {
-        loop = new Loop();
+        loop = new EventLoop();
         CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
         loop.execute(() -> serve(listening));
         // Before the node can be seen to be ready: unhandled, both signals would end the program.
@@ -123,7 +123,7 @@
     private void serve(CompletableFuture<InetSocketAddress> listening) {
         try {
             router = new Router(loop, startConfiguration, log::line);
-            if (startConfiguration.operated()) {
+            if (startConfiguration.hasManagement()) {
                 listenForOperators();
             }
             if (extension != null) {
@@ -138,10 +138,10 @@
                 requireNoOtherDeployment();
                 ejections.applyStored(siblings.read());
                 applyStatuses(siblings.exchange(status()));
-                loop.after(SIBLING_POLL_SECONDS, this::pollSiblings);
+                loop.schedule(SIBLING_POLL_SECONDS, this::pollSiblings);
             }
             enter(Phase.SERVING);
-            log.line("listening on " + Addresses.written(address));
+            log.line("listening on " + Addresses.format(address));
             listening.complete(address);
         } catch (IOException | RuntimeException e) {
             listening.completeExceptionally(e);
@@ -152,7 +152,7 @@
         if (siblings != null && siblings.hasOtherDeployment()) {
             throw new IOException(
                     "can't listen on "
-                            + Addresses.written(startConfiguration.listen())
+                            + Addresses.format(startConfiguration.listen())
                             + ": a node of another deployment serves there");
         }
     }
@@ -163,7 +163,7 @@
         extension.start(
                 new NodeExtension.NodeContext() {
                     @Override
-                    public Loop loop() {
+                    public EventLoop loop() {
                         return loop;
                     }
 
@@ -209,15 +209,15 @@
         siblings =
                 SiblingProcesses.open(
                         System.getenv("TMPDIR"),
-                        Addresses.written(startConfiguration.listen()),
-                        startConfiguration.belongsTo(),
+                        Addresses.format(startConfiguration.listen()),
+                        startConfiguration.deploymentIdentity(),
                         log::line);
         ejections = new HostEjections(loop, router, siblings);
         OperatorApi api = new OperatorApi(router, ejections, this::isReady);
         InetSocketAddress address =
                 new OperatorServer(loop, api, router.tally())
                         .listen(startConfiguration.management());
-        log.line("operators call " + Addresses.written(address));
+        log.line("operators call " + Addresses.format(address));
     }
 
     /**
@@ -226,13 +226,13 @@
      */
     private void pollSiblings() {
         SiblingProcesses.ProcessStatus own = status();
-        loop.aside(
+        loop.executeBlocking(
                 () -> {
                     List<SiblingProcesses.ProcessStatus> others = siblings.exchange(own);
                     loop.execute(
                             () -> {
                                 applyStatuses(others);
-                                loop.after(SIBLING_POLL_SECONDS, this::pollSiblings);
+                                loop.schedule(SIBLING_POLL_SECONDS, this::pollSiblings);
                             });
                 });
     }
@@ -265,7 +265,7 @@
         try {
             NodeConfiguration next = source.read();
             loop.execute(() -> applyConfiguration(next));
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             loop.execute(() -> rejectConfiguration(e.getMessage()));
         }
     }
@@ -276,19 +276,19 @@
     }
 
     private void applyConfiguration(NodeConfiguration next) {
-        if (!next.belongsTo().equals(startConfiguration.belongsTo())) {
+        if (!next.deploymentIdentity().equals(startConfiguration.deploymentIdentity())) {
             // Its discovery and peers are another customer's: this node's tunnels would go to their
             // hosts.
-            rejectConfiguration("it is another deployment's, of " + next.belongsTo());
+            rejectConfiguration("it is another deployment's, of " + next.deploymentIdentity());
             return;
         }
         router.tally().count("configurations taken");
         latestConfiguration = next;
         router.reconfigure(extension == null ? next : extension.adapt(next));
-        List<String> restartOnly = startConfiguration.fixedChanges(next);
+        List<String> restartOnly = startConfiguration.changesRequiringRestart(next);
         log.line(
                 "configuration taken, discovery at "
-                        + Addresses.written(next.discovery())
+                        + Addresses.format(next.discovery())
                         + (restartOnly.isEmpty()
                                 ? ""
                                 : "; only after a restart: " + String.join(", ", restartOnly)));
@@ -340,9 +340,9 @@
                 || (elapsed > minShutdownSeconds && router.isDrained())) {
             enter(Phase.CLOSING);
             router.stop();
-            loop.after(FLUSH_SECONDS, this::stop);
+            loop.schedule(FLUSH_SECONDS, this::stop);
         } else {
-            loop.after(DRAIN_CHECK_SECONDS, this::checkDrained);
+            loop.schedule(DRAIN_CHECK_SECONDS, this::checkDrained);
         }
     }
 
--- a/node/src/main/java/embershift/program/SelfTest.java
+++ b/node/src/main/java/embershift/program/SelfTest.java
@@ -1,7 +1,7 @@
 package embershift.program;
 
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -38,11 +38,11 @@
     /**
      * Plays it all; fails where a client does not hear what it should. The node is left to its end.
      */
-    void run(Log log) throws IOException, Unreadable {
+    void run(Log log) throws IOException, MalformedDataException {
         serve(host, this::runHost);
         serve(discovery, this::runDiscovery);
         InetSocketAddress node =
-                new NodeProcess(() -> NodeConfiguration.read(configurationJson(), null), log)
+                new NodeProcess(() -> NodeConfiguration.parse(configurationJson(), null), log)
                         .start();
         for (int i = 0; i < TUNNELS; i++) {
             try (Socket client = new Socket(node.getAddress(), node.getPort())) {
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -3,7 +3,7 @@
 import embershift.model.HostId;
 import embershift.operations.HostEjections;
 import embershift.protocol.BanList;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -282,22 +282,22 @@
                 }
                 Path file = listFile(latestNumber);
                 try {
-                    if (Files.size(file) > BanList.LONGEST) {
-                        throw new Unreadable("over " + BanList.LONGEST + " bytes");
+                    if (Files.size(file) > BanList.MAX_CHARS) {
+                        throw new MalformedDataException("over " + BanList.MAX_CHARS + " bytes");
                     }
                     return new NumberedList(
                             latestNumber,
-                            BanList.read(Files.readString(file, StandardCharsets.UTF_8)));
+                            BanList.parse(Files.readString(file, StandardCharsets.UTF_8)));
                 } catch (NoSuchFileException e) {
                     // Others wrote so many meanwhile that this one was swept away; or all lists are
                     // gone.
                     if (previousNumber == latestNumber) {
-                        throw new Unreadable("it is gone");
+                        throw new MalformedDataException("it is gone");
                     }
                 }
             }
-            throw new Unreadable("others write faster than this process reads");
-        } catch (IOException | DirectoryIteratorException | Unreadable e) {
+            throw new MalformedDataException("others write faster than this process reads");
+        } catch (IOException | DirectoryIteratorException | MalformedDataException e) {
             logOnce("hosts out by hand can't be read from " + folder.resolve(listPrefix), e);
             return null;
         }
@@ -349,11 +349,11 @@
                 } else {
                     ejected.remove(host);
                 }
-                if (ejected.size() > BanList.MOST) {
-                    throw new IOException("over " + BanList.MOST + " hosts");
+                if (ejected.size() > BanList.MAX_HOSTS) {
+                    throw new IOException("over " + BanList.MAX_HOSTS + " hosts");
                 }
                 long next = latestNumber + 1;
-                if (publish(next, BanList.write(ejected))) {
+                if (publish(next, BanList.format(ejected))) {
                     if (!inTime.getAsBoolean()) {
                         // Stopped so long that its number may have been given, swept away and given
                         // again.
--- a/node/src/main/java/embershift/routing/HostEndpoint.java
+++ b/node/src/main/java/embershift/routing/HostEndpoint.java
@@ -3,18 +3,18 @@
 import embershift.model.HostId;
 import embershift.model.NodeEvents;
 import embershift.protocol.HostLine;
-import embershift.protocol.Line;
-import embershift.protocol.Report;
-import embershift.protocol.Unreadable;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.LineCodec;
+import embershift.protocol.LoadReport;
+import embershift.protocol.MalformedDataException;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
 /** How this node reaches one host: its address, and one kept connection on which it is asked. */
-final class HostEndpoint implements Link.Events {
+final class HostEndpoint implements TcpConnection.Listener {
 
-    private static final ByteBuffer STATS_REQUEST = Line.of("STATS").asReadOnlyBuffer();
+    private static final ByteBuffer STATS_REQUEST = LineCodec.encode("STATS").asReadOnlyBuffer();
 
     final HostId host;
 
@@ -30,9 +30,9 @@
     boolean outOfService;
     private final Router router;
     private InetSocketAddress address;
-    private Link link;
+    private TcpConnection link;
     private boolean connected;
-    private Line lineReader = new Line();
+    private LineCodec lineReader = new LineCodec();
 
     /** When the question now out was asked; NaN for none. */
     private double probeStartedAt = Double.NaN;
@@ -46,7 +46,7 @@
     /** When this connection brought its last answer; negative infinity for none yet. */
     private double lastAnswerAt = Double.NEGATIVE_INFINITY;
 
-    private Loop.Timer probeTimer;
+    private EventLoop.Timer probeTimer;
     private boolean unresponsive;
     private double messageDelayReportedAt = Double.NEGATIVE_INFINITY;
     private boolean messagesSlow;
@@ -85,7 +85,7 @@
         probeStartedAt = router.now();
         router.tally().count("probes sent");
         if (address == null) {
-            router.loop().execute(() -> endProbe(false, Report.NONE));
+            router.loop().execute(() -> endProbe(false, LoadReport.NONE));
             return;
         }
         if (link == null) {
@@ -112,7 +112,9 @@
     }
 
     private void startProbeTimer() {
-        probeTimer = router.loop().after(router.probeTimeout(), () -> endProbe(false, Report.NONE));
+        probeTimer =
+                router.loop()
+                        .schedule(router.probeTimeout(), () -> endProbe(false, LoadReport.NONE));
     }
 
     /** Gives the connection up, and its place. */
@@ -130,7 +132,7 @@
         if (link != null) {
             link.close();
         }
-        lineReader = new Line();
+        lineReader = new LineCodec();
         connected = false;
         probeWritten = false;
         lastAnswerAt = Double.NEGATIVE_INFINITY;
@@ -145,10 +147,10 @@
         double settled = lastAnswerAt + router.duplicateAnswerWindow();
         double now = router.now();
         if (now < settled) {
-            Link of = link;
+            TcpConnection of = link;
             double asked = probeStartedAt;
             router.loop()
-                    .after(
+                    .schedule(
                             settled - now,
                             () -> {
                                 if (link == of && probeStartedAt == asked && !probeWritten) {
@@ -166,12 +168,12 @@
         if (link != null || router.probeConnections().cancelWait(this)) {
             releaseConnection();
             if (!Double.isNaN(probeStartedAt)) {
-                router.loop().execute(() -> endProbe(false, Report.NONE));
+                router.loop().execute(() -> endProbe(false, LoadReport.NONE));
             }
         }
     }
 
-    private void endProbe(boolean answered, Report report) {
+    private void endProbe(boolean answered, LoadReport report) {
         if (Double.isNaN(probeStartedAt)) {
             return;
         }
@@ -207,8 +209,8 @@
         return unresponsive;
     }
 
-    void reportLoad(NodeEvents news, Report report) {
-        if (!report.empty()) {
+    void reportLoad(NodeEvents news, LoadReport report) {
+        if (!report.isEmpty()) {
             news.hostReported(
                     host, report.loadOverCapacity(), report.openTunnels(), report.queued());
         }
@@ -236,7 +238,7 @@
     }
 
     @Override
-    public void notConnected() {
+    public void connectFailed() {
         connectionLost();
     }
 
@@ -251,12 +253,12 @@
             if (line == null) {
                 return;
             }
-            HostLine said = HostLine.read(Line.text(line));
-            endProbe(said.word() == HostLine.Word.PONG, said.report());
+            HostLine said = HostLine.parse(LineCodec.decode(line));
+            endProbe(said.type() == HostLine.Type.PONG, said.report());
             if (bytes.hasRemaining() && link != null) {
                 handleUnexpectedBytes();
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             router.tally().count("probes unreadable");
             connectionLost();
         }
@@ -276,8 +278,8 @@
     }
 
     @Override
-    public void ended() {
-        broken();
+    public void inputEnded() {
+        connectionLost();
     }
 
     /**
@@ -286,10 +288,10 @@
      * something of the host.
      */
     @Override
-    public void broken() {
+    public void connectionLost() {
         if (!Double.isNaN(probeStartedAt)
                 && lastAnswerAt > Double.NEGATIVE_INFINITY
-                && !lineReader.begun()) {
+                && !lineReader.hasPartialLine()) {
             router.tally().count("probes asked again");
             reconnect();
         } else {
@@ -299,6 +301,6 @@
 
     private void connectionLost() {
         releaseConnection();
-        endProbe(false, Report.NONE);
+        endProbe(false, LoadReport.NONE);
     }
 }
--- a/node/src/main/java/embershift/routing/RosterClient.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -2,12 +2,12 @@
 
 import embershift.model.NodeEvents;
 import embershift.policy.SeededRandom;
-import embershift.protocol.HttpReply;
-import embershift.protocol.RosterPage;
-import embershift.protocol.Unreadable;
+import embershift.protocol.HttpResponseParser;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.RosterUpdate;
 import embershift.protocol.WatchSchedule;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -17,16 +17,16 @@
  * up is decided by {@link WatchSchedule}; where the module is the one to ask, it may have them
  * begin sooner after a failure.
  */
-final class RosterClient implements Link.Events {
+final class RosterClient implements TcpConnection.Listener {
 
     private final Router router;
     private final boolean alwaysWatches;
     private final WatchSchedule schedule;
     private InetSocketAddress address;
     private String hostHeader;
-    private Link link;
-    private HttpReply reply;
-    private Loop.Timer timer;
+    private TcpConnection link;
+    private HttpResponseParser reply;
+    private EventLoop.Timer timer;
     private long generation = -1;
     private boolean watching;
     private boolean fullListWanted;
@@ -94,13 +94,13 @@
 
     private void stop() {
         closeConnection();
-        schedule.stopped();
+        schedule.stop();
         scheduleNext();
     }
 
     void watch(boolean on) {
         watching = on;
-        if (on && !schedule.calling() && !external) {
+        if (on && !schedule.isCalling() && !external) {
             startCall();
         }
     }
@@ -111,7 +111,7 @@
             return;
         }
         fullListWanted = true;
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             startCall();
         }
     }
@@ -122,13 +122,13 @@
             timer.cancel();
             timer = null;
         }
-        if (schedule.due() < Double.POSITIVE_INFINITY) {
+        if (schedule.nextActionAt() < Double.POSITIVE_INFINITY) {
             timer =
                     router.loop()
-                            .after(
-                                    Math.max(0, schedule.due() - router.now()),
+                            .schedule(
+                                    Math.max(0, schedule.nextActionAt() - router.now()),
                                     () -> {
-                                        if (schedule.calling()) {
+                                        if (schedule.isCalling()) {
                                             callFailed();
                                         } else {
                                             startCall();
@@ -138,10 +138,10 @@
     }
 
     private void startCall() {
-        reply = new HttpReply();
+        reply = new HttpResponseParser();
         router.tally().count("roster calls");
         reusedConnection = link != null;
-        schedule.called(router.now(), reusedConnection);
+        schedule.callStarted(router.now(), reusedConnection);
         scheduleNext();
         if (link == null) {
             link = router.loop().connect(address, this);
@@ -155,7 +155,7 @@
         String query =
                 fullListRequested
                         ? ""
-                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.mayWait() * 1000);
+                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.maxWait() * 1000);
         link.write(
                 ByteBuffer.wrap(
                         ("GET /api/targets"
@@ -175,14 +175,14 @@
 
     private void callFailed() {
         closeConnection();
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             return;
         }
         fullListWanted = false;
         if (watching) {
-            schedule.failed(router.now());
+            schedule.callFailed(router.now());
         } else {
-            schedule.stopped();
+            schedule.stop();
         }
         router.tally().count("roster calls failed");
         continueWatch();
@@ -192,24 +192,24 @@
     }
 
     private void replyReceived() {
-        if (!reply.keptOpen()) {
+        if (!reply.keepAlive()) {
             closeConnection();
         }
         if (reply.status() != 200) {
             callFailed();
             return;
         }
-        RosterPage page;
+        RosterUpdate page;
         try {
-            page = RosterPage.read(reply.body());
-        } catch (Unreadable e) {
+            page = RosterUpdate.parse(reply.body());
+        } catch (MalformedDataException e) {
             callFailed();
             return;
         }
         boolean sameAgain =
                 page.generation() == generation
                         && !page.listings().isEmpty()
-                        && schedule.early(router.now());
+                        && schedule.isEarly(router.now());
         if (reusedConnection
                 && (page.generation() < generation || (!fullListRequested && sameAgain))) {
             // On one connection versions only grow: this is an earlier answer that came once more,
@@ -220,13 +220,13 @@
         }
         // A discovery that came back may count anew: what has changed since its first version is
         // not all that has.
-        boolean counted = page.whole() || page.generation() >= generation;
-        fullListWanted = (fullListWanted && !page.whole() && !fullListRequested) || !counted;
-        schedule.answered(router.now(), page.generation() != generation);
+        boolean counted = page.full() || page.generation() >= generation;
+        fullListWanted = (fullListWanted && !page.full() && !fullListRequested) || !counted;
+        schedule.callAnswered(router.now(), page.generation() != generation);
         generation = page.generation();
         router.discoveryAnswered(page);
         if (external || (!watching && !fullListWanted)) {
-            schedule.stopped();
+            schedule.stop();
             scheduleNext();
         } else if (fullListWanted) {
             startCall();
@@ -236,7 +236,7 @@
     }
 
     private void continueWatch() {
-        if (schedule.due() <= router.now()) {
+        if (schedule.nextActionAt() <= router.now()) {
             startCall();
         } else {
             scheduleNext();
@@ -255,25 +255,25 @@
 
     @Override
     public void connected() {
-        if (schedule.calling()) {
+        if (schedule.isCalling()) {
             sendRequest();
         }
     }
 
     @Override
-    public void notConnected() {
+    public void connectFailed() {
         link = null;
         callFailed();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             closeConnection();
             return;
         }
         try {
-            if (reply.take(bytes)) {
+            if (reply.feed(bytes)) {
                 if (bytes.hasRemaining()) {
                     // More than was asked for, as a second answer: the rest of it would be taken
                     // for the next one.
@@ -281,29 +281,29 @@
                 }
                 replyReceived();
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             callFailed();
         }
     }
 
     @Override
-    public void ended() {
+    public void inputEnded() {
         connectionEnded();
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
         connectionEnded();
     }
 
     private void connectionEnded() {
         closeConnection();
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             return;
         }
-        if (reply.end()) {
+        if (reply.endOfInput()) {
             replyReceived();
-        } else if (reusedConnection && !reply.begun()) {
+        } else if (reusedConnection && !reply.hasStarted()) {
             // A kept connection may be ended by the other side just as a call goes out on it.
             startCall();
         } else {
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -11,10 +11,10 @@
 import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Opening;
-import embershift.protocol.RosterPage;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.OpenRequest;
+import embershift.protocol.RosterUpdate;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -85,7 +85,7 @@
 
     private static final int MIN_PROBE_DESCRIPTORS = 8;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Deployment deployment;
     private final HostCapacityEstimate filling;
     private final Policy policy;
@@ -120,7 +120,7 @@
 
     private boolean leaving;
     private boolean replaced;
-    private Loop.Listening listening;
+    private EventLoop.Acceptor listening;
 
     /** Whether operators have an address, and so descriptors of their own. */
     private final boolean hasOperators;
@@ -137,7 +137,7 @@
     private int listedHosts;
     private int avoidedHosts;
 
-    public Router(Loop loop, NodeConfiguration configuration, Consumer<String> log)
+    public Router(EventLoop loop, NodeConfiguration configuration, Consumer<String> log)
             throws IOException {
         this.loop = loop;
         this.log = log;
@@ -152,7 +152,7 @@
                                 .mapToDouble(Deployment.Profile::setupGoal)
                                 .min()
                                 .orElse(1);
-        hasOperators = configuration.operated();
+        hasOperators = configuration.hasManagement();
         descriptorLimit = configuration.sockets();
         probeConnections =
                 new ProbeConnectionPool<>(this::hasRoomForProbe, HostEndpoint::disconnect);
@@ -169,8 +169,8 @@
                         !deployment.rosterOnRequest(),
                         deployment.seed());
         peers = new Peers(this, configuration);
-        if (configuration.known() != null) {
-            RosterPage known = configuration.known();
+        if (configuration.initialRoster() != null) {
+            RosterUpdate known = configuration.initialRoster();
             roster.setGeneration(known.generation());
             updateEndpoints(known);
             enqueueNews(news -> news.rosterReplaced(known.listings(), true));
@@ -188,7 +188,7 @@
         void discoveryAnswered(long generation);
 
         /** The whole list, as it was told last. */
-        RosterPage fullList();
+        RosterUpdate fullList();
     }
 
     /** Who may tell lists from now on, once {@link #useExternalRoster} says that they hold. */
@@ -207,7 +207,7 @@
         loop.execute(() -> applyRoster(externalRoster.fullList()));
     }
 
-    void discoveryAnswered(RosterPage page) {
+    void discoveryAnswered(RosterUpdate page) {
         if (externalRoster != null) {
             externalRoster.discoveryAnswered(page.generation());
         }
@@ -233,7 +233,7 @@
         return contact == null ? 0 : contact.setupsSent;
     }
 
-    private void connectionAccepted(Link link) {
+    private void connectionAccepted(TcpConnection link) {
         tally.count("connections taken in");
         unopenedConnections.add(new TunnelRelay(this, link));
     }
@@ -245,7 +245,7 @@
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         listening =
                 loop.listen(address, hasOperators, unopenedConnections, this::connectionAccepted);
-        return listening.address();
+        return listening.localAddress();
     }
 
     /** Goes by a new configuration, as far as that can change while tunnels stand. */
@@ -273,7 +273,7 @@
      * they are.
      */
     public void setDescriptorsHeldElsewhere(int many, int processes) {
-        if (descriptorShare.update(descriptorLimit, loop.descriptors(), many, processes)) {
+        if (descriptorShare.update(descriptorLimit, loop.openDescriptors(), many, processes)) {
             applyDescriptorLimits();
         }
     }
@@ -281,7 +281,7 @@
     /** Descriptors that this process tells others at its address to be its own. */
     public int claimedDescriptors() {
         return descriptorShare.claimed(
-                descriptorLimit, loop.descriptors(), leaving, OPERATOR_DESCRIPTORS);
+                descriptorLimit, loop.openDescriptors(), leaving, OPERATOR_DESCRIPTORS);
     }
 
     private void applyDescriptorLimits() {
@@ -354,7 +354,7 @@
     public boolean isDrained() {
         return relays.isEmpty()
                 && !(replaced
-                        ? unopenedConnections.hasAny() || listening.waiting() > 0
+                        ? unopenedConnections.hasAny() || listening.queuedConnections() > 0
                         : unopenedConnections.hasPartialFirstLine());
     }
 
@@ -408,7 +408,7 @@
         return tally;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -462,7 +462,7 @@
         listedHosts = policy.listedHostCount(false);
         avoidedHosts = policy.listedHostCount(true);
         retryWaitingProbe();
-        loop.after(SWEEP_SECONDS, this::sweep);
+        loop.schedule(SWEEP_SECONDS, this::sweep);
     }
 
     // ---- News ----
@@ -541,11 +541,11 @@
      * start.
      */
     void tunnelAccepted(TunnelRelay passage) {
-        Opening opening = passage.opening();
+        OpenRequest opening = passage.opening();
         relays.put(passage.id(), passage);
         idsInUse.add(opening.id());
         tally.count("tunnels taken");
-        if (!(opening.standingAt() == null
+        if (!(opening.resumeHost() == null
                 ? unopenedConnections.makeRoom()
                 : unopenedConnections.makeRoomForStanding())) {
             // Guards the descriptors: with none left, nothing could be taken in or answered at all.
@@ -553,7 +553,7 @@
             passage.sendFinalAnswer("BUSY", Tally.Outcome.DECLINED);
             return;
         }
-        if (opening.standingAt() != null) {
+        if (opening.resumeHost() != null) {
             if (!resume(passage)) {
                 unresumed.add(passage);
             }
@@ -601,12 +601,12 @@
      * now.
      */
     void resumeLater(TunnelRelay passage) {
-        loop.after(RESUME_RETRY_SECONDS, () -> resume(passage));
+        loop.schedule(RESUME_RETRY_SECONDS, () -> resume(passage));
     }
 
     /** Sends a tunnel that stood before back to its host, if that is known by now. */
     private boolean resume(TunnelRelay passage) {
-        HostEndpoint contact = endpoints.get(passage.opening().standingAt());
+        HostEndpoint contact = endpoints.get(passage.opening().resumeHost());
         if (contact == null) {
             return false;
         }
@@ -615,8 +615,8 @@
     }
 
     void tunnelOpened(TunnelRelay passage, HostEndpoint contact, int setup, double took) {
-        Opening opening = passage.opening();
-        if (opening.standingAt() != null) {
+        OpenRequest opening = passage.opening();
+        if (opening.resumeHost() != null) {
             enqueueNews(
                     news ->
                             news.tunnelResumed(
@@ -639,11 +639,11 @@
     }
 
     /** A list of hosts, or what is new in one. */
-    public void applyRoster(RosterPage page) {
-        tally.add("roster entries unreadable", page.unreadable());
+    public void applyRoster(RosterUpdate page) {
+        tally.add("roster entries unreadable", page.malformedEntries());
         updateEndpoints(page);
         enqueueNews(
-                page.whole()
+                page.full()
                         ? news -> news.rosterReplaced(page.listings(), false)
                         : news -> news.rosterChanged(page.listings()));
         // Over a copy: a client that is found to have left takes its tunnel off the list by itself.
@@ -658,8 +658,8 @@
         return endpoints.computeIfAbsent(host, id -> new HostEndpoint(this, id));
     }
 
-    private void updateEndpoints(RosterPage page) {
-        if (page.whole()) {
+    private void updateEndpoints(RosterUpdate page) {
+        if (page.full()) {
             endpoints.forEach(
                     (host, contact) -> {
                         contact.listedReady = false;
@@ -757,7 +757,7 @@
     @Override
     public void wakeAfter(double delay) {
         // Guards the sockets: a module that asks for rounds without a pause would let none be read.
-        loop.after(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueNews(news -> {}));
+        loop.schedule(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueNews(news -> {}));
     }
 
     @Override
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -4,15 +4,15 @@
 import embershift.model.SetupOutcome;
 import embershift.model.TunnelId;
 import embershift.protocol.HostLine;
-import embershift.protocol.Line;
-import embershift.protocol.Opening;
-import embershift.protocol.Report;
-import embershift.protocol.Tail;
-import embershift.protocol.Trail;
-import embershift.protocol.Unreadable;
+import embershift.protocol.HostLineTracker;
+import embershift.protocol.LineCodec;
+import embershift.protocol.LoadReport;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.OpenRequest;
+import embershift.protocol.PartialLineBuffer;
 import embershift.routing.Tally.Outcome;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.nio.ByteBuffer;
 
 /**
@@ -40,11 +40,11 @@
     private static final int MAX_PINGS = 16;
 
     private final Router router;
-    private final Link client;
+    private final TcpConnection client;
     private State state = State.AWAITING_OPEN;
-    private Line firstLineReader = new Line();
+    private LineCodec firstLineReader = new LineCodec();
     private int pings;
-    private Opening opening;
+    private OpenRequest opening;
 
     /**
      * What the module calls this tunnel: no other has it, so that late news of this one reaches
@@ -54,7 +54,7 @@
 
     private double clientTimeoutAt;
     private ByteBuffer earlyBytes;
-    private Loop.Timer answerTimer;
+    private EventLoop.Timer answerTimer;
     private boolean moveRequested;
     private boolean needsHostConnection;
 
@@ -70,13 +70,13 @@
      */
     private double repeatableUntil = Double.POSITIVE_INFINITY;
 
-    private Trail hostLineTracker;
-    private Tail partialLineBuffer;
+    private HostLineTracker hostLineTracker;
+    private PartialLineBuffer partialLineBuffer;
 
-    TunnelRelay(Router router, Link client) {
+    TunnelRelay(Router router, TcpConnection client) {
         this.router = router;
         this.client = client;
-        client.events(new ClientSide());
+        client.setListener(new ClientSide());
     }
 
     // ---- The client's first lines ----
@@ -90,31 +90,31 @@
                 }
                 handleFirstLine(line);
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             rejectFirstLine(e.getMessage());
         }
     }
 
-    private void handleFirstLine(byte[] line) throws Unreadable {
-        String text = Line.text(line);
+    private void handleFirstLine(byte[] line) throws MalformedDataException {
+        String text = LineCodec.decode(line);
         if (text.equals("PING")) {
             if (router.isStopping()) {
-                throw new Unreadable("this node stops");
+                throw new MalformedDataException("this node stops");
             }
             if (++pings > MAX_PINGS) {
-                throw new Unreadable("too many questions");
+                throw new MalformedDataException("too many questions");
             }
             router.tally().count("pings answered");
-            client.write(Line.of("PONG"));
+            client.write(LineCodec.encode("PONG"));
             return;
         }
-        if (!Opening.isOne(text)) {
-            throw new Unreadable("a connection begins with OPEN or PING");
+        if (!OpenRequest.isOpenLine(text)) {
+            throw new MalformedDataException("a connection begins with OPEN or PING");
         }
-        opening = Opening.read(line);
+        opening = OpenRequest.parse(line);
         if (router.knows(opening.id())) {
             opening = null;
-            throw new Unreadable("this id has been used");
+            throw new MalformedDataException("this id has been used");
         }
         id = router.uniqueId(opening.id());
         firstLineReader = null;
@@ -124,7 +124,7 @@
         state = State.PENDING;
         setNeedsHostConnection(true);
         answerTimer =
-                router.loop().after(opening.clientTimeout() - margin / 2, this::answerOverdue);
+                router.loop().schedule(opening.clientTimeout() - margin / 2, this::answerOverdue);
         router.tunnelAccepted(this);
     }
 
@@ -148,14 +148,14 @@
     /** Says what is wrong with a first line, and ends the connection. */
     void rejectFirstLine(String why) {
         router.tally().count("first lines refused");
-        client.write(Line.of("ERR " + why));
+        client.write(LineCodec.encode("ERR " + why));
         markClosed();
-        client.finish();
+        client.closeGracefully();
     }
 
     /** Reads what it has sent by now; whether no tunnel has come of that. */
     boolean isUnopenedAfterRead() {
-        client.look();
+        client.readAvailable();
         return state == State.AWAITING_OPEN;
     }
 
@@ -163,11 +163,11 @@
      * No whole first line has come in time, or others need the room: who only asked needs no word.
      */
     void closeUnopened(String word) {
-        if (pings == 0 || firstLineReader.begun()) {
-            client.write(Line.of(word));
+        if (pings == 0 || firstLineReader.hasPartialLine()) {
+            client.write(LineCodec.encode(word));
         }
         markClosed();
-        client.finish();
+        client.closeGracefully();
     }
 
     /** Whether it still needs a connection to a host that it does not have. */
@@ -197,7 +197,7 @@
         return router.awaitingReply().remove(this);
     }
 
-    Opening opening() {
+    OpenRequest opening() {
         return opening;
     }
 
@@ -207,7 +207,7 @@
 
     /** Whether a first line has begun to come, and may still become a tunnel. */
     boolean hasPartialFirstLine() {
-        return state == State.AWAITING_OPEN && firstLineReader.begun();
+        return state == State.AWAITING_OPEN && firstLineReader.hasPartialLine();
     }
 
     double timeLeft(double now) {
@@ -226,7 +226,7 @@
         // may count an attempt from its connection on, so the client is looked at before that is
         // begun.
         if (state == State.PENDING) {
-            client.look();
+            client.readAvailable();
         }
         if (state != State.PENDING) {
             return false;
@@ -261,9 +261,9 @@
             return;
         }
         router.tally().count(outcome, opening.profile());
-        client.write(Line.of(line));
+        client.write(LineCodec.encode(line));
         markClosed();
-        client.finish();
+        client.closeGracefully();
         if (setup != null) {
             setup.cancel();
         }
@@ -280,12 +280,12 @@
     }
 
     private void moveIfBetweenLines() {
-        if (moveRequested && state == State.OPEN && hostLineTracker.betweenLines()) {
+        if (moveRequested && state == State.OPEN && hostLineTracker.atLineBoundary()) {
             router.tally().count("tunnels moved");
-            client.write(Line.of("MOVE"));
-            endTunnel(SetupOutcome.CANCELLED, Report.NONE);
-            client.finish();
-            setup.link.finish();
+            client.write(LineCodec.encode("MOVE"));
+            endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
+            client.closeGracefully();
+            setup.link.closeGracefully();
         }
     }
 
@@ -294,7 +294,7 @@
      * vanished; else the module hears of it, which asks the host, and the tunnel waits for longer.
      */
     void onHostQuiet() {
-        if (client.backedUp()) {
+        if (client.hasPendingWrites()) {
             // A client that does not read keeps its host's lines from coming; that is no host's
             // silence.
             return;
@@ -319,23 +319,23 @@
     void onHostSilent() {
         if (state == State.OPEN) {
             router.tally().count("tunnels at silent hosts");
-            if (hostLineTracker.betweenLines()) {
-                client.write(Line.of("MOVE"));
+            if (hostLineTracker.atLineBoundary()) {
+                client.write(LineCodec.encode("MOVE"));
             }
-            endTunnel(SetupOutcome.BROKEN, Report.NONE);
-            client.finish();
+            endTunnel(SetupOutcome.BROKEN, LoadReport.NONE);
+            client.closeGracefully();
             setup.link.close();
         }
     }
 
     /** The open tunnel has ended; the module hears it once. */
-    private void endTunnel(SetupOutcome end, Report report) {
+    private void endTunnel(SetupOutcome end, LoadReport report) {
         markClosed();
         reportSetupEnd(setup, end, report, true);
         router.remove(this);
     }
 
-    private void reportSetupEnd(Setup of, SetupOutcome end, Report report, boolean last) {
+    private void reportSetupEnd(Setup of, SetupOutcome end, LoadReport report, boolean last) {
         double took = router.now() - of.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
         router.enqueueNews(
@@ -347,7 +347,7 @@
 
     // ---- The two sides ----
 
-    private final class ClientSide implements Link.Events {
+    private final class ClientSide implements TcpConnection.Listener {
 
         @Override
         public void received(ByteBuffer bytes) {
@@ -360,13 +360,14 @@
                 }
                 case PENDING -> keepEarlyBytes(bytes);
                 case OPEN -> {
-                    if (!router.quietTunnels().contains(TunnelRelay.this) && Line.endsIn(bytes)) {
+                    if (!router.quietTunnels().contains(TunnelRelay.this)
+                            && LineCodec.containsLineEnd(bytes)) {
                         router.awaitingReply().add(TunnelRelay.this, router.now());
                     }
                     router.tally().add("bytes to hosts", bytes.remaining());
                     setup.link.write(bytes);
-                    if (setup.link.backedUp()) {
-                        client.receive(false);
+                    if (setup.link.hasPendingWrites()) {
+                        client.setReading(false);
                     }
                 }
                 default -> {
@@ -392,14 +393,14 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             switch (state) {
                 case OPEN -> {
                     // The host may still say BYE; what ends the tunnel is the end of its
                     // connection.
                     state = State.CLOSING;
                     stopReplyTimeouts();
-                    setup.link.endSending();
+                    setup.link.shutdownOutput();
                     router.closingTunnels().add(TunnelRelay.this, router.now());
                 }
                 case CLOSING -> close();
@@ -408,14 +409,14 @@
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             clientLeft(true);
         }
 
         @Override
-        public void drained() {
+        public void flushed() {
             if (setup != null && setup.link != null) {
-                setup.link.receive(true);
+                setup.link.setReading(true);
             }
         }
     }
@@ -425,11 +426,11 @@
         State was = state;
         if (was == State.OPEN || was == State.CLOSING) {
             router.closingTunnels().remove(this);
-            endTunnel(SetupOutcome.CANCELLED, Report.NONE);
+            endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
             if (reset) {
                 setup.link.reset();
             } else {
-                setup.link.finish();
+                setup.link.closeGracefully();
             }
             client.close();
             return;
@@ -453,11 +454,11 @@
         switch (state) {
             case PENDING -> sendFinalAnswer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
             case OPEN -> {
-                if (hostLineTracker.betweenLines()) {
-                    client.write(Line.of("MOVE"));
+                if (hostLineTracker.atLineBoundary()) {
+                    client.write(LineCodec.encode("MOVE"));
                 }
-                endTunnel(SetupOutcome.CANCELLED, Report.NONE);
-                client.finish();
+                endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
+                client.closeGracefully();
                 setup.link.close();
             }
             // Its client has taken its leave: the end goes on to both sides, as it would when the
@@ -476,9 +477,9 @@
 
     private void close() {
         router.closingTunnels().remove(this);
-        endTunnel(SetupOutcome.CANCELLED, Report.NONE);
-        client.finish();
-        setup.link.finish();
+        endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
+        client.closeGracefully();
+        setup.link.closeGracefully();
     }
 
     /** The host has ended its sending, or its connection broke, on an open tunnel. */
@@ -486,42 +487,45 @@
         if (state == State.CLOSED) {
             return;
         }
-        ByteBuffer rest = reset ? null : partialLineBuffer.rest();
+        ByteBuffer rest = reset ? null : partialLineBuffer.takeRemainder();
         if (rest != null) {
             setup.writeToClient(rest);
         }
-        HostLine.Word last =
-                hostLineTracker.betweenLines()
-                        ? hostLineTracker.last().word()
-                        : HostLine.Word.OTHER;
+        HostLine.Type last =
+                hostLineTracker.atLineBoundary()
+                        ? hostLineTracker.lastLine().type()
+                        : HostLine.Type.OTHER;
         // A host that takes its leave while a client's line is under way has its end turned into a
         // reset.
-        boolean tookLeave = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
+        boolean tookLeave = last == HostLine.Type.BYE || last == HostLine.Type.MOVE;
         SetupOutcome end =
-                last == HostLine.Word.BYE
+                last == HostLine.Type.BYE
                         ? SetupOutcome.COMPLETED
                         : tookLeave || (state == State.CLOSING && !reset)
                                 ? SetupOutcome.CANCELLED
                                 : SetupOutcome.BROKEN;
         router.closingTunnels().remove(this);
         endTunnel(
-                end, end == SetupOutcome.COMPLETED ? hostLineTracker.last().report() : Report.NONE);
+                end,
+                end == SetupOutcome.COMPLETED
+                        ? hostLineTracker.lastLine().report()
+                        : LoadReport.NONE);
         if (reset && !tookLeave) {
             client.reset();
         } else {
-            client.finish();
+            client.closeGracefully();
         }
-        setup.link.finish();
+        setup.link.closeGracefully();
     }
 
     /** A setup, and the tunnel that comes of it, on the connection to its host. */
-    private final class Setup implements Link.Events {
+    private final class Setup implements TcpConnection.Listener {
         final HostEndpoint contact;
         final int number;
         final double sentAt = router.now();
-        Link link;
-        private Line lineReader = new Line();
-        private Loop.Timer timer;
+        TcpConnection link;
+        private LineCodec lineReader = new LineCodec();
+        private EventLoop.Timer timer;
         private double deadline;
 
         /**
@@ -546,22 +550,22 @@
             router.tally().count("setups sent");
             deadline = sentAt + wait;
             if (wait <= 0 || contact.address() == null) {
-                router.loop().execute(() -> end(SetupOutcome.NOT_SENT, Report.NONE));
+                router.loop().execute(() -> end(SetupOutcome.NOT_SENT, LoadReport.NONE));
                 return;
             }
             setNeedsHostConnection(false);
             link = router.loop().connect(contact.address(), this);
             timer =
                     router.loop()
-                            .after(
+                            .schedule(
                                     Math.min(wait, router.connectTimeout()),
-                                    () -> end(SetupOutcome.NO_CONNECTION, Report.NONE));
+                                    () -> end(SetupOutcome.NO_CONNECTION, LoadReport.NONE));
         }
 
         @Override
         public void connected() {
             timer.cancel();
-            client.look();
+            client.readAvailable();
             if (resolved) {
                 // The client had left: nothing goes on for it.
                 return;
@@ -575,11 +579,11 @@
                 // connection took, the grace may be over, and so may the time in which a repeat is
                 // dropped (rule 2).
                 // None of these is a host out of reach.
-                end(SetupOutcome.NOT_SENT, Report.NONE);
+                end(SetupOutcome.NOT_SENT, LoadReport.NONE);
                 return;
             }
-            timer = router.loop().after(wait, this::timedOut);
-            if (link.write(opening.toHost(wait)) && !link.backedUp()) {
+            timer = router.loop().schedule(wait, this::timedOut);
+            if (link.write(opening.encodeForHost(wait)) && !link.hasPendingWrites()) {
                 markFirstLineWritten();
             }
         }
@@ -589,9 +593,9 @@
          * meanwhile.
          */
         @Override
-        public void draining() {
+        public void beforeFlush() {
             if (!firstLineWritten) {
-                client.look();
+                client.readAvailable();
             }
         }
 
@@ -614,9 +618,9 @@
         }
 
         @Override
-        public void notConnected() {
+        public void connectFailed() {
             link = null;
-            end(SetupOutcome.NO_CONNECTION, Report.NONE);
+            end(SetupOutcome.NO_CONNECTION, LoadReport.NONE);
         }
 
         private void timedOut() {
@@ -640,16 +644,16 @@
             if (!firstLineWritten
                     || state != State.PENDING
                     || timeLeft(router.now()) < router.giveUpTimeout()) {
-                end(firstLineWritten ? as : SetupOutcome.NO_CONNECTION, Report.NONE);
+                end(firstLineWritten ? as : SetupOutcome.NO_CONNECTION, LoadReport.NONE);
                 return;
             }
             pendingEnd = as;
             timer.cancel();
-            timer = router.loop().after(router.giveUpTimeout(), () -> end(as, Report.NONE));
-            link.endSending();
+            timer = router.loop().schedule(router.giveUpTimeout(), () -> end(as, LoadReport.NONE));
+            link.shutdownOutput();
         }
 
-        private void end(SetupOutcome end, Report report) {
+        private void end(SetupOutcome end, LoadReport report) {
             if (resolved) {
                 return;
             }
@@ -679,7 +683,7 @@
         }
 
         private boolean standing() {
-            return opening.standingAt() != null;
+            return opening.resumeHost() != null;
         }
 
         @Override
@@ -699,15 +703,15 @@
             byte[] line;
             try {
                 line = lineReader.next(bytes);
-            } catch (Unreadable e) {
-                end(SetupOutcome.ERROR, Report.NONE);
+            } catch (MalformedDataException e) {
+                end(SetupOutcome.ERROR, LoadReport.NONE);
                 return;
             }
             if (line == null) {
                 return;
             }
-            HostLine said = HostLine.read(Line.text(line));
-            switch (said.word()) {
+            HostLine said = HostLine.parse(LineCodec.decode(line));
+            switch (said.type()) {
                 case UP -> openTunnel(line);
                 case BUSY -> end(SetupOutcome.FULL, said.report());
                 default -> end(SetupOutcome.ERROR, said.report());
@@ -718,7 +722,7 @@
             if (pendingEnd != null || state != State.PENDING) {
                 // It came too late: this node has ended its sending, and the tunnel could not live
                 // so.
-                end(pendingEnd == null ? SetupOutcome.CANCELLED : pendingEnd, Report.NONE);
+                end(pendingEnd == null ? SetupOutcome.CANCELLED : pendingEnd, LoadReport.NONE);
                 return;
             }
             resolved = true;
@@ -727,8 +731,8 @@
             answerTimer.cancel();
             answerTimer = null;
             state = State.OPEN;
-            hostLineTracker = new Trail();
-            partialLineBuffer = new Tail();
+            hostLineTracker = new HostLineTracker();
+            partialLineBuffer = new PartialLineBuffer();
             double took = router.now() - sentAt;
             if (standing()) {
                 router.tally().count("standing tunnels resumed");
@@ -739,7 +743,7 @@
             if (earlyBytes != null) {
                 link.write(earlyBytes);
                 earlyBytes = null;
-                client.receive(true);
+                client.setReading(true);
             }
         }
 
@@ -750,15 +754,15 @@
                 contact.recordMessageDelay(now - since, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
-            partialLineBuffer.pass(bytes, this::writeToClient);
-            if (client.backedUp()) {
-                link.receive(false);
+            partialLineBuffer.forward(bytes, this::writeToClient);
+            if (client.hasPendingWrites()) {
+                link.setReading(false);
             }
             moveIfBetweenLines();
         }
 
         private void writeToClient(ByteBuffer bytes) {
-            hostLineTracker.follow(bytes);
+            hostLineTracker.observe(bytes);
             double load = hostLineTracker.takeLoad();
             if (!Double.isNaN(load)) {
                 router.enqueueNews(news -> news.tunnelLoadMeasured(id, load * 1e-6));
@@ -767,7 +771,7 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             if (!resolved) {
                 end(
                         pendingEnd != null
@@ -775,14 +779,14 @@
                                 : firstLineWritten
                                         ? SetupOutcome.BROKEN
                                         : SetupOutcome.NO_CONNECTION,
-                        Report.NONE);
+                        LoadReport.NONE);
             } else {
                 hostEnded(false);
             }
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             if (!resolved) {
                 end(
                         pendingEnd != null
@@ -790,18 +794,18 @@
                                 : firstLineWritten
                                         ? SetupOutcome.BROKEN
                                         : SetupOutcome.NO_CONNECTION,
-                        Report.NONE);
+                        LoadReport.NONE);
             } else {
                 hostEnded(true);
             }
         }
 
         @Override
-        public void drained() {
+        public void flushed() {
             if (!firstLineWritten) {
                 markFirstLineWritten();
             }
-            client.receive(true);
+            client.setReading(true);
         }
     }
 }
--- a/node/src/main/java/embershift/routing/UnopenedConnections.java
+++ b/node/src/main/java/embershift/routing/UnopenedConnections.java
@@ -1,6 +1,6 @@
 package embershift.routing;
 
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.function.IntSupplier;
 
 /**
@@ -8,7 +8,7 @@
  * descriptors only what tunnels leave. When these run short, who was turned away goes first, then
  * who says nothing.
  */
-final class UnopenedConnections implements Loop.Admission {
+final class UnopenedConnections implements EventLoop.Admission {
 
     /**
      * Seconds from the accept within which a whole first line must have come, however many
@@ -35,7 +35,7 @@
     /** Seconds for which they are left alone then, so that what they have sent is read. */
     private static final double READ_GRACE_SECONDS = 0.02;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Tally tally;
     private final IntSupplier promised;
     private int descriptorLimit;
@@ -52,7 +52,7 @@
      * {@code promised}: descriptors that tunnels taken in will need, or that are for hosts, and are
      * not taken yet.
      */
-    UnopenedConnections(Loop loop, Tally tally, IntSupplier promised) {
+    UnopenedConnections(EventLoop loop, Tally tally, IntSupplier promised) {
         this.loop = loop;
         this.promised = promised;
         this.tally = tally;
@@ -64,7 +64,7 @@
     void setDescriptorLimit(int most) {
         descriptorLimit = most;
         while (heldDescriptors() > descriptorLimit - NODE_RESERVE
-                && waiting.size() + loop.lingering() >= MIN_CLIENTS
+                && waiting.size() + loop.lingeringCount() >= MIN_CLIENTS
                 && evictOne()) {
             // One after the other.
         }
@@ -126,11 +126,11 @@
     @Override
     public boolean mayAccept() {
         while (heldDescriptors() > descriptorLimit - NODE_RESERVE) {
-            if (waiting.size() + loop.lingering() < MIN_CLIENTS) {
+            if (waiting.size() + loop.lingeringCount() < MIN_CLIENTS) {
                 tally.count("connections let in beyond the descriptors");
                 return true;
             }
-            if (loop.lingering() == 0
+            if (loop.lingeringCount() == 0
                     && waiting.size() <= MIN_CLIENTS
                     && loop.now() < waiting.addedAt(waiting.oldest()) + READ_GRACE_SECONDS) {
                 tally.count("accepts paused");
@@ -142,12 +142,12 @@
     }
 
     @Override
-    public int free() {
+    public int freeDescriptors() {
         return descriptorLimit - NODE_RESERVE - heldDescriptors();
     }
 
     private int heldDescriptors() {
-        return loop.descriptors() + promised.getAsInt();
+        return loop.openDescriptors() + promised.getAsInt();
     }
 
     private boolean makeRoomLeaving(int free) {
@@ -164,7 +164,7 @@
      * spoken after all.
      */
     private boolean evictOne() {
-        if (loop.closeLingering()) {
+        if (loop.closeOldestLingering()) {
             return true;
         }
         TunnelRelay silent = waiting.oldest();
--- a/node/src/test/java/embershift/routing/DescriptorLimitTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorLimitTest.java
@@ -25,8 +25,8 @@
 
     /** Starts with so many descriptors beyond those that this process holds now. */
     private int startWith(int more, ServerSocket... hosts) throws Exception {
-        int limit = callOnLoop(loop::descriptors) + more;
-        before = held() - callOnLoop(loop::descriptors);
+        int limit = callOnLoop(loop::openDescriptors) + more;
+        before = held() - callOnLoop(loop::openDescriptors);
         ownBefore = closeables.size();
         startRouter("" + limit, hosts);
         return limit;
@@ -107,11 +107,11 @@
         int most = 0;
         for (int i = 0; i < 6; i++) {
             idle(60);
-            most = Math.max(most, callOnLoop(loop::descriptors));
+            most = Math.max(most, callOnLoop(loop::openDescriptors));
         }
         // The crowd has filled what there is.
         awaitCounter("connections turned away for want of descriptors", 100);
-        most = Math.max(most, callOnLoop(loop::descriptors));
+        most = Math.max(most, callOnLoop(loop::openDescriptors));
         long back = System.nanoTime();
         ServerSocket again = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         closeables.add(again);
@@ -137,7 +137,7 @@
             send(tunnel, "still here\r\n");
             assertEquals(readLine(tunnel), "still here");
         }
-        most = Math.max(most, callOnLoop(loop::descriptors));
+        most = Math.max(most, callOnLoop(loop::openDescriptors));
         assertTrue(most <= limit, most + " of " + limit);
         assertEquals(counter("probes failed"), 0);
         assertEquals(counter("faults"), 0);
@@ -225,7 +225,7 @@
             assertTrue(
                     System.nanoTime() < until,
                     counter("probes answered") + " answered, failed " + counter("probes failed"));
-            most = Math.max(most, callOnLoop(loop::descriptors));
+            most = Math.max(most, callOnLoop(loop::openDescriptors));
         }
         assertEquals(counter("probes failed"), 0);
         assertTrue(most <= limit, most + " of " + limit);
--- a/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
@@ -95,7 +95,7 @@
                             mustAsk == 0, new SeededRandom(~seed)::nextDecorrelatedDouble);
             module = mustAsk == 0 ? null : watching(seed, mustAsk);
             now = begun;
-            schedule.called(now, true);
+            schedule.callStarted(now, true);
             fails = Double.isInfinite(fault.knownAfter) ? fault.knownAfter : 0;
             play();
         }
@@ -150,14 +150,14 @@
         private void play() {
             while (now < 2 * LONGEST_OUTAGE) {
                 double wake = wakes.isEmpty() ? Double.POSITIVE_INFINITY : wakes.peek();
-                double next = Math.min(Math.min(fails, schedule.due()), wake);
+                double next = Math.min(Math.min(fails, schedule.nextActionAt()), wake);
                 assertTrue(next < Double.POSITIVE_INFINITY, "never called again after " + now);
                 now = Math.max(now, next);
-                if (next == fails || (next == schedule.due() && schedule.calling())) {
+                if (next == fails || (next == schedule.nextActionAt() && schedule.isCalling())) {
                     fails = Double.POSITIVE_INFINITY;
-                    schedule.failed(now);
+                    schedule.callFailed(now);
                     round(NodeEvents::rosterWatchLost);
-                } else if (next == schedule.due()) {
+                } else if (next == schedule.nextActionAt()) {
                     call();
                 } else {
                     wakes.poll();
@@ -174,7 +174,7 @@
 
         private void call() {
             calls.add(now);
-            schedule.called(now, false);
+            schedule.callStarted(now, false);
             fails = now + fault.knownAfter;
         }
 
@@ -186,7 +186,7 @@
 
         @Override
         public void watchRoster(boolean on) {
-            if (schedule != null && !schedule.calling() && module != null) {
+            if (schedule != null && !schedule.isCalling() && module != null) {
                 call();
             }
         }
@@ -375,7 +375,7 @@
                                         () ->
                                                 loop.execute(
                                                         () ->
-                                                                loop.after(
+                                                                loop.schedule(
                                                                         4.4,
                                                                         () ->
                                                                                 many.complete(
--- a/node/src/test/java/embershift/routing/RouterAcceptanceTest.java
+++ b/node/src/test/java/embershift/routing/RouterAcceptanceTest.java
@@ -238,7 +238,7 @@
     @Test
     public void clientsThatSendMuchAtOnceAndGoTakeNothingFromASoundOne() throws Exception {
         ServerSocket host = openServerSocket();
-        int before = callOnLoop(loop::descriptors);
+        int before = callOnLoop(loop::openDescriptors);
         startRouter("" + (before + 80), host);
         byte[] much = "no first line of ours\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < 200; i++) {
@@ -259,10 +259,10 @@
         assertEquals(readLine(ends[1]), "line");
         // Its two sides, the listener, discovery's and the datagrams'.
         for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-                callOnLoop(loop::descriptors) > before + 5; ) {
+                callOnLoop(loop::openDescriptors) > before + 5; ) {
             assertTrue(
                     System.nanoTime() < until,
-                    callOnLoop(loop::descriptors) + " held, " + before + " before");
+                    callOnLoop(loop::openDescriptors) + " held, " + before + " before");
             Thread.sleep(5);
         }
         assertEquals(counter("faults"), 0);
--- a/node/src/test/java/embershift/routing/RouterRaceTest.java
+++ b/node/src/test/java/embershift/routing/RouterRaceTest.java
@@ -629,7 +629,7 @@
         ServerSocket host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         closeables.add(host);
         int clients = 60;
-        int limit = callOnLoop(loop::descriptors) + clients + 50;
+        int limit = callOnLoop(loop::openDescriptors) + clients + 50;
         startRouter("" + limit, host);
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
@@ -656,7 +656,7 @@
         awaitCounter("setups sent", sent);
         assertTrue(sent > 0 && sent < clients, "sent " + sent);
         assertTrue(
-                callOnLoop(loop::descriptors) <= limit,
-                callOnLoop(loop::descriptors) + " of " + limit);
+                callOnLoop(loop::openDescriptors) <= limit,
+                callOnLoop(loop::openDescriptors) + " of " + limit);
     }
 }
--- a/node/src/test/java/embershift/routing/RouterRegressionTest.java
+++ b/node/src/test/java/embershift/routing/RouterRegressionTest.java
@@ -113,7 +113,7 @@
     public void connectionsTakenInWhileTheLoopStandsStillKeepToTheLimit() throws Exception {
         int room = 60;
         int clients = 200;
-        startRouter("" + (callOnLoop(loop::descriptors) + room));
+        startRouter("" + (callOnLoop(loop::openDescriptors) + room));
         Runnable goOn = pauseLoop();
         int before = new File("/proc/self/fd").list().length;
         for (int i = 0; i < clients; i++) {
@@ -134,7 +134,7 @@
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket[] ends = openTunnel(host);
-        runOnLoop(() -> router.setDescriptorsHeldElsewhere(1024 - loop.descriptors(), 1));
+        runOnLoop(() -> router.setDescriptorsHeldElsewhere(1024 - loop.openDescriptors(), 1));
         try {
             Socket more = connectClient("PING\r\n");
             awaitCounter("connections let in beyond the descriptors", 1);
--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -331,14 +331,14 @@
     @Test
     public void tunnelsAreDeclinedBeforeDescriptorsRunOut() throws Exception {
         ServerSocket host = openServerSocket();
-        startRouter("" + (callOnLoop(loop::descriptors) + 24), host);
+        startRouter("" + (callOnLoop(loop::openDescriptors) + 24), host);
         assertEquals(readLine(connectClient("OPEN i k c=p,d=3000\r\n")), "BUSY");
     }
 
     @Test
     public void connectionsWithoutAFirstLineMakeRoomAndEndInTime() throws Exception {
         ServerSocket host = openServerSocket();
-        startRouter("" + (callOnLoop(loop::descriptors) + 48), host);
+        startRouter("" + (callOnLoop(loop::openDescriptors) + 48), host);
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             silent.add(connectClient(i % 2 == 0 ? "" : "OPEN half"));
--- a/node/src/test/java/embershift/transport/LastWordsTest.java
+++ b/node/src/test/java/embershift/transport/LastWordsTest.java
@@ -19,7 +19,7 @@
 public class LastWordsTest extends LoopbackTestBase {
 
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-    private Link host;
+    private TcpConnection host;
 
     private static byte[] text(ByteBuffer bytes) {
         byte[] all = new byte[bytes.remaining()];
@@ -34,42 +34,42 @@
      */
     @Test
     public void lastWordsAreHeardThoughAWriteFoundTheResetThatFollowsThem() throws Exception {
-        CompletableFuture<Link> taken = new CompletableFuture<>();
-        Loop.Listening listening =
+        CompletableFuture<TcpConnection> taken = new CompletableFuture<>();
+        EventLoop.Acceptor listening =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         taken::complete);
-        Socket peer = connect(listening.address(), "");
+        Socket peer = connect(listening.localAddress(), "");
         host = taken.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
         callOnLoop(
                 () -> {
-                    host.events(
-                            new Link.Events() {
+                    host.setListener(
+                            new TcpConnection.Listener() {
                                 @Override
                                 public void received(ByteBuffer bytes) {
                                     seen.add(new String(text(bytes), StandardCharsets.ISO_8859_1));
                                 }
 
                                 @Override
-                                public void ended() {
+                                public void inputEnded() {
                                     seen.add("ended");
                                 }
 
                                 @Override
-                                public void broken() {
+                                public void connectionLost() {
                                     seen.add("broken");
                                 }
                             });
                     return null;
                 });
-        Loop.Listening other =
+        EventLoop.Acceptor other =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         link ->
-                                link.events(
-                                        new Link.Events() {
+                                link.setListener(
+                                        new TcpConnection.Listener() {
                                             @Override
                                             public void received(ByteBuffer bytes) {
                                                 try {
@@ -82,16 +82,16 @@
                                             }
 
                                             @Override
-                                            public void ended() {
+                                            public void inputEnded() {
                                                 // The test is over.
                                             }
 
                                             @Override
-                                            public void broken() {
+                                            public void connectionLost() {
                                                 // The test is over.
                                             }
                                         }));
-        connect(other.address(), "line\r\n");
+        connect(other.localAddress(), "line\r\n");
         assertEquals(seen.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
         assertEquals(seen.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "broken");
     }
