--- a/door/src/main/java/embershift/door/AuditUploader.java
+++ b/door/src/main/java/embershift/door/AuditUploader.java
@@ -5,7 +5,7 @@
 import embershift.fleet.audit.AuditSegment;
 import embershift.fleet.audit.HybridLogicalClock;
 import embershift.fleet.lease.OrderAdmission;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
@@ -18,7 +18,7 @@
 
     private static final double RETRY_SECONDS = 2;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final AuditLog log;
     private final Registration registration;
     private final OrderAdmission admission;
@@ -27,7 +27,7 @@
     private int receiver;
 
     AuditUploader(
-            Loop loop,
+            EventLoop loop,
             AuditLog log,
             Registration registration,
             OrderAdmission admission,
--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -7,8 +7,8 @@
 import embershift.model.HostId;
 import embershift.model.Listing;
 import embershift.program.Companion;
-import embershift.protocol.RosterPage;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.RosterUpdate;
 import embershift.routing.Router;
 import java.util.ArrayList;
 import java.util.List;
@@ -59,7 +59,7 @@
         isFallbackDue = true;
         // Not all at once: the holder of the task may have ended for everybody.
         node.loop()
-                .after(
+                .schedule(
                         settings.listTimeoutJitterSeconds() * random.nextDouble(),
                         this::fallBackToDiscovery);
     }
@@ -118,26 +118,26 @@
     }
 
     @Override
-    public RosterPage whole() {
+    public RosterUpdate whole() {
         return page(true, endpoints.entries());
     }
 
-    private RosterPage difference(EndpointUpdate update) {
-        RosterPage page = page(false, update.changed());
+    private RosterUpdate difference(EndpointUpdate update) {
+        RosterUpdate page = page(false, update.changed());
         if (update.removed().isEmpty()) {
             return page;
         }
         List<Listing> listings = new ArrayList<>(page.listings());
         update.removed().forEach(host -> listings.add(gone(host)));
-        return new RosterPage(
-                page.generation(), false, listings, page.addresses(), page.unreadable());
+        return new RosterUpdate(
+                page.generation(), false, listings, page.addresses(), page.malformedEntries());
     }
 
     private static Listing gone(String host) {
         return new Listing(new HostId(host), Listing.State.GONE, null, 1, 0, 0);
     }
 
-    private RosterPage page(boolean isFull, Map<String, String> entries) {
+    private RosterUpdate page(boolean isFull, Map<String, String> entries) {
         String text =
                 "{\"generation\":"
                         + endpoints.number()
@@ -147,12 +147,12 @@
                         + String.join(",", entries.values())
                         + "]}";
         try {
-            return RosterPage.read(text);
-        } catch (Unreadable e) {
+            return RosterUpdate.parse(text);
+        } catch (MalformedDataException e) {
             // Entries are objects, or they would not have been published; an empty page changes
             // nothing.
             node.log("a list that can't be read: " + e.getMessage());
-            return new RosterPage(0, false, List.of(), Map.of(), 1);
+            return new RosterUpdate(0, false, List.of(), Map.of(), 1);
         }
     }
 }
--- a/door/src/main/java/embershift/door/InstanceConnection.java
+++ b/door/src/main/java/embershift/door/InstanceConnection.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.fleet.lease.FencingToken;
 import embershift.fleet.lease.TaskId;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.LinkedHashMap;
@@ -15,7 +15,7 @@
 /**
  * A node's connection to one control-plane instance, dialled again with backoff when it is lost.
  */
-final class InstanceConnection implements Link.Events {
+final class InstanceConnection implements TcpConnection.Listener {
 
     /** Receives what comes over the connections. All calls come on the node's loop. */
     interface Listener {
@@ -34,13 +34,13 @@
     private static final double MAX_BACKOFF_SECONDS = 2;
     private static final double STUCK_SECONDS = 3;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final Registration registration;
     private final Listener listener;
     private final Random random;
     private final Map<Long, TaskId> pendingReads = new LinkedHashMap<>();
-    private Link link;
+    private TcpConnection link;
     private FrameCodec frames;
     private boolean isConnected;
     private boolean isHandshakeSent;
@@ -53,7 +53,7 @@
     private long lastCallId;
 
     InstanceConnection(
-            Loop loop,
+            EventLoop loop,
             InetSocketAddress address,
             Registration registration,
             Listener listener,
@@ -88,7 +88,7 @@
     }
 
     private boolean isSendingStuck(double now) {
-        return link.backedUp() && now - lastReceivedAt > STUCK_SECONDS;
+        return link.hasPendingWrites() && now - lastReceivedAt > STUCK_SECONDS;
     }
 
     private void dial(double now) {
@@ -136,7 +136,7 @@
         message.put("echo", instanceTime);
         if (isWelcomed
                 && link != null
-                && !link.backedUp()
+                && !link.hasPendingWrites()
                 && !link.write(JsonMessages.frame(FrameCodec.NODE, message))) {
             drop(loop.now());
         }
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void notConnected() {
+    public void connectFailed() {
         link = null;
         drop(loop.now());
     }
@@ -205,12 +205,12 @@
     }
 
     @Override
-    public void ended() {
+    public void inputEnded() {
         drop(loop.now());
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
         drop(loop.now());
     }
 }
--- a/door/src/main/java/embershift/door/Main.java
+++ b/door/src/main/java/embershift/door/Main.java
@@ -5,8 +5,8 @@
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
 import embershift.program.Service;
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -41,20 +41,21 @@
             return AgentSettings.read(Path.of(settingsFile));
         }
 
-        NodeConfiguration configuration() throws Unreadable {
+        NodeConfiguration configuration() throws MalformedDataException {
             if (configurationFile == null || configurationFile.isEmpty()) {
-                throw new Unreadable(
+                throw new MalformedDataException(
                         "no configuration: set LB_CONFIG or give --configuration FILE");
             }
             try {
-                return NodeConfiguration.read(
+                return NodeConfiguration.parse(
                         Files.readString(Path.of(configurationFile), StandardCharsets.UTF_8),
                         System.getenv("LB_MANAGEMENT"));
             } catch (IOException | InvalidPathException e) {
-                throw new Unreadable(
+                throw new MalformedDataException(
                         "configuration " + configurationFile + " can't be read: " + e.getMessage());
-            } catch (Unreadable e) {
-                throw new Unreadable("configuration " + configurationFile + ": " + e.getMessage());
+            } catch (MalformedDataException e) {
+                throw new MalformedDataException(
+                        "configuration " + configurationFile + ": " + e.getMessage());
             }
         }
     }
@@ -86,7 +87,9 @@
     public static int run(String[] args) {
         try {
             return runCommand(args);
-        } catch (ParameterException | Unreadable | TomlSettings.InvalidSettingsException e) {
+        } catch (ParameterException
+                | MalformedDataException
+                | TomlSettings.InvalidSettingsException e) {
             System.err.println(e.getMessage().lines().findFirst().orElse(""));
             return USAGE;
         } catch (IOException e) {
@@ -96,7 +99,7 @@
     }
 
     private static int runCommand(String[] args)
-            throws IOException, Unreadable, TomlSettings.InvalidSettingsException {
+            throws IOException, MalformedDataException, TomlSettings.InvalidSettingsException {
         Serve serve = new Serve();
         Check check = new Check();
         Help help = new Help();
--- a/door/src/main/java/embershift/door/OrderExecutor.java
+++ b/door/src/main/java/embershift/door/OrderExecutor.java
@@ -5,7 +5,7 @@
 import embershift.fleet.lease.OrderAdmission;
 import embershift.fleet.rollout.AppliedRevision;
 import embershift.routing.Tally;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -16,7 +16,7 @@
  */
 final class OrderExecutor {
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Tally counters;
     private final OrderAdmission admission;
     private final FencingTokenReads tokenReads;
@@ -27,7 +27,7 @@
     private final Runnable reportNow;
 
     OrderExecutor(
-            Loop loop,
+            EventLoop loop,
             Tally counters,
             OrderAdmission admission,
             FencingTokenReads tokenReads,
--- a/door/src/main/java/embershift/door/RevisionApplier.java
+++ b/door/src/main/java/embershift/door/RevisionApplier.java
@@ -145,7 +145,7 @@
 
     private Optional<String> readBack(String field) {
         return switch (field) {
-            case ConfigRevision.DISCOVERY -> Optional.of(Addresses.written(router.discovery()));
+            case ConfigRevision.DISCOVERY -> Optional.of(Addresses.format(router.discovery()));
             case ConfigRevision.SOCKETS -> Optional.of(String.valueOf(router.descriptors()));
             case ConfigRevision.PEERS -> Optional.of(written(router.peers()));
             default -> Optional.empty();
@@ -153,12 +153,12 @@
     }
 
     private static String written(List<InetSocketAddress> addresses) {
-        return String.join(",", addresses.stream().map(Addresses::written).toList());
+        return String.join(",", addresses.stream().map(Addresses::format).toList());
     }
 
     /** Returns a node's configuration with the revision's fields in place of its own. */
     NodeConfiguration adapt(NodeConfiguration configuration) {
-        return configuration.with(
+        return configuration.withOverrides(
                 applied.discovery().orElse(null),
                 applied.sockets().orElse(null),
                 applied.peers().orElse(null));
--- a/door/src/main/java/embershift/door/RevisionFields.java
+++ b/door/src/main/java/embershift/door/RevisionFields.java
@@ -3,7 +3,7 @@
 import embershift.fleet.rollout.ConfigRevision;
 import embershift.model.HostId;
 import embershift.protocol.Addresses;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
 import embershift.routing.Router;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -52,12 +52,13 @@
             String value = field.getValue();
             try {
                 switch (field.getKey()) {
-                    case ConfigRevision.DISCOVERY -> discovery = Optional.of(Addresses.read(value));
+                    case ConfigRevision.DISCOVERY ->
+                            discovery = Optional.of(Addresses.parse(value));
                     case ConfigRevision.SOCKETS -> sockets = Optional.of(parseSockets(value));
                     case ConfigRevision.PEERS -> peers = Optional.of(parsePeers(value));
                     default -> requireEjectedHost(field.getKey());
                 }
-            } catch (Unreadable e) {
+            } catch (MalformedDataException e) {
                 throw new InvalidFieldException(field.getKey() + ": " + e.getMessage());
             }
         }
@@ -72,11 +73,11 @@
         return Integer.parseInt(value);
     }
 
-    private static List<InetSocketAddress> parsePeers(String value) throws Unreadable {
+    private static List<InetSocketAddress> parsePeers(String value) throws MalformedDataException {
         List<InetSocketAddress> peers = new ArrayList<>();
         if (!value.isEmpty()) {
             for (String peer : value.split(",")) {
-                peers.add(Addresses.read(peer));
+                peers.add(Addresses.parse(peer));
             }
         }
         return peers;
--- a/door/src/main/java/embershift/door/RunningAgent.java
+++ b/door/src/main/java/embershift/door/RunningAgent.java
@@ -135,7 +135,7 @@
         sessions.tick(now);
         auditLog.tick(now);
         leaveIfStale(now);
-        node.loop().after(TICK_SECONDS, this::tick);
+        node.loop().schedule(TICK_SECONDS, this::tick);
     }
 
     private void recordReadiness() {
@@ -160,7 +160,7 @@
     private void reportPeriodically() {
         reportNow();
         if (!isLeaving) {
-            node.loop().after(settings.reportSeconds(), this::reportPeriodically);
+            node.loop().schedule(settings.reportSeconds(), this::reportPeriodically);
         }
     }
 
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -9,7 +9,7 @@
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
 import embershift.testing.GoldenSamples;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -54,17 +54,17 @@
     private final CompletableFuture<Integer> exit = new CompletableFuture<>();
     private ServerSocket instance;
     private Socket link;
-    private Loop loop;
+    private EventLoop loop;
     private double clock;
     private long orders;
 
     @BeforeMethod
     public void startNode() throws Exception {
-        loop = new Loop();
+        loop = new EventLoop();
         instance = new ServerSocket(0, 9, InetAddress.getLoopbackAddress());
         instance.setSoTimeout(PATIENCE_MS);
         NodeConfiguration configuration =
-                NodeConfiguration.read(CONFIGURATION.formatted(instance.getLocalPort()), null);
+                NodeConfiguration.parse(CONFIGURATION.formatted(instance.getLocalPort()), null);
         Router router = new Router(loop, configuration, line -> {});
         Path file =
                 Files.writeString(
@@ -88,7 +88,7 @@
     private Companion.Node node(NodeConfiguration configuration, Router router, Bans bans) {
         return new Companion.Node() {
             @Override
-            public Loop loop() {
+            public EventLoop loop() {
                 return loop;
             }
 
--- a/emulator/src/main/java/embershift/emulator/sockets/ClientStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/ClientStand.java
@@ -5,9 +5,9 @@
 import embershift.emulator.world.Caller;
 import embershift.emulator.world.Witness.Answer;
 import embershift.model.TunnelId;
-import embershift.protocol.Line;
-import embershift.protocol.Unreadable;
-import embershift.transport.Link;
+import embershift.protocol.LineCodec;
+import embershift.protocol.MalformedDataException;
+import embershift.transport.TcpConnection;
 import java.nio.ByteBuffer;
 import java.util.Locale;
 
@@ -15,7 +15,7 @@
  * One try of a client on a socket: its first line, the answer, and then a line every two seconds
  * until it ends.
  */
-final class ClientStand implements Link.Events {
+final class ClientStand implements TcpConnection.Listener {
 
     /** What a line may take more on sockets than in the emulated host. */
     private static final double SLACK = 0.02;
@@ -29,8 +29,8 @@
     final int node;
     private final Day.Profile profile;
     private final Host at;
-    private final Line lines = new Line();
-    private Link link;
+    private final LineCodec lines = new LineCodec();
+    private TcpConnection link;
     private boolean up;
     private boolean over;
     private int said;
@@ -66,7 +66,7 @@
         day.pump().sync();
         if (!over) {
             link.write(
-                    Line.of(
+                    LineCodec.encode(
                             String.format(
                                     Locale.ROOT,
                                     "OPEN %s s%d c=%s,d=%d,g=g%d%s%s",
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void notConnected() {
+    public void connectFailed() {
         day.pump().sync();
         if (!over) {
             over = true;
@@ -104,22 +104,22 @@
         day.pump().sync();
         try {
             for (byte[] line = lines.next(bytes); line != null; line = lines.next(bytes)) {
-                heard(Line.text(line));
+                heard(LineCodec.decode(line));
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             day.trouble("a client heard an endless line");
         }
     }
 
     @Override
-    public void ended() {
+    public void inputEnded() {
         day.pump().sync();
         link.close();
         gone();
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
         day.pump().sync();
         gone();
     }
@@ -182,7 +182,7 @@
         said++;
         saidAt = day.now();
         heardAfter = Double.POSITIVE_INFINITY;
-        link.write(Line.of("line " + said));
+        link.write(LineCodec.encode("line " + said));
         day.agenda().in(SocketDay.LINES, this::say);
     }
 
--- a/emulator/src/main/java/embershift/emulator/sockets/HostStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/HostStand.java
@@ -2,8 +2,8 @@
 
 import embershift.emulator.world.Attempt;
 import embershift.emulator.world.Host;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,7 +22,7 @@
     private final SocketDay day;
     final Host host;
     private final List<InetSocketAddress> addresses = new ArrayList<>();
-    private final List<Loop.Listening> listening = new ArrayList<>();
+    private final List<EventLoop.Acceptor> listening = new ArrayList<>();
     private final Set<Side> sides = new LinkedHashSet<>();
 
     HostStand(SocketDay day, Host host) throws IOException {
@@ -39,11 +39,11 @@
         for (int i = 0; i < addresses.size(); i++) {
             if (listening.get(i) == null) {
                 int node = i;
-                Loop.Listening one =
+                EventLoop.Acceptor one =
                         day.loop()
                                 .listen(addresses.get(i), () -> true, link -> accepted(link, node));
                 listening.set(i, one);
-                addresses.set(i, one.address());
+                addresses.set(i, one.localAddress());
             }
         }
     }
@@ -63,16 +63,17 @@
         return PeerRelay.text(addresses.get(node));
     }
 
-    private void accepted(Link link, int node) {
+    private void accepted(TcpConnection link, int node) {
         day.pump().sync();
         if (host.refusing) {
-            link.events(new Talk(link, day.pump(), day.agenda(), day.way(host, node), line -> {}));
+            link.setListener(
+                    new Talk(link, day.pump(), day.agenda(), day.way(host, node), line -> {}));
             link.reset();
             return;
         }
         Side side = new Side(link, node);
         sides.add(side);
-        link.events(side.talk);
+        link.setListener(side.talk);
     }
 
     void wayChanged() {
@@ -122,7 +123,7 @@
         private boolean up;
         private boolean closed;
 
-        Side(Link link, int node) {
+        Side(TcpConnection link, int node) {
             this.node = node;
             this.talk = new Talk(link, day.pump(), day.agenda(), day.way(host, node), this::heard);
         }
--- a/emulator/src/main/java/embershift/emulator/sockets/NodeStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/NodeStand.java
@@ -1,10 +1,10 @@
 package embershift.emulator.sockets;
 
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import embershift.rig.process.Program;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -43,9 +43,9 @@
     boolean runs();
 
     /** Starts a node in this process. */
-    static NodeStand here(String configuration) throws IOException, Unreadable {
-        Loop loop = new Loop();
-        NodeConfiguration read = NodeConfiguration.read(configuration, null);
+    static NodeStand here(String configuration) throws IOException, MalformedDataException {
+        EventLoop loop = new EventLoop();
+        NodeConfiguration read = NodeConfiguration.parse(configuration, null);
         java.util.concurrent.CompletableFuture<Router> started =
                 new java.util.concurrent.CompletableFuture<>();
         loop.execute(
--- a/emulator/src/main/java/embershift/emulator/sockets/PeerRelay.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/PeerRelay.java
@@ -1,7 +1,7 @@
 package embershift.emulator.sockets;
 
-import embershift.transport.Datagrams;
-import embershift.transport.Loop;
+import embershift.transport.DatagramEndpoint;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -19,9 +19,9 @@
      * By node and other node: where the node finds the other, and from where the other's words come
      * to it.
      */
-    private final List<List<Datagrams>> ways = new ArrayList<>();
+    private final List<List<DatagramEndpoint>> ways = new ArrayList<>();
 
-    private final List<Datagrams> toAll = new ArrayList<>();
+    private final List<DatagramEndpoint> toAll = new ArrayList<>();
     private final List<InetSocketAddress> nodes;
     private final SocketDay day;
     private final BiPredicate<Integer, Integer> passes;
@@ -32,7 +32,7 @@
      */
     PeerRelay(
             SocketDay day,
-            Loop loop,
+            EventLoop loop,
             List<InetSocketAddress> nodes,
             BiPredicate<Integer, Integer> passes)
             throws IOException {
@@ -40,16 +40,18 @@
         this.nodes = nodes;
         this.passes = passes;
         for (int node = 0; node < nodes.size(); node++) {
-            List<Datagrams> row = new ArrayList<>();
+            List<DatagramEndpoint> row = new ArrayList<>();
             for (int other = 0; other < nodes.size(); other++) {
                 int from = node;
                 int to = other;
-                row.add(loop.datagrams(any(), (sender, content) -> pass(from, to, content)));
+                row.add(
+                        loop.openDatagramEndpoint(
+                                any(), (sender, content) -> pass(from, to, content)));
             }
             ways.add(row);
             int from = node;
             toAll.add(
-                    loop.datagrams(
+                    loop.openDatagramEndpoint(
                             any(),
                             (sender, content) -> {
                                 for (int to = 0; to < nodes.size(); to++) {
@@ -81,11 +83,11 @@
      * numbers.
      */
     List<String> peers(int node) {
-        return ways.get(node).stream().map(way -> text(way.address())).toList();
+        return ways.get(node).stream().map(way -> text(way.localAddress())).toList();
     }
 
     String all(int node) {
-        return text(toAll.get(node).address());
+        return text(toAll.get(node).localAddress());
     }
 
     static String text(InetSocketAddress address) {
--- a/emulator/src/main/java/embershift/emulator/sockets/Pump.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/Pump.java
@@ -1,7 +1,7 @@
 package embershift.emulator.sockets;
 
 import embershift.emulator.world.Agenda;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 
 /** Lets what an agenda plans happen in real time, on a loop's thread. */
 final class Pump {
@@ -12,7 +12,7 @@
      */
     private static final double LOOK = 0.001;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Agenda agenda;
     private final double end;
     private final Runnable ended;
@@ -23,7 +23,7 @@
     /** How late it was at the most: a machine that is busy makes a day void. */
     private double latest;
 
-    Pump(Loop loop, Agenda agenda, double end, Runnable ended) {
+    Pump(EventLoop loop, Agenda agenda, double end, Runnable ended) {
         this.loop = loop;
         this.agenda = agenda;
         this.end = end;
@@ -73,7 +73,8 @@
     private void turn() {
         sync();
         if (!over) {
-            loop.after(Math.max(0.0005, Math.min(LOOK, agenda.next() - agenda.now())), this::turn);
+            loop.schedule(
+                    Math.max(0.0005, Math.min(LOOK, agenda.next() - agenda.now())), this::turn);
         }
     }
 }
--- a/emulator/src/main/java/embershift/emulator/sockets/RosterStand.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/RosterStand.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.emulator.world.Dice;
 import embershift.emulator.world.Host;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -41,7 +41,7 @@
     private final Map<Integer, Entry> entries = new LinkedHashMap<>();
     private final Map<Integer, Entry> atBegin = new LinkedHashMap<>();
     private final Set<Integer> leftOut = new LinkedHashSet<>();
-    private final List<Loop.Listening> listening = new ArrayList<>();
+    private final List<EventLoop.Acceptor> listening = new ArrayList<>();
     private final Set<Caller> callers = new LinkedHashSet<>();
     private long version = 1;
 
@@ -65,13 +65,13 @@
                                     link -> {
                                         Caller caller = new Caller(link, node);
                                         callers.add(caller);
-                                        link.events(caller);
+                                        link.setListener(caller);
                                     }));
         }
     }
 
     String address(int node) {
-        return PeerRelay.text(listening.get(node).address());
+        return PeerRelay.text(listening.get(node).localAddress());
     }
 
     void changed(Host host) {
@@ -185,15 +185,15 @@
     }
 
     /** A node's connection: calls one after the other, each answered before the next is read. */
-    private final class Caller implements Link.Events {
-        private final Link link;
+    private final class Caller implements TcpConnection.Listener {
+        private final TcpConnection link;
         private final int node;
         private final StringBuilder head = new StringBuilder();
         private boolean waiting;
         private long after;
         private int call;
 
-        Caller(Link link, int node) {
+        Caller(TcpConnection link, int node) {
             this.link = link;
             this.node = node;
         }
@@ -293,13 +293,13 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             callers.remove(this);
             link.close();
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             callers.remove(this);
         }
     }
--- a/emulator/src/main/java/embershift/emulator/sockets/SocketDay.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/SocketDay.java
@@ -22,10 +22,10 @@
 import embershift.emulator.world.Troubles;
 import embershift.emulator.world.Witness;
 import embershift.model.HostId;
-import embershift.protocol.Line;
-import embershift.protocol.Unreadable;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.LineCodec;
+import embershift.protocol.MalformedDataException;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
@@ -80,7 +80,7 @@
     private final Nodes kind;
     private final Witness witness;
     private final Trace trace;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Agenda agenda = new Agenda(-PRELUDE);
     private final Pump pump;
     private final CompletableFuture<Played> played = new CompletableFuture<>();
@@ -130,7 +130,7 @@
         }
     }
 
-    private SocketDay(Day day, long seed, Nodes kind, Witness witness, Trace trace, Loop loop)
+    private SocketDay(Day day, long seed, Nodes kind, Witness witness, Trace trace, EventLoop loop)
             throws IOException {
         this.day = day;
         this.seed = seed;
@@ -179,7 +179,7 @@
     /** Plays the day; returns when it is over. */
     public static Played play(Day day, long seed, Nodes kind, Witness witness, Trace trace)
             throws IOException {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         CompletableFuture<SocketDay> made = new CompletableFuture<>();
         loop.execute(
                 () -> {
@@ -193,7 +193,7 @@
                     made.complete(one);
                     try {
                         one.start();
-                    } catch (IOException | Unreadable | RuntimeException e) {
+                    } catch (IOException | MalformedDataException | RuntimeException e) {
                         one.played.completeExceptionally(e);
                     }
                 });
@@ -224,7 +224,7 @@
 
     // ---- The day's beginning and end ----
 
-    private void start() throws IOException, Unreadable {
+    private void start() throws IOException, MalformedDataException {
         pump.begin(-PRELUDE);
         for (int i = 0; i < nodes.length; i++) {
             startNode(i);
@@ -315,7 +315,7 @@
         return day;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -401,7 +401,7 @@
 
     // ---- Nodes and the front ----
 
-    private void startNode(int number) throws IOException, Unreadable {
+    private void startNode(int number) throws IOException, MalformedDataException {
         String configuration = configuration(number);
         witness.nodeChanged(now(), "n" + number, true);
         nodes[number] =
@@ -417,7 +417,7 @@
     private void startAgain(int number) {
         try {
             startNode(number);
-        } catch (IOException | Unreadable e) {
+        } catch (IOException | MalformedDataException e) {
             trouble("node n" + number + " did not start again: " + e.getMessage());
         }
     }
@@ -427,19 +427,19 @@
         if (nodes[number] != node || !node.runs()) {
             return;
         }
-        Link[] link = new Link[1];
+        TcpConnection[] link = new TcpConnection[1];
         link[0] =
                 loop.connect(
                         listens.get(number),
-                        new Link.Events() {
+                        new TcpConnection.Listener() {
                             @Override
                             public void connected() {
-                                link[0].write(Line.of("PING"));
+                                link[0].write(LineCodec.encode("PING"));
                             }
 
                             @Override
-                            public void notConnected() {
-                                loop.after(ASK, () -> ask(number, node));
+                            public void connectFailed() {
+                                loop.schedule(ASK, () -> ask(number, node));
                             }
 
                             @Override
@@ -451,14 +451,14 @@
                             }
 
                             @Override
-                            public void ended() {
+                            public void inputEnded() {
                                 link[0].close();
-                                loop.after(ASK, () -> ask(number, node));
+                                loop.schedule(ASK, () -> ask(number, node));
                             }
 
                             @Override
-                            public void broken() {
-                                loop.after(ASK, () -> ask(number, node));
+                            public void connectionLost() {
+                                loop.schedule(ASK, () -> ask(number, node));
                             }
                         });
     }
--- a/emulator/src/main/java/embershift/emulator/sockets/Talk.java
+++ b/emulator/src/main/java/embershift/emulator/sockets/Talk.java
@@ -1,8 +1,8 @@
 package embershift.emulator.sockets;
 
-import embershift.protocol.Line;
-import embershift.protocol.Unreadable;
-import embershift.transport.Link;
+import embershift.protocol.LineCodec;
+import embershift.protocol.MalformedDataException;
+import embershift.transport.TcpConnection;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
@@ -14,7 +14,7 @@
  * delay, and while the way is cut in a direction, lines wait there. What a line does comes through
  * {@code heard}; null is the end.
  */
-final class Talk implements Link.Events {
+final class Talk implements TcpConnection.Listener {
 
     /** What lies between this stand-in and the node. */
     interface Way {
@@ -25,12 +25,12 @@
         boolean outOpen();
     }
 
-    private final Link link;
+    private final TcpConnection link;
     private final Pump pump;
     private final embershift.emulator.world.Agenda agenda;
     private final Way way;
     private final Consumer<String> heard;
-    private final Line lines = new Line();
+    private final LineCodec lines = new LineCodec();
     private final Deque<String> heldIn = new ArrayDeque<>();
     private final Deque<Runnable> heldOut = new ArrayDeque<>();
     private double inUntil = Double.NEGATIVE_INFINITY;
@@ -38,7 +38,7 @@
     private boolean over;
 
     Talk(
-            Link link,
+            TcpConnection link,
             Pump pump,
             embershift.emulator.world.Agenda agenda,
             Way way,
@@ -57,21 +57,21 @@
         pump.sync();
         try {
             for (byte[] line = lines.next(bytes); line != null; line = lines.next(bytes)) {
-                arrives(Line.text(line));
+                arrives(LineCodec.decode(line));
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             arrives(END);
         }
     }
 
     @Override
-    public void ended() {
+    public void inputEnded() {
         pump.sync();
         arrives(END);
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
         pump.sync();
         arrives(END);
     }
@@ -121,7 +121,7 @@
     }
 
     void say(String line) {
-        leaves(() -> link.write(Line.of(line)));
+        leaves(() -> link.write(LineCodec.encode(line)));
     }
 
     /** Bytes as they are: a part of a line, or several. */
@@ -131,7 +131,7 @@
 
     /** Ends the connection so that what was said still arrives. */
     void finish() {
-        leaves(link::finish);
+        leaves(link::closeGracefully);
     }
 
     /** Breaks it, after what was said. */
--- a/hosted/src/main/java/embershift/hosted/Discovery.java
+++ b/hosted/src/main/java/embershift/hosted/Discovery.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import embershift.door.JsonMessages;
-import embershift.protocol.HttpReply;
-import embershift.protocol.Unreadable;
+import embershift.protocol.HttpResponseParser;
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.WatchSchedule;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -19,22 +19,22 @@
  * A watch at discovery: one call after the other, each waiting for news there, at the times of
  * {@link WatchSchedule}. Keeps the whole list; on a loop.
  */
-final class Discovery implements Link.Events {
+final class Discovery implements TcpConnection.Listener {
 
     /** Hears of each answer. {@code anew}: the generations before it are those of another. */
     interface Listener {
         void heard(long generation, Map<String, String> whole, boolean anew);
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
     private final Listener listener;
     private final TreeMap<String, String> entries = new TreeMap<>();
     private final WatchSchedule schedule = new WatchSchedule(true, new Random()::nextDouble);
     private long generation = -1;
-    private Link link;
-    private HttpReply reply;
-    private Loop.Timer timer;
+    private TcpConnection link;
+    private HttpResponseParser reply;
+    private EventLoop.Timer timer;
     private boolean closed;
 
     /** Whether this connection has brought an answer: from then on its versions only grow. */
@@ -43,7 +43,7 @@
     private double heardAt = Double.NEGATIVE_INFINITY;
     private long calls;
 
-    Discovery(Loop loop, InetSocketAddress address, Listener listener) {
+    Discovery(EventLoop loop, InetSocketAddress address, Listener listener) {
         this.loop = loop;
         this.address = address;
         this.listener = listener;
@@ -65,8 +65,8 @@
 
     private void call() {
         calls++;
-        reply = new HttpReply();
-        schedule.called(loop.now(), link != null);
+        reply = new HttpResponseParser();
+        schedule.callStarted(loop.now(), link != null);
         follow();
         if (link == null) {
             answeredHere = false;
@@ -84,9 +84,9 @@
         }
         if (!closed) {
             timer =
-                    loop.after(
-                            Math.max(0, schedule.due() - loop.now()),
-                            schedule.calling() ? this::failed : this::call);
+                    loop.schedule(
+                            Math.max(0, schedule.nextActionAt() - loop.now()),
+                            schedule.isCalling() ? this::failed : this::call);
         }
     }
 
@@ -94,7 +94,7 @@
         String query =
                 generation < 0
                         ? ""
-                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.mayWait() * 1000);
+                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.maxWait() * 1000);
         link.write(
                 ByteBuffer.wrap(
                         ("GET /api/targets"
@@ -109,8 +109,8 @@
 
     private void failed() {
         hangUp();
-        if (schedule.calling()) {
-            schedule.failed(loop.now());
+        if (schedule.isCalling()) {
+            schedule.callFailed(loop.now());
             goOn();
         }
     }
@@ -123,7 +123,7 @@
     }
 
     private void answered() {
-        if (!reply.keptOpen()) {
+        if (!reply.keepAlive()) {
             hangUp();
         }
         ObjectNode page =
@@ -141,7 +141,7 @@
         boolean sameAgain =
                 told == generation
                         && !page.path("instances").isEmpty()
-                        && schedule.early(loop.now());
+                        && schedule.isEarly(loop.now());
         if (answeredHere && (anew || sameAgain)) {
             // An earlier answer that came once more, whole perhaps: what it lists as ready may have
             // been told to drain since,
@@ -151,7 +151,7 @@
             return;
         }
         answeredHere = true;
-        schedule.answered(loop.now(), told != generation);
+        schedule.callAnswered(loop.now(), told != generation);
         if (anew && !whole) {
             // Changes against a list that nobody here has.
             generation = -1;
@@ -172,7 +172,7 @@
     }
 
     private void goOn() {
-        if (!closed && schedule.due() <= loop.now()) {
+        if (!closed && schedule.nextActionAt() <= loop.now()) {
             call();
         } else {
             follow();
@@ -181,20 +181,20 @@
 
     void close() {
         closed = true;
-        schedule.stopped();
+        schedule.stop();
         follow();
         hangUp();
     }
 
     @Override
     public void connected() {
-        if (schedule.calling()) {
+        if (schedule.isCalling()) {
             send();
         }
     }
 
     @Override
-    public void notConnected() {
+    public void connectFailed() {
         link = null;
         failed();
     }
@@ -202,22 +202,22 @@
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            if (schedule.calling() && reply.take(bytes)) {
+            if (schedule.isCalling() && reply.feed(bytes)) {
                 if (bytes.hasRemaining()) {
                     // More than was asked for: the rest of it would be taken for the next answer.
                     hangUp();
                 }
                 answered();
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             failed();
         }
     }
 
     @Override
-    public void ended() {
+    public void inputEnded() {
         try {
-            if (schedule.calling() && reply.end()) {
+            if (schedule.isCalling() && reply.endOfInput()) {
                 hangUp();
                 answered();
                 return;
@@ -229,7 +229,7 @@
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
         failed();
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Duties.java
+++ b/hosted/src/main/java/embershift/hosted/Duties.java
@@ -1,7 +1,7 @@
 package embershift.hosted;
 
 import embershift.fleet.store.KeyValueStore;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -22,7 +22,7 @@
 
     private static final double JITTER = 0.1;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String name;
     private final Supplier<KeyValueStore> record;
     private final Installation.Fleet fleet;
@@ -36,7 +36,7 @@
 
     /** {@code addresses}: where the instances are now, this one too. */
     Duties(
-            Loop loop,
+            EventLoop loop,
             String name,
             Installation.Fleet fleet,
             Supplier<KeyValueStore> record,
@@ -76,7 +76,7 @@
         for (Duty duty : duties) {
             duty.tick(EACH * has + JITTER * chance.nextDouble());
         }
-        loop.after(TICK, this::tick);
+        loop.schedule(TICK, this::tick);
     }
 
     /** Gives all duties back; whether none is left. */
@@ -98,7 +98,7 @@
         return nodes;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -127,7 +127,7 @@
     }
 
     void after(double delay, Runnable what) {
-        loop.after(delay, what);
+        loop.schedule(delay, what);
     }
 
     void counted(String what) {
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -21,8 +21,8 @@
 import embershift.storage.FaultInjectingDisk;
 import embershift.storage.FileSystemDisk;
 import embershift.storage.OutOfSpaceException;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -65,7 +65,7 @@
     private static final double GIVE_BACK = 1;
 
     private final Installation installation;
-    private final Loop loop;
+    private final EventLoop loop;
     private final Disk disk;
     private final RaftPersistence keeper;
     private final ReplicatedStore replica;
@@ -93,7 +93,7 @@
     private volatile List<InetSocketAddress> instances = List.of();
     private Duties duties;
 
-    private Instance(Installation installation, Loop loop, FileSystemDisk folder)
+    private Instance(Installation installation, EventLoop loop, FileSystemDisk folder)
             throws IOException {
         this.installation = installation;
         this.loop = loop;
@@ -137,7 +137,7 @@
     /** Starts; the program then lives on the loop. */
     static void start(Installation installation) throws IOException {
         FileSystemDisk folder = FileSystemDisk.open(Path.of(installation.folder()));
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         try {
             Instance instance = new Instance(installation, loop, folder);
             InetSocketAddress address =
@@ -145,7 +145,7 @@
                                     TomlSettings.socket(installation.listen()),
                                     instance::room,
                                     link -> loop.execute(() -> instance.new Entrance(link)))
-                            .address();
+                            .localAddress();
             loop.execute(
                     () -> {
                         instance.listens = address;
@@ -192,7 +192,7 @@
 
     private void passTime() {
         guarded(this::catchUp);
-        loop.after(tick, this::passTime);
+        loop.schedule(tick, this::passTime);
     }
 
     /**
@@ -222,7 +222,7 @@
             all.add(member.id().equals(leader) ? 0 : all.size(), address);
         }
         instances = List.copyOf(all);
-        loop.after(LOOK_WHERE, this::lookWhereAllAre);
+        loop.schedule(LOOK_WHERE, this::lookWhereAllAre);
     }
 
     // The disk.
@@ -243,7 +243,7 @@
                 () -> {
                     List<WriteRequest> batch = List.copyOf(orders);
                     orders.clear();
-                    loop.aside(() -> keep(batch));
+                    loop.executeBlocking(() -> keep(batch));
                 });
     }
 
@@ -273,7 +273,7 @@
                                     kv("why", e.getMessage()));
                         }
                         count("writes without room");
-                        loop.after(ROOM_AGAIN, () -> loop.aside(() -> keep(batch)));
+                        loop.schedule(ROOM_AGAIN, () -> loop.executeBlocking(() -> keep(batch)));
                     });
         } catch (IOException | RuntimeException e) {
             halt("the disk failed, and what is on it can't be told: " + e);
@@ -283,7 +283,7 @@
     @Override
     public void stateTrusted() {
         LOG.info("has all again that it was in doubt of");
-        loop.aside(
+        loop.executeBlocking(
                 () -> {
                     try {
                         keeper.markTrusted();
@@ -328,14 +328,14 @@
      * The way to another instance: one connection, dialled again when it is lost, on which only
      * this one speaks.
      */
-    private final class Way implements Link.Events {
+    private final class Way implements TcpConnection.Listener {
         private static final double FIRST_GAP = 0.03;
         private static final double LONGEST_GAP = 0.5;
         private static final double STUCK = 3;
         private static final int MOST_WAITING = 4 << 20;
 
         private final MemberId to;
-        private Link link;
+        private TcpConnection link;
         private FrameCodec frames;
         private boolean welcome;
         private double gap = FIRST_GAP;
@@ -358,7 +358,7 @@
             if (!welcome) {
                 return;
             }
-            if (link.backedUp()) {
+            if (link.hasPendingWrites()) {
                 if (now - backedUpSince > STUCK) {
                     count("ways given up as stuck");
                     drop(now);
@@ -388,8 +388,8 @@
             backedUpSince = now;
             notBefore = now + gap;
             link = loop.connect(TomlSettings.socket(address), this);
-            Link dialled = link;
-            loop.after(
+            TcpConnection dialled = link;
+            loop.schedule(
                     STUCK,
                     () -> {
                         if (link == dialled && !welcome) {
@@ -422,7 +422,7 @@
         }
 
         @Override
-        public void notConnected() {
+        public void connectFailed() {
             link = null;
             drop(loop.now());
         }
@@ -452,12 +452,12 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             drop(loop.now());
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             drop(loop.now());
         }
     }
@@ -472,9 +472,9 @@
     }
 
     /** A connection that came in: of another instance, or of a caller. */
-    final class Entrance implements Link.Events {
+    final class Entrance implements TcpConnection.Listener {
         private static final int MOST_MISSED = 20;
-        private final Link link;
+        private final TcpConnection link;
         private final FrameCodec frames = new FrameCodec();
         private MemberId from;
         private String name = "";
@@ -483,10 +483,10 @@
         private int backedUp;
         private final Set<Long> waiting = new LinkedHashSet<>();
 
-        Entrance(Link link) {
+        Entrance(TcpConnection link) {
             this.link = link;
             callers.add(this);
-            link.events(this);
+            link.setListener(this);
         }
 
         @Override
@@ -501,7 +501,7 @@
         }
 
         private void piece(byte[] piece) {
-            if (link.closed() || duties == null) {
+            if (link.isClosed() || duties == null) {
                 return;
             }
             try {
@@ -533,10 +533,11 @@
 
         /** Says something to a node. */
         void tell(ObjectNode words) {
-            if (link.closed()) {
+            if (link.isClosed()) {
                 return;
             }
-            if (link.backedUp() || !link.write(JsonMessages.frame(FrameCodec.ORDER, words))) {
+            if (link.hasPendingWrites()
+                    || !link.write(JsonMessages.frame(FrameCodec.ORDER, words))) {
                 count("words to nodes dropped");
                 // What it misses it is told again, or it comes again.
                 backedUp++;
@@ -551,7 +552,7 @@
         /** Ends it, once what was written is out. */
         void finish() {
             callers.remove(this);
-            link.finish();
+            link.closeGracefully();
         }
 
         private void greeted(Greeting greeting) {
@@ -568,7 +569,7 @@
                                 FrameCodec.HANDSHAKE_REJECTED,
                                 no.getBytes(StandardCharsets.UTF_8)));
                 callers.remove(this);
-                link.finish();
+                link.closeGracefully();
                 return;
             }
             if (greeting.to().number() != 0) {
@@ -636,7 +637,7 @@
         }
 
         void answer(ObjectNode answer) {
-            if (!link.closed()) {
+            if (!link.isClosed()) {
                 link.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.bytes(answer)));
             }
         }
@@ -670,12 +671,12 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             close();
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             close();
         }
     }
@@ -745,19 +746,19 @@
     /** Asks who is at an address, then takes that one in. */
     void add(long call, String address, Member.Role role) {
         FrameCodec frames = new FrameCodec();
-        Link[] link = new Link[1];
-        Loop.Timer[] timer = new Loop.Timer[1];
+        TcpConnection[] link = new TcpConnection[1];
+        EventLoop.Timer[] timer = new EventLoop.Timer[1];
         Consumer<String> no =
                 why -> {
                     timer[0].cancel();
                     link[0].close();
                     complete(call, new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, why));
                 };
-        timer[0] = loop.after(2, () -> no.accept("nobody answers at " + address));
+        timer[0] = loop.schedule(2, () -> no.accept("nobody answers at " + address));
         link[0] =
                 loop.connect(
                         TomlSettings.socket(address),
-                        new Link.Events() {
+                        new TcpConnection.Listener() {
                             @Override
                             public void connected() {
                                 link[0].write(
@@ -773,7 +774,7 @@
                             }
 
                             @Override
-                            public void notConnected() {
+                            public void connectFailed() {
                                 no.accept("nobody is at " + address);
                             }
 
@@ -811,12 +812,12 @@
                             }
 
                             @Override
-                            public void ended() {
+                            public void inputEnded() {
                                 no.accept("who is at " + address + " ended the connection");
                             }
 
                             @Override
-                            public void broken() {
+                            public void connectionLost() {
                                 no.accept("who is at " + address + " broke the connection");
                             }
                         });
@@ -864,7 +865,7 @@
 
     private void awaitDutiesGivenBack(double until) {
         if (duties != null && !duties.leave() && loop.now() < until) {
-            loop.after(LOOK, () -> awaitDutiesGivenBack(until));
+            loop.schedule(LOOK, () -> awaitDutiesGivenBack(until));
             return;
         }
         Optional<MemberId> heir =
@@ -882,7 +883,7 @@
             LOG.info("ended", kv("led", replica.isLeader()));
             ended.countDown();
         } else {
-            loop.after(LOOK, () -> awaitFollower(until));
+            loop.schedule(LOOK, () -> awaitFollower(until));
         }
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Manager.java
+++ b/hosted/src/main/java/embershift/hosted/Manager.java
@@ -1,10 +1,10 @@
 package embershift.hosted;
 
 import embershift.fleet.restart.RollingRestart;
-import embershift.protocol.Line;
-import embershift.protocol.Unreadable;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.LineCodec;
+import embershift.protocol.MalformedDataException;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Locale;
@@ -19,20 +19,20 @@
 
     private static final double PATIENCE = 1;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final InetSocketAddress address;
 
-    Manager(Loop loop, InetSocketAddress address) {
+    Manager(EventLoop loop, InetSocketAddress address) {
         this.loop = loop;
         this.address = address;
     }
 
     /** Hears {@code UNKNOWN} where no answer came: it may have been done, or may be. */
     void call(String line, Consumer<RollingRestart.RestartState> heard) {
-        Link[] link = new Link[1];
+        TcpConnection[] link = new TcpConnection[1];
         boolean[] over = new boolean[1];
-        Loop.Timer[] timer = new Loop.Timer[1];
-        Line lines = new Line();
+        EventLoop.Timer[] timer = new EventLoop.Timer[1];
+        LineCodec lines = new LineCodec();
         Consumer<RollingRestart.RestartState> end =
                 what -> {
                     if (!over[0]) {
@@ -42,18 +42,18 @@
                         heard.accept(what);
                     }
                 };
-        timer[0] = loop.after(PATIENCE, () -> end.accept(RollingRestart.RestartState.UNKNOWN));
+        timer[0] = loop.schedule(PATIENCE, () -> end.accept(RollingRestart.RestartState.UNKNOWN));
         link[0] =
                 loop.connect(
                         address,
-                        new Link.Events() {
+                        new TcpConnection.Listener() {
                             @Override
                             public void connected() {
-                                link[0].write(Line.of(line));
+                                link[0].write(LineCodec.encode(line));
                             }
 
                             @Override
-                            public void notConnected() {
+                            public void connectFailed() {
                                 end.accept(RollingRestart.RestartState.UNKNOWN);
                             }
 
@@ -62,20 +62,20 @@
                                 try {
                                     byte[] answer = lines.next(bytes);
                                     if (answer != null) {
-                                        end.accept(read(Line.text(answer)));
+                                        end.accept(read(LineCodec.decode(answer)));
                                     }
-                                } catch (Unreadable e) {
+                                } catch (MalformedDataException e) {
                                     end.accept(RollingRestart.RestartState.UNKNOWN);
                                 }
                             }
 
                             @Override
-                            public void ended() {
+                            public void inputEnded() {
                                 end.accept(RollingRestart.RestartState.UNKNOWN);
                             }
 
                             @Override
-                            public void broken() {
+                            public void connectionLost() {
                                 end.accept(RollingRestart.RestartState.UNKNOWN);
                             }
                         });
--- a/hosted/src/main/java/embershift/hosted/Nodes.java
+++ b/hosted/src/main/java/embershift/hosted/Nodes.java
@@ -11,7 +11,7 @@
 import embershift.fleet.store.KeyValueStore;
 import embershift.fleet.store.Mutation;
 import embershift.fleet.store.Precondition;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -126,7 +126,7 @@
         }
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Supplier<KeyValueStore> record;
     private final RecordCaller caller;
     private final RecordCaller trails;
@@ -136,7 +136,7 @@
     private long lastOrder;
 
     Nodes(
-            Loop loop,
+            EventLoop loop,
             Supplier<KeyValueStore> record,
             RecordCaller caller,
             RecordCaller trails,
--- a/hosted/src/test/java/embershift/hosted/DiscoveryTest.java
+++ b/hosted/src/test/java/embershift/hosted/DiscoveryTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -24,14 +24,14 @@
 public class DiscoveryTest {
 
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
-    private Loop loop;
+    private EventLoop loop;
     private ServerSocket server;
     private volatile Discovery discovery;
 
     @BeforeMethod
     public void begin() throws IOException {
         heard.clear();
-        loop = new Loop();
+        loop = new EventLoop();
         server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         server.setSoTimeout(10_000);
         loop.execute(
@@ -133,7 +133,7 @@
         say(call, answer(2, true, "in_service").substring(0, 60));
         CompletableFuture<Long> calls = new CompletableFuture<>();
         // It is given up after 3.8 s. On the loop's own clock: a busy machine holds up both.
-        loop.execute(() -> loop.after(4.4, () -> calls.complete(discovery.calls())));
+        loop.execute(() -> loop.schedule(4.4, () -> calls.complete(discovery.calls())));
         Socket again = called();
         assertEquals((long) calls.get(), 2);
         call(lines(again));
--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -34,44 +34,44 @@
  */
 public final class Adapter {
 
-    private static final int LISTS = 16;
-    private static final double MICRO = 1e-6;
-    private static final double MILLI = 1e-3;
+    private static final int MAX_LISTS = 16;
+    private static final double MICROSECOND = 1e-6;
+    private static final double MILLISECOND = 1e-3;
 
     private final BufferedReader in;
     private final OutputStream out;
-    private final PrintStream trouble;
+    private final PrintStream errors;
     private final Map<Integer, Instance> instances = new HashMap<>();
     private final List<List<Listing>> lists =
-            new ArrayList<>(java.util.Collections.nCopies(LISTS, null));
+            new ArrayList<>(java.util.Collections.nCopies(MAX_LISTS, null));
 
     /** The instances with news in the present batch, in the order of their first. */
-    private final Map<Integer, Instance> stirred = new LinkedHashMap<>();
+    private final Map<Integer, Instance> activeInstances = new LinkedHashMap<>();
 
     private long lineNumber;
 
     public Adapter(InputStream in, OutputStream out, PrintStream trouble) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
-        this.trouble = trouble;
+        this.errors = trouble;
     }
 
     /** Plays batches until the input ends. */
     public void run() throws IOException {
         StringBuilder reply = new StringBuilder();
-        for (Fields line = next(); line != null; line = next()) {
+        for (LineFields line = nextLine(); line != null; line = nextLine()) {
             String word = line.text("message");
             if (!word.equals("BEGIN_BATCH")) {
-                throw line.unreadable("message", "BEGIN_BATCH");
+                throw line.malformed("message", "BEGIN_BATCH");
             }
             double now = line.number("t-s");
-            long batch = line.wide("batch");
+            long batch = line.longInteger("batch");
             readBatch();
             reply.setLength(0);
-            for (Map.Entry<Integer, Instance> entry : stirred.entrySet()) {
+            for (Map.Entry<Integer, Instance> entry : activeInstances.entrySet()) {
                 decide(now, entry.getKey(), entry.getValue(), reply);
             }
-            stirred.clear();
+            activeInstances.clear();
             reply.append("DONE ").append(batch).append('\n');
             out.write(reply.toString().getBytes(StandardCharsets.UTF_8));
             out.flush();
@@ -79,8 +79,8 @@
     }
 
     private void decide(double now, int number, Instance instance, StringBuilder reply) {
-        Replies replies = new Replies(number, reply);
-        List<Consumer<News>> arrivals = instance.arrivals;
+        DecisionWriter replies = new DecisionWriter(number, reply);
+        List<Consumer<News>> arrivals = instance.events;
         try {
             instance.module.round(
                     now,
@@ -91,27 +91,28 @@
                     },
                     replies);
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
-            e.printStackTrace(trouble);
-            replies.broken(e);
+            e.printStackTrace(errors);
+            replies.exception(e);
         }
         arrivals.clear();
     }
 
     /** The next line that is not empty, or null at the end. */
-    private Fields next() throws IOException {
+    private LineFields nextLine() throws IOException {
         String line;
         do {
             line = in.readLine();
             lineNumber++;
         } while (line != null && line.isEmpty());
-        return line == null ? null : new Fields(lineNumber, line);
+        return line == null ? null : new LineFields(lineNumber, line);
     }
 
     private void readBatch() throws IOException {
         while (true) {
-            Fields line = next();
+            LineFields line = nextLine();
             if (line == null) {
-                throw new UnreadableLine(lineNumber, "", "message", "COMMIT before the input ends");
+                throw new MalformedLineException(
+                        lineNumber, "", "message", "COMMIT before the input ends");
             }
             String word = line.text("message");
             if (word.equals("COMMIT")) {
@@ -120,31 +121,31 @@
             if (word.equals("REGISTER")) {
                 register(line);
             } else {
-                event(word, line);
+                handleEvent(word, line);
             }
         }
     }
 
-    private void register(Fields line) throws IOException {
-        int table = line.whole("table");
-        int count = line.whole("hosts");
-        if (table < 0 || table >= LISTS || count < 0) {
-            throw line.unreadable(
-                    "table", "a list number from 0 to " + (LISTS - 1) + " and a count");
+    private void register(LineFields line) throws IOException {
+        int table = line.integer("table");
+        int count = line.integer("hosts");
+        if (table < 0 || table >= MAX_LISTS || count < 0) {
+            throw line.malformed(
+                    "table", "a list number from 0 to " + (MAX_LISTS - 1) + " and a count");
         }
         List<Listing> listings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            Fields item = next();
+            LineFields item = nextLine();
             if (item == null || !item.text("message").equals("ITEM")) {
                 throw (item == null ? line : item)
-                        .unreadable("hosts", "as many ITEM lines as were told");
+                        .malformed("hosts", "as many ITEM lines as were told");
             }
             Listing.State state =
                     switch (item.text("health")) {
                         case "Ready" -> Listing.State.READY;
                         case "Terminating" -> Listing.State.DRAINING;
                         case "Gone" -> Listing.State.GONE;
-                        default -> throw item.unreadable("health", "Ready, Terminating or Gone");
+                        default -> throw item.malformed("health", "Ready, Terminating or Gone");
                     };
             HostId host = new HostId(item.text("host"));
             item.optional("class-of-host");
@@ -161,111 +162,111 @@
         lists.set(table, List.copyOf(listings));
     }
 
-    private void event(String word, Fields line) {
-        int who = line.whole("who");
+    private void handleEvent(String word, LineFields line) {
+        int who = line.integer("who");
         if (word.equals("SPAWN")) {
-            long seed = line.wide("rng-seed");
-            FirstMessage first = new FirstMessage(line);
+            long seed = line.longInteger("rng-seed");
+            SpawnSettings first = new SpawnSettings(line);
             Deployment deployment = first.deployment(seed);
             instances.put(
                     who,
                     new Instance(
                             new Policy(deployment, new Filling(deployment)),
                             first.reportColumns()));
-            stirred.remove(who);
-            stirred.put(who, instances.get(who));
+            activeInstances.remove(who);
+            activeInstances.put(who, instances.get(who));
             return;
         }
         if (word.equals("TEARDOWN")) {
             instances.remove(who);
-            stirred.remove(who);
+            activeInstances.remove(who);
             return;
         }
         Instance instance = instances.get(who);
-        Consumer<News> arrival = arrival(word, line, instance);
+        Consumer<News> arrival = parseEvent(word, line, instance);
         if (instance != null) {
-            stirred.put(who, instance);
+            activeInstances.put(who, instance);
             if (arrival != null) {
-                instance.arrivals.add(arrival);
+                instance.events.add(arrival);
             }
         }
     }
 
     /** What the line says, as a call on the module; null where it only stirs the instance. */
-    private Consumer<News> arrival(String word, Fields line, Instance instance) {
+    private Consumer<News> parseEvent(String word, LineFields line, Instance instance) {
         return switch (word) {
-            case "SYNC" -> sync(line);
-            case "ACCEPT", "RESUMED" -> tunnel(word, line);
+            case "SYNC" -> parseSync(line);
+            case "ACCEPT", "RESUMED" -> parseTunnel(word, line);
             case "ACK_FIRST" -> {
                 TunnelId id = new TunnelId(line.text("handle"));
-                int setup = line.whole("trial");
+                int setup = line.integer("trial");
                 HostId host = new HostId(line.text("host"));
                 double took = line.numberOr("cost-time-s", 0);
                 yield news -> news.tunnelOpened(id, setup, host, took);
             }
-            case "HINT_UPDATE" -> hint(line);
-            case "REPORT_BACK" -> setupEnd(line, instance);
+            case "HINT_UPDATE" -> parseHint(line);
+            case "REPORT_BACK" -> parseSetupEnd(line, instance);
             case "GONE" -> {
                 TunnelId id = new TunnelId(line.text("handle"));
                 yield news -> news.tunnelLeft(id);
             }
-            case "PROBE_RESULT" -> probeEnd(line, instance);
+            case "PROBE_RESULT" -> parseProbeEnd(line, instance);
             case "PEER_DATA" -> {
-                int node = line.whole("src");
+                int node = line.integer("src");
                 byte[] content = line.bytes("content");
                 yield news -> news.nodeHeard(node, content);
             }
             case "WAKEUP" -> {
-                line.wide("ctx");
+                line.longInteger("ctx");
                 yield null;
             }
-            default -> throw line.unreadable("message", "an event of the wire");
+            default -> throw line.malformed("message", "an event of the wire");
         };
     }
 
-    private static Consumer<News> hint(Fields line) {
+    private static Consumer<News> parseHint(LineFields line) {
         TunnelId id = new TunnelId(line.text("handle"));
-        line.whole("trial");
+        line.integer("trial");
         double value = line.number("value");
         HostId host = new HostId(line.text("host"));
-        return switch (line.whole("sort")) {
-            case 1 -> news -> news.tunnelLoadNoted(id, value * MICRO);
-            case 2 -> news -> news.messageDelayNoted(host, value * MILLI);
+        return switch (line.integer("sort")) {
+            case 1 -> news -> news.tunnelLoadNoted(id, value * MICROSECOND);
+            case 2 -> news -> news.messageDelayNoted(host, value * MILLISECOND);
             default -> null;
         };
     }
 
-    private Consumer<News> probeEnd(Fields line, Instance instance) {
+    private Consumer<News> parseProbeEnd(LineFields line, Instance instance) {
         HostId host = new HostId(line.text("host"));
-        boolean answered = line.whole("verdict") == 0;
+        boolean answered = line.integer("verdict") == 0;
         double took = line.numberOr("cost-time-s", 0);
-        Consumer<News> report = report(host, line, instance);
+        Consumer<News> report = parseReport(host, line, instance);
         return news -> {
             news.probeEnded(host, answered, took);
             report.accept(news);
         };
     }
 
-    private Consumer<News> sync(Fields line) {
+    private Consumer<News> parseSync(LineFields line) {
         // A failed call has no list: its number is meaningless and may be absent.
         double table = line.numberOr("table", -1);
         String mode = line.text("mode");
         if (mode.equals("lost")) {
             return News::rosterLost;
         }
-        List<Listing> listings = table < 0 || table >= LISTS ? null : lists.get((int) table);
+        List<Listing> listings = table < 0 || table >= MAX_LISTS ? null : lists.get((int) table);
         if (listings == null) {
-            throw line.unreadable("table", "the number of a list given before");
+            throw line.malformed("table", "the number of a list given before");
         }
         return switch (mode) {
             case "incr" -> news -> news.rosterChanged(listings);
             case "total" -> news -> news.rosterListed(listings, false);
             case "warm_copy" -> news -> news.rosterListed(listings, true);
-            default -> throw line.unreadable("mode", "incr, total, warm_copy or lost");
+            default -> throw line.malformed("mode", "incr, total, warm_copy or lost");
         };
     }
 
-    private Consumer<News> tunnel(String word, Fields line) {
+    private Consumer<News> parseTunnel(String word, LineFields line) {
         TunnelId id = new TunnelId(line.text("handle"));
         ProfileId profile = new ProfileId(line.text("category"));
         String team = line.optional("team");
@@ -286,12 +287,12 @@
         return news -> news.tunnelArrived(id, profile, participant, subject, group, left, midFlow);
     }
 
-    private Consumer<News> setupEnd(Fields line, Instance instance) {
+    private Consumer<News> parseSetupEnd(LineFields line, Instance instance) {
         TunnelId id = new TunnelId(line.text("handle"));
-        int setup = line.whole("trial");
+        int setup = line.integer("trial");
         HostId host = new HostId(line.text("host"));
         SetupEnd end =
-                switch (line.whole("verdict")) {
+                switch (line.integer("verdict")) {
                     case 0 -> SetupEnd.COMPLETED;
                     case 13 -> SetupEnd.ERROR;
                     case 8 -> SetupEnd.FULL;
@@ -300,19 +301,19 @@
                     case 10 -> SetupEnd.BROKEN;
                     case 1 -> SetupEnd.CANCELLED;
                     case 9 -> SetupEnd.NOT_SENT;
-                    default -> throw line.unreadable("verdict", "one of 0, 1, 4, 8, 9, 10, 13, 14");
+                    default -> throw line.malformed("verdict", "one of 0, 1, 4, 8, 9, 10, 13, 14");
                 };
         double took = line.numberOr("cost-time-s", 0);
         boolean over = line.flag("no-more");
-        Consumer<News> report = report(host, line, instance);
+        Consumer<News> report = parseReport(host, line, instance);
         return news -> {
             report.accept(news);
             news.setupEnded(id, setup, host, end, took, over);
         };
     }
 
-    private Consumer<News> report(HostId host, Fields line, Instance instance) {
-        double[] row = line.ended() ? new double[0] : line.row("metrics");
+    private Consumer<News> parseReport(HostId host, LineFields line, Instance instance) {
+        double[] row = line.atEnd() ? new double[0] : line.numberRow("metrics");
         if (row.length == 0 || instance == null) {
             return news -> {};
         }
@@ -326,7 +327,7 @@
     private static final class Instance {
         final Policy module;
         final String[] columns;
-        final List<Consumer<News>> arrivals = new ArrayList<>();
+        final List<Consumer<News>> events = new ArrayList<>();
 
         Instance(Policy module, List<String> columns) {
             this.module = module;
--- a/node/src/main/java/embershift/adapter/Replies.java
+++ b/node/src/main/java/embershift/adapter/DecisionWriter.java
@@ -7,96 +7,101 @@
 import java.util.Base64;
 
 /** Writes one instance's decisions as lines of the batch's reply. */
-final class Replies implements Decisions {
+final class DecisionWriter implements Decisions {
 
     private final int instance;
     private final StringBuilder reply;
 
-    Replies(int instance, StringBuilder reply) {
+    DecisionWriter(int instance, StringBuilder reply) {
         this.instance = instance;
         this.reply = reply;
     }
 
-    private StringBuilder action(String word) {
+    private StringBuilder beginLine(String word) {
         return reply.append(word).append(' ').append(instance);
     }
 
     @Override
     public void setUp(TunnelId id, HostId host, double timeOut) {
-        action("HAND_OFF")
+        beginLine("HAND_OFF")
                 .append(' ')
                 .append(id.name())
                 .append(' ')
                 .append(host.name())
                 .append(' ');
-        seconds(timeOut);
+        endWithSeconds(timeOut);
     }
 
     @Override
     public void cancel(TunnelId id, int setup) {
-        action("CANCEL").append(' ').append(id.name()).append(' ').append(setup).append('\n');
+        beginLine("CANCEL").append(' ').append(id.name()).append(' ').append(setup).append('\n');
     }
 
     @Override
     public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
-        action("BOUNCE").append(' ').append(id.name()).append(' ');
-        seconds(returnAfter);
+        beginLine("BOUNCE").append(' ').append(id.name()).append(' ');
+        endWithSeconds(returnAfter);
     }
 
     @Override
     public void closeWithError(TunnelId id) {
-        action("GIVE_UP").append(' ').append(id.name()).append('\n');
+        beginLine("GIVE_UP").append(' ').append(id.name()).append('\n');
     }
 
     @Override
     public void move(TunnelId id) {
-        action("TRANSFER").append(' ').append(id.name()).append('\n');
+        beginLine("TRANSFER").append(' ').append(id.name()).append('\n');
     }
 
     @Override
     public void probe(HostId host) {
-        action("CHECK").append(' ').append(host.name()).append('\n');
+        beginLine("CHECK").append(' ').append(host.name()).append('\n');
     }
 
     @Override
     public void closeIdle(HostId host) {
-        action("LET_GO").append(' ').append(host.name()).append('\n');
+        beginLine("LET_GO").append(' ').append(host.name()).append('\n');
     }
 
     @Override
     public void watchRoster(boolean on) {
-        action("STREAM_CHANGES").append(on ? " 1\n" : " 0\n");
+        beginLine("STREAM_CHANGES").append(on ? " 1\n" : " 0\n");
     }
 
     @Override
     public void askRoster() {
-        action("PULL").append('\n');
+        beginLine("PULL").append('\n');
     }
 
     @Override
     public void tellNode(int node, byte[] content) {
-        action("SHARE").append(' ').append(node).append(' ').append(base64(content)).append('\n');
+        beginLine("SHARE")
+                .append(' ')
+                .append(node)
+                .append(' ')
+                .append(base64(content))
+                .append('\n');
     }
 
     @Override
     public void tellAllNodes(byte[] content) {
-        action("SHARE").append(" * ").append(base64(content)).append('\n');
+        beginLine("SHARE").append(" * ").append(base64(content)).append('\n');
     }
 
     @Override
     public void wakeAfter(double delay) {
-        action("WAKE_ME").append(' ');
+        beginLine("WAKE_ME").append(' ');
         // One kind of wake-up is enough: the token tells nothing.
-        micros(delay).append(" 0\n");
+        appendSeconds(delay).append(" 0\n");
     }
 
     @Override
     public void note(String line) {
-        action("JOURNAL_LINE").append(' ').append(line.replaceAll("\\s+", " ")).append('\n');
+        beginLine("JOURNAL_LINE").append(' ').append(line.replaceAll("\\s+", " ")).append('\n');
     }
 
-    void broken(Throwable error) {
-        action("EXCEPTION")
+    void exception(Throwable error) {
+        beginLine("EXCEPTION")
                 .append(' ')
                 .append(String.valueOf(error).replaceAll("\\s+", " "))
                 .append('\n');
@@ -106,11 +111,11 @@
         return content.length == 0 ? "-" : Base64.getEncoder().encodeToString(content);
     }
 
-    private void seconds(double value) {
+    private void endWithSeconds(double value) {
         if (value == 0) {
             reply.append("0\n");
         } else {
-            micros(value).append('\n');
+            appendSeconds(value).append('\n');
         }
     }
 
@@ -118,7 +123,7 @@
      * Seconds with their microseconds, rounded up, without the cost or the exponents of a double's
      * text.
      */
-    private StringBuilder micros(double seconds) {
+    private StringBuilder appendSeconds(double seconds) {
         long total = (long) Math.ceil(seconds * 1e6 - 1e-3);
         if (total < 0) {
             reply.append('-');
--- a/node/src/main/java/embershift/adapter/Fields.java
+++ b/node/src/main/java/embershift/adapter/LineFields.java
@@ -5,38 +5,38 @@
 /**
  * Reads the fields of one line of the wire in their order, and says plainly what is wrong with one.
  */
-final class Fields {
+final class LineFields {
 
     private final long number;
     private final String line;
-    private int at;
+    private int position;
 
-    Fields(long number, String line) {
+    LineFields(long number, String line) {
         this.number = number;
         this.line = line;
     }
 
-    UnreadableLine unreadable(String field, String expected) {
-        return new UnreadableLine(number, line, field, expected);
+    MalformedLineException malformed(String field, String expected) {
+        return new MalformedLineException(number, line, field, expected);
     }
 
-    boolean ended() {
-        return at > line.length();
+    boolean atEnd() {
+        return position > line.length();
     }
 
     /** The next part; null where the wire has "-" for an absent one. */
     String optional(String field) {
-        if (ended() || line.isEmpty()) {
-            throw unreadable(field, "a value, or - for none");
+        if (atEnd() || line.isEmpty()) {
+            throw malformed(field, "a value, or - for none");
         }
-        int end = line.indexOf(' ', at);
+        int end = line.indexOf(' ', position);
         if (end < 0) {
             end = line.length();
         }
-        String part = line.substring(at, end);
-        at = end + 1;
+        String part = line.substring(position, end);
+        position = end + 1;
         if (part.isEmpty()) {
-            throw unreadable(field, "a value, or - for none");
+            throw malformed(field, "a value, or - for none");
         }
         return part.equals("-") ? null : part;
     }
@@ -44,24 +44,24 @@
     String text(String field) {
         String part = optional(field);
         if (part == null) {
-            throw unreadable(field, "a value");
+            throw malformed(field, "a value");
         }
         return part;
     }
 
-    int whole(String field) {
+    int integer(String field) {
         try {
             return Integer.parseInt(text(field));
         } catch (NumberFormatException e) {
-            throw unreadable(field, "a whole number");
+            throw malformed(field, "a whole number");
         }
     }
 
-    long wide(String field) {
+    long longInteger(String field) {
         try {
             return Long.parseLong(text(field));
         } catch (NumberFormatException e) {
-            throw unreadable(field, "a whole number");
+            throw malformed(field, "a whole number");
         }
     }
 
@@ -83,7 +83,7 @@
         } catch (NumberFormatException e) {
             // Told below.
         }
-        throw unreadable(field, "a number");
+        throw malformed(field, "a number");
     }
 
     boolean flag(String field) {
@@ -94,7 +94,7 @@
         if (part.equals("1")) {
             return true;
         }
-        throw unreadable(field, "1 or 0");
+        throw malformed(field, "1 or 0");
     }
 
     byte[] bytes(String field) {
@@ -102,11 +102,11 @@
         try {
             return part == null ? new byte[0] : Base64.getDecoder().decode(part);
         } catch (IllegalArgumentException e) {
-            throw unreadable(field, "base64 with padding");
+            throw malformed(field, "base64 with padding");
         }
     }
 
-    double[] row(String field) {
+    double[] numberRow(String field) {
         String part = optional(field);
         if (part == null) {
             return new double[0];
--- a/node/src/main/java/embershift/adapter/UnreadableLine.java
+++ b/node/src/main/java/embershift/adapter/MalformedLineException.java
@@ -4,13 +4,13 @@
  * A line on the wire that can't be read; the message names the line, the field and what was
  * expected.
  */
-public final class UnreadableLine extends RuntimeException {
+public final class MalformedLineException extends RuntimeException {
 
-    private static final int SHOWN = 120;
+    private static final int MAX_SHOWN_CHARS = 120;
 
     private static final long serialVersionUID = 1;
 
-    UnreadableLine(long number, String line, String field, String expected) {
+    MalformedLineException(long number, String line, String field, String expected) {
         super(
                 "line "
                         + number
@@ -19,7 +19,9 @@
                         + ": expected "
                         + expected
                         + " in: "
-                        + (line.length() <= SHOWN ? line : line.substring(0, SHOWN) + "..."),
+                        + (line.length() <= MAX_SHOWN_CHARS
+                                ? line
+                                : line.substring(0, MAX_SHOWN_CHARS) + "..."),
                 null,
                 false,
                 false);
--- a/node/src/main/java/embershift/adapter/FirstMessage.java
+++ b/node/src/main/java/embershift/adapter/SpawnSettings.java
@@ -2,25 +2,25 @@
 
 import embershift.model.Deployment;
 import embershift.protocol.DeploymentReader;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The path=value pairs with which an instance starts. */
-final class FirstMessage {
+final class SpawnSettings {
 
-    private final Fields fields;
+    private final LineFields fields;
     private final DeploymentReader reader;
 
-    FirstMessage(Fields fields) {
+    SpawnSettings(LineFields fields) {
         this.fields = fields;
         Map<String, String> pairs = new HashMap<>();
-        while (!fields.ended()) {
+        while (!fields.atEnd()) {
             String pair = fields.optional("setup");
             int equals = pair == null ? -1 : pair.indexOf('=');
             if (equals < 1) {
-                throw fields.unreadable("setup", "path=value pairs");
+                throw fields.malformed("setup", "path=value pairs");
             }
             pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
         }
@@ -30,9 +30,9 @@
     Deployment deployment(long seed) {
         try {
             return reader.read(seed);
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             String[] parts = e.getMessage().split(": expected ", 2);
-            throw fields.unreadable("setup " + parts[0], parts[1]);
+            throw fields.malformed("setup " + parts[0], parts[1]);
         }
     }
 
--- a/node/src/main/java/embershift/operations/Bans.java
+++ b/node/src/main/java/embershift/operations/Bans.java
@@ -2,7 +2,7 @@
 
 import embershift.model.HostId;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -48,7 +48,7 @@
         TOO_LATE
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Router router;
     private final Keeping keeping;
     private final Set<HostId> out = new LinkedHashSet<>();
@@ -63,7 +63,7 @@
     private long changes;
 
     /** {@code keeping} null: bans end with this process. */
-    public Bans(Loop loop, Router router, Keeping keeping) {
+    public Bans(EventLoop loop, Router router, Keeping keeping) {
         this.loop = loop;
         this.router = router;
         this.keeping = keeping;
@@ -82,7 +82,7 @@
                         return;
                     }
                     List<HostId> known = List.copyOf(out);
-                    loop.aside(
+                    loop.executeBlocking(
                             () -> {
                                 Kept kept =
                                         keeping.change(
@@ -141,7 +141,7 @@
     /** Goes by what is kept now, as the other process may have been told something. */
     public void readAgain() {
         long before = changes;
-        loop.aside(
+        loop.executeBlocking(
                 () -> {
                     Collection<HostId> kept = keeping.read();
                     loop.execute(
--- a/node/src/main/java/embershift/operations/Callers.java
+++ b/node/src/main/java/embershift/operations/Callers.java
@@ -1,11 +1,11 @@
 package embershift.operations;
 
-import embershift.protocol.HttpAnswer;
-import embershift.protocol.HttpRequest;
+import embershift.protocol.HttpRequestParser;
+import embershift.protocol.HttpResponse;
 import embershift.routing.Router;
 import embershift.routing.Tally;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -35,7 +35,7 @@
     /** Seconds from the accept within which the whole call must have come. */
     private static final double PATIENCE = 5;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Desk desk;
     private final Tally tally;
 
@@ -43,9 +43,9 @@
     private final Set<Caller> waiting = new LinkedHashSet<>();
 
     private final Stillness stillness;
-    private Loop.Listening listening;
+    private EventLoop.Acceptor listening;
 
-    public Callers(Loop loop, Desk desk, Tally tally) {
+    public Callers(EventLoop loop, Desk desk, Tally tally) {
         this.loop = loop;
         this.desk = desk;
         this.tally = tally;
@@ -57,29 +57,29 @@
         listening =
                 loop.listen(
                         address,
-                        new Loop.Admission() {
+                        new EventLoop.Admission() {
                             @Override
                             public boolean mayAccept() {
                                 return makeRoom();
                             }
 
                             @Override
-                            public int free() {
+                            public int freeDescriptors() {
                                 return listening == null
                                         ? 0
-                                        : Router.OPERATORS - AHEAD - listening.open();
+                                        : Router.OPERATORS - AHEAD - listening.openConnections();
                             }
                         },
                         link -> {
                             tally.count("operators' connections");
                             new Caller(link);
                         });
-        return listening.address();
+        return listening.localAddress();
     }
 
     private void beat() {
         stillness.beat(loop.now());
-        loop.after(Stillness.BEAT, this::beat);
+        loop.schedule(Stillness.BEAT, this::beat);
     }
 
     /**
@@ -91,8 +91,8 @@
         while (waiting.size() >= MOST) {
             giveWay();
         }
-        while (listening.open() > Router.OPERATORS - AHEAD) {
-            if (!listening.closeLingering() && !giveWay()) {
+        while (listening.openConnections() > Router.OPERATORS - AHEAD) {
+            if (!listening.closeOldestLingering() && !giveWay()) {
                 return false;
             }
         }
@@ -106,36 +106,37 @@
         }
         tally.count("operators' connections that gave way");
         Caller caller = oldest.next();
-        caller.answer(HttpAnswer.error(503, "others call, and no whole call has come here"));
+        caller.answer(HttpResponse.error(503, "others call, and no whole call has come here"));
         // Nothing that it sent is unread, so the answer is not lost by this.
         caller.link.close();
         return true;
     }
 
-    private final class Caller implements Link.Events {
-        private final Link link;
-        private final HttpRequest call = new HttpRequest();
-        private final Loop.Timer patience;
+    private final class Caller implements TcpConnection.Listener {
+        private final TcpConnection link;
+        private final HttpRequestParser call = new HttpRequestParser();
+        private final EventLoop.Timer patience;
 
-        Caller(Link link) {
+        Caller(TcpConnection link) {
             this.link = link;
             waiting.add(this);
             patience =
-                    loop.after(PATIENCE, () -> last(HttpAnswer.error(408, "no whole call came")));
-            link.events(this);
+                    loop.schedule(
+                            PATIENCE, () -> last(HttpResponse.error(408, "no whole call came")));
+            link.setListener(this);
         }
 
-        private void answer(HttpAnswer answer) {
+        private void answer(HttpResponse answer) {
             leaveQueue();
-            if (!link.closed()) {
+            if (!link.isClosed()) {
                 tally.count("operators' calls answered " + answer.status());
-                link.write(answer.bytes());
+                link.write(answer.encode());
             }
         }
 
-        private void last(HttpAnswer answer) {
+        private void last(HttpResponse answer) {
             answer(answer);
-            link.finish();
+            link.closeGracefully();
         }
 
         private void leaveQueue() {
@@ -149,12 +150,12 @@
                 return;
             }
             try {
-                if (call.read(bytes)) {
+                if (call.parse(bytes)) {
                     leaveQueue();
                     desk.take(call, stillness.mayHaveWaited(loop.now()), this::last);
                 }
-            } catch (HttpRequest.Refused e) {
-                last(HttpAnswer.error(e.status(), e.getMessage()));
+            } catch (HttpRequestParser.RejectedException e) {
+                last(HttpResponse.error(e.status(), e.getMessage()));
             }
         }
 
@@ -163,14 +164,14 @@
          * more.
          */
         @Override
-        public void ended() {
+        public void inputEnded() {
             if (waiting.contains(this)) {
-                broken();
+                connectionLost();
             }
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             leaveQueue();
             link.close();
         }
--- a/node/src/main/java/embershift/operations/Desk.java
+++ b/node/src/main/java/embershift/operations/Desk.java
@@ -3,8 +3,8 @@
 import embershift.model.DeclineReason;
 import embershift.model.HostId;
 import embershift.model.ProfileId;
-import embershift.protocol.HttpAnswer;
-import embershift.protocol.HttpRequest;
+import embershift.protocol.HttpRequestParser;
+import embershift.protocol.HttpResponse;
 import embershift.protocol.Json;
 import embershift.routing.Router;
 import embershift.routing.Tally;
@@ -37,19 +37,19 @@
      * waited}: it may have lain here so long that its caller has given up, and has since had the
      * contrary done at another process.
      */
-    public void take(HttpRequest call, boolean waited, Consumer<HttpAnswer> answer) {
+    public void take(HttpRequestParser call, boolean waited, Consumer<HttpResponse> answer) {
         List<String> path = call.path();
         String name = path.size() > 1 && path.get(0).equals(ROOT) ? path.get(1) : "";
         boolean figures = path.size() == 2 && (name.equals("ready") || name.equals("telemetry"));
         boolean byHand = path.size() == 3 && (name.equals("exclude") || name.equals("include"));
         String method = byHand ? "POST" : "GET";
         if (!figures && !byHand) {
-            answer.accept(HttpAnswer.error(404, "no such call"));
+            answer.accept(HttpResponse.error(404, "no such call"));
         } else if (!call.method().equals(method)) {
-            answer.accept(HttpAnswer.onlyBy(method));
+            answer.accept(HttpResponse.methodNotAllowed(method));
         } else if (byHand && waited) {
             answer.accept(
-                    HttpAnswer.error(
+                    HttpResponse.error(
                             503, "this process stood still, nothing was changed: call again"));
         } else if (byHand) {
             byHand(new HostId(path.get(2)), name.equals("exclude"), answer);
@@ -58,15 +58,15 @@
         }
     }
 
-    private HttpAnswer ready() {
+    private HttpResponse ready() {
         return ready.getAsBoolean()
-                ? HttpAnswer.of(200, "{\"ready\":true}")
-                : HttpAnswer.error(503, "this node takes no clients now");
+                ? HttpResponse.of(200, "{\"ready\":true}")
+                : HttpResponse.error(503, "this node takes no clients now");
     }
 
-    private void byHand(HostId host, boolean out, Consumer<HttpAnswer> answer) {
+    private void byHand(HostId host, boolean out, Consumer<HttpResponse> answer) {
         if (!router.knows(host)) {
-            answer.accept(HttpAnswer.error(404, "no host " + host.name() + " is known here"));
+            answer.accept(HttpResponse.error(404, "no host " + host.name() + " is known here"));
             return;
         }
         bans.change(
@@ -75,13 +75,13 @@
                 end ->
                         answer.accept(
                                 end == Bans.End.TOO_LATE
-                                        ? HttpAnswer.error(
+                                        ? HttpResponse.error(
                                                 503,
                                                 "this process stood still in the middle of it: look which hosts are out, call again")
-                                        : HttpAnswer.of(
+                                        : HttpResponse.of(
                                                 200,
                                                 "{\"host\":"
-                                                        + Json.quoted(host.name())
+                                                        + Json.quote(host.name())
                                                         + ",\"out\":"
                                                         + bans.holds(host)
                                                         + ",\"kept\":"
@@ -89,13 +89,13 @@
                                                         + "}")));
     }
 
-    private HttpAnswer telemetry() {
+    private HttpResponse telemetry() {
         Tally tally = router.tally();
         StringBuilder out = new StringBuilder("{\"operations\":{");
         String comma = "";
         for (ProfileId profile : tally.profiles()) {
             out.append(comma)
-                    .append(Json.quoted(profile.name()))
+                    .append(Json.quote(profile.name()))
                     .append(":{\"fulfilled\":")
                     .append(tally.of(profile, Outcome.OPENED))
                     .append(",\"throttled\":")
@@ -117,11 +117,11 @@
                 .append(tally.of(Tally.NO_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
             out.append(',')
-                    .append(Json.quoted(reason.name().toLowerCase(Locale.ROOT)))
+                    .append(Json.quote(reason.name().toLowerCase(Locale.ROOT)))
                     .append(':')
                     .append(tally.of(reason));
         }
         out.append("}}");
-        return HttpAnswer.of(200, out.toString());
+        return HttpResponse.of(200, out.toString());
     }
 }
--- a/node/src/main/java/embershift/program/Companion.java
+++ b/node/src/main/java/embershift/program/Companion.java
@@ -3,7 +3,7 @@
 import embershift.operations.Bans;
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 
 /**
  * What else lives on a node's loop, where its operator's file asks for it: takes orders from
@@ -26,7 +26,7 @@
     /** The node, for its companion. */
     interface Node {
 
-        Loop loop();
+        EventLoop loop();
 
         Router router();
 
--- a/node/src/main/java/embershift/program/Main.java
+++ b/node/src/main/java/embershift/program/Main.java
@@ -5,10 +5,10 @@
 import com.beust.jcommander.ParameterException;
 import com.beust.jcommander.Parameters;
 import embershift.adapter.Adapter;
-import embershift.adapter.UnreadableLine;
+import embershift.adapter.MalformedLineException;
 import embershift.protocol.Addresses;
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -26,17 +26,17 @@
 
     /** A sub-command; returns the program's exit status, or lets it run on with -1. */
     private interface Command {
-        int run() throws IOException, Unreadable;
+        int run() throws IOException, MalformedDataException;
     }
 
     @Parameters(commandDescription = "Be a node: listen for clients and place their tunnels")
     private static final class Serve extends Configured implements Command {
         @Override
-        public int run() throws IOException, Unreadable {
+        public int run() throws IOException, MalformedDataException {
             try {
                 new Service(this::read, new Log(System.err)).start();
             } catch (IOException e) {
-                throw new Unreadable(e.getMessage());
+                throw new MalformedDataException(e.getMessage());
             }
             return -1;
         }
@@ -46,16 +46,16 @@
             commandDescription = "Read a configuration and say whether a node could start by it")
     private static final class Check extends Configured implements Command {
         @Override
-        public int run() throws IOException, Unreadable {
+        public int run() throws IOException, MalformedDataException {
             NodeConfiguration configuration = read();
             System.out.println(
                     "sound: "
                             + configuration.name()
                             + " would listen on "
-                            + Addresses.written(configuration.listen())
-                            + (configuration.operated()
+                            + Addresses.format(configuration.listen())
+                            + (configuration.hasManagement()
                                     ? ", for operators on "
-                                            + Addresses.written(configuration.management())
+                                            + Addresses.format(configuration.management())
                                     : ""));
             return 0;
         }
@@ -66,13 +66,13 @@
                     "Play a node with a host and a client, all in this process, and say how it went")
     private static final class Rehearse implements Command {
         @Override
-        public int run() throws IOException, Unreadable {
+        public int run() throws IOException, MalformedDataException {
             try {
                 new Rehearsal().play(new Log(System.err));
                 System.out.println("rehearsed: a node can live here");
                 return 0;
             } catch (IOException e) {
-                throw new Unreadable(e.getMessage());
+                throw new MalformedDataException(e.getMessage());
             }
         }
     }
@@ -84,7 +84,7 @@
             try {
                 new Adapter(System.in, System.out, System.err).run();
                 return 0;
-            } catch (UnreadableLine e) {
+            } catch (MalformedLineException e) {
                 System.err.println(e.getMessage());
                 return 1;
             }
@@ -116,19 +116,20 @@
                 description = "File to read; else the one that LB_CONFIG names")
         private String file = System.getenv("LB_CONFIG");
 
-        NodeConfiguration read() throws Unreadable {
+        NodeConfiguration read() throws MalformedDataException {
             if (file == null || file.isEmpty()) {
-                throw new Unreadable(
+                throw new MalformedDataException(
                         "no configuration: set LB_CONFIG or give --configuration FILE");
             }
             try {
-                return NodeConfiguration.read(
+                return NodeConfiguration.parse(
                         Files.readString(Path.of(file), StandardCharsets.UTF_8),
                         System.getenv("LB_MANAGEMENT"));
             } catch (IOException | InvalidPathException e) {
-                throw new Unreadable("configuration " + file + " can't be read: " + e.getMessage());
-            } catch (Unreadable e) {
-                throw new Unreadable("configuration " + file + ": " + e.getMessage());
+                throw new MalformedDataException(
+                        "configuration " + file + " can't be read: " + e.getMessage());
+            } catch (MalformedDataException e) {
+                throw new MalformedDataException("configuration " + file + ": " + e.getMessage());
             }
         }
     }
@@ -175,7 +176,7 @@
                         "a sub-command is wanted: adapter, check, rehearse, serve or version");
             }
             return commands.get(line.getParsedCommand()).run();
-        } catch (ParameterException | Unreadable e) {
+        } catch (ParameterException | MalformedDataException e) {
             System.err.println("embershift: " + e.getMessage());
             return USAGE;
         }
--- a/node/src/main/java/embershift/program/Neighbours.java
+++ b/node/src/main/java/embershift/program/Neighbours.java
@@ -3,7 +3,7 @@
 import embershift.model.HostId;
 import embershift.operations.Bans;
 import embershift.protocol.BanList;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -108,7 +108,7 @@
 
     /**
      * Null where there is no folder in common, or none that can be used, which the log then says.
-     * {@code belongsTo}: as {@code NodeConfiguration.belongsTo} has it.
+     * {@code belongsTo}: as {@code NodeConfiguration.deploymentIdentity} has it.
      */
     static Neighbours in(String folder, String address, String belongsTo, Consumer<String> log) {
         if (folder == null || folder.isEmpty()) {
@@ -271,21 +271,21 @@
                 }
                 Path list = list(last);
                 try {
-                    if (Files.size(list) > BanList.LONGEST) {
-                        throw new Unreadable("over " + BanList.LONGEST + " bytes");
+                    if (Files.size(list) > BanList.MAX_CHARS) {
+                        throw new MalformedDataException("over " + BanList.MAX_CHARS + " bytes");
                     }
                     return new Latest(
-                            last, BanList.read(Files.readString(list, StandardCharsets.UTF_8)));
+                            last, BanList.parse(Files.readString(list, StandardCharsets.UTF_8)));
                 } catch (NoSuchFileException e) {
                     // Others wrote so many meanwhile that this one was swept away; or all lists are
                     // gone.
                     if (before == last) {
-                        throw new Unreadable("it is gone");
+                        throw new MalformedDataException("it is gone");
                     }
                 }
             }
-            throw new Unreadable("others write faster than this process reads");
-        } catch (IOException | DirectoryIteratorException | Unreadable e) {
+            throw new MalformedDataException("others write faster than this process reads");
+        } catch (IOException | DirectoryIteratorException | MalformedDataException e) {
             tell("hosts out by hand can't be read from " + folder.resolve(lists), e);
             return null;
         }
@@ -337,11 +337,11 @@
                 } else {
                     after.remove(host);
                 }
-                if (after.size() > BanList.MOST) {
-                    throw new IOException("over " + BanList.MOST + " hosts");
+                if (after.size() > BanList.MAX_HOSTS) {
+                    throw new IOException("over " + BanList.MAX_HOSTS + " hosts");
                 }
                 long next = last + 1;
-                if (written(next, BanList.write(after))) {
+                if (written(next, BanList.format(after))) {
                     if (!inTime.getAsBoolean()) {
                         // Stopped so long that its number may have been given, swept away and given
                         // again.
--- a/node/src/main/java/embershift/program/Rehearsal.java
+++ b/node/src/main/java/embershift/program/Rehearsal.java
@@ -1,7 +1,7 @@
 package embershift.program;
 
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -38,11 +38,11 @@
     /**
      * Plays it all; fails where a client does not hear what it should. The node is left to its end.
      */
-    void play(Log log) throws IOException, Unreadable {
+    void play(Log log) throws IOException, MalformedDataException {
         serve(host, this::beHost);
         serve(discovery, this::beDiscovery);
         InetSocketAddress node =
-                new Service(() -> NodeConfiguration.read(configuration(), null), log).start();
+                new Service(() -> NodeConfiguration.parse(configuration(), null), log).start();
         for (int i = 0; i < TUNNELS; i++) {
             try (Socket client = new Socket(node.getAddress(), node.getPort())) {
                 client.setSoTimeout(PATIENCE_MS);
--- a/node/src/main/java/embershift/program/Service.java
+++ b/node/src/main/java/embershift/program/Service.java
@@ -5,11 +5,11 @@
 import embershift.operations.Callers;
 import embershift.operations.Desk;
 import embershift.protocol.Addresses;
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import embershift.routing.Router;
 import embershift.signals.Signals;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -51,7 +51,7 @@
 
     /** Where the configuration is read, at the start and whenever it has been replaced. */
     public interface Source {
-        NodeConfiguration read() throws Unreadable;
+        NodeConfiguration read() throws MalformedDataException;
     }
 
     private final Source source;
@@ -64,7 +64,7 @@
     private NodeConfiguration latest;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private Phase phase = Phase.STARTING;
-    private Loop loop;
+    private EventLoop loop;
     private Router router;
     private double leavingSince;
     private double leastStay;
@@ -73,11 +73,11 @@
     /** Null where operators have no address, or there is no folder for it. */
     private volatile Neighbours neighbours;
 
-    Service(Source source, Log log) throws Unreadable {
+    Service(Source source, Log log) throws MalformedDataException {
         this(source, log, null);
     }
 
-    private Service(Source source, Log log, Companion companion) throws Unreadable {
+    private Service(Source source, Log log, Companion companion) throws MalformedDataException {
         this.source = source;
         this.log = log;
         this.companion = companion;
@@ -90,13 +90,13 @@
      * where it can't.
      */
     public static InetSocketAddress start(Source source, Companion companion)
-            throws IOException, Unreadable {
+            throws IOException, MalformedDataException {
         return new Service(source, new Log(System.err), companion).start();
     }
 
     /** Listens, and returns where; the node then lives on its loop. Fails where it can't listen. */
     InetSocketAddress start() throws IOException {
-        loop = new Loop();
+        loop = new EventLoop();
         CompletableFuture<InetSocketAddress> serving = new CompletableFuture<>();
         loop.execute(() -> serve(serving));
         // Before the node can be seen to be ready: unhandled, both signals would end the program.
@@ -122,7 +122,7 @@
     private void serve(CompletableFuture<InetSocketAddress> serving) {
         try {
             router = new Router(loop, configuration, log::line);
-            if (configuration.operated()) {
+            if (configuration.hasManagement()) {
                 listenForOperators();
             }
             if (companion != null) {
@@ -137,10 +137,10 @@
                 mindOthers();
                 bans.follow(neighbours.read());
                 heed(neighbours.exchange(word()));
-                loop.after(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
+                loop.schedule(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
             }
             enter(Phase.SERVING);
-            log.line("listening on " + Addresses.written(address));
+            log.line("listening on " + Addresses.format(address));
             serving.complete(address);
         } catch (IOException | RuntimeException e) {
             serving.completeExceptionally(e);
@@ -151,7 +151,7 @@
         if (neighbours != null && neighbours.othersHere()) {
             throw new IOException(
                     "can't listen on "
-                            + Addresses.written(configuration.listen())
+                            + Addresses.format(configuration.listen())
                             + ": a node of another deployment serves there");
         }
     }
@@ -161,7 +161,7 @@
         companion.begin(
                 new Companion.Node() {
                     @Override
-                    public Loop loop() {
+                    public EventLoop loop() {
                         return loop;
                     }
 
@@ -207,14 +207,14 @@
         neighbours =
                 Neighbours.in(
                         System.getenv("TMPDIR"),
-                        Addresses.written(configuration.listen()),
-                        configuration.belongsTo(),
+                        Addresses.format(configuration.listen()),
+                        configuration.deploymentIdentity(),
                         log::line);
         bans = new Bans(loop, router, neighbours);
         Desk desk = new Desk(router, bans, this::ready);
         InetSocketAddress address =
                 new Callers(loop, desk, router.tally()).listen(configuration.management());
-        log.line("operators call " + Addresses.written(address));
+        log.line("operators call " + Addresses.format(address));
     }
 
     /**
@@ -223,13 +223,13 @@
      */
     private void lookAtNeighbours() {
         Neighbours.Word mine = word();
-        loop.aside(
+        loop.executeBlocking(
                 () -> {
                     List<Neighbours.Word> others = neighbours.exchange(mine);
                     loop.execute(
                             () -> {
                                 heed(others);
-                                loop.after(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
+                                loop.schedule(LOOK_AT_NEIGHBOURS, this::lookAtNeighbours);
                             });
                 });
     }
@@ -260,7 +260,7 @@
         try {
             NodeConfiguration next = source.read();
             loop.execute(() -> goBy(next));
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             loop.execute(() -> refuse(e.getMessage()));
         }
     }
@@ -271,19 +271,19 @@
     }
 
     private void goBy(NodeConfiguration next) {
-        if (!next.belongsTo().equals(configuration.belongsTo())) {
+        if (!next.deploymentIdentity().equals(configuration.deploymentIdentity())) {
             // Its discovery and peers are another customer's: this node's tunnels would go to their
             // hosts.
-            refuse("it is another deployment's, of " + next.belongsTo());
+            refuse("it is another deployment's, of " + next.deploymentIdentity());
             return;
         }
         router.tally().count("configurations taken");
         latest = next;
         router.reconfigure(companion == null ? next : companion.adapt(next));
-        List<String> fixed = configuration.fixedChanges(next);
+        List<String> fixed = configuration.changesRequiringRestart(next);
         log.line(
                 "configuration taken, discovery at "
-                        + Addresses.written(next.discovery())
+                        + Addresses.format(next.discovery())
                         + (fixed.isEmpty()
                                 ? ""
                                 : "; only after a restart: " + String.join(", ", fixed)));
@@ -334,9 +334,9 @@
         if (stayed > mostStay() || (stayed > leastStay && router.empty())) {
             enter(Phase.CLOSING);
             router.stop();
-            loop.after(LAST_WORDS, this::stop);
+            loop.schedule(LAST_WORDS, this::stop);
         } else {
-            loop.after(LOOK, this::lookWhetherEmpty);
+            loop.schedule(LOOK, this::lookWhetherEmpty);
         }
     }
 
--- a/node/src/main/java/embershift/protocol/Addresses.java
+++ b/node/src/main/java/embershift/protocol/Addresses.java
@@ -11,12 +11,12 @@
 
     private Addresses() {}
 
-    /** The address in the form that {@link #read} takes. */
-    public static String written(InetSocketAddress address) {
+    /** The address in the form that {@link #parse} takes. */
+    public static String format(InetSocketAddress address) {
         return address.getHostString() + ":" + address.getPort();
     }
 
-    public static InetSocketAddress read(String text) throws Unreadable {
+    public static InetSocketAddress parse(String text) throws MalformedDataException {
         int colon = text.lastIndexOf(':');
         String[] parts = colon < 0 ? new String[0] : text.substring(0, colon).split("\\.", -1);
         try {
@@ -34,6 +34,6 @@
         } catch (NumberFormatException | UnknownHostException e) {
             // Told below.
         }
-        throw new Unreadable("'" + text + "' is no address of the form 127.0.0.1:3000");
+        throw new MalformedDataException("'" + text + "' is no address of the form 127.0.0.1:3000");
     }
 }
--- a/node/src/main/java/embershift/protocol/BanList.java
+++ b/node/src/main/java/embershift/protocol/BanList.java
@@ -16,35 +16,35 @@
  */
 public final class BanList {
 
-    private static final String HEAD = "embershift-bans 1 ";
+    private static final String HEADER_PREFIX = "embershift-bans 1 ";
 
     /** Hosts that may be out at one time, and characters of their text. */
-    public static final int MOST = 4096;
+    public static final int MAX_HOSTS = 4096;
 
-    public static final int LONGEST = 1 << 20;
+    public static final int MAX_CHARS = 1 << 20;
 
     private BanList() {}
 
-    public static String write(Collection<HostId> bans) {
+    public static String format(Collection<HostId> bans) {
         String ids =
                 bans.stream()
-                        .map(host -> Json.quoted(host.name()))
+                        .map(host -> Json.quote(host.name()))
                         .collect(Collectors.joining(",", "[", "]"));
-        return HEAD + checksum(ids) + "\n" + ids + "\n";
+        return HEADER_PREFIX + checksum(ids) + "\n" + ids + "\n";
     }
 
     /** Fails where the text was cut, changed or written by another version. */
-    public static Set<HostId> read(String text) throws Unreadable {
+    public static Set<HostId> parse(String text) throws MalformedDataException {
         String[] lines = text.split("\n", -1);
-        if (lines.length != 3 || !lines[2].isEmpty() || !lines[0].startsWith(HEAD)) {
-            throw new Unreadable("no list of hosts out by hand of this version");
+        if (lines.length != 3 || !lines[2].isEmpty() || !lines[0].startsWith(HEADER_PREFIX)) {
+            throw new MalformedDataException("no list of hosts out by hand of this version");
         }
-        if (!lines[0].substring(HEAD.length()).equals(checksum(lines[1]))) {
-            throw new Unreadable("the list of hosts out by hand is damaged");
+        if (!lines[0].substring(HEADER_PREFIX.length()).equals(checksum(lines[1]))) {
+            throw new MalformedDataException("the list of hosts out by hand is damaged");
         }
         Set<HostId> bans = new LinkedHashSet<>();
-        if (!(Json.read(lines[1]) instanceof List<?> ids) || ids.size() > MOST) {
-            throw new Unreadable("no list of hosts out by hand");
+        if (!(Json.parse(lines[1]) instanceof List<?> ids) || ids.size() > MAX_HOSTS) {
+            throw new MalformedDataException("no list of hosts out by hand");
         }
         for (Object id : ids) {
             bans.add(new HostId(String.valueOf(id)));
--- a/node/src/main/java/embershift/protocol/DeploymentReader.java
+++ b/node/src/main/java/embershift/protocol/DeploymentReader.java
@@ -25,7 +25,7 @@
     }
 
     /** Reads nested JSON by the same paths. */
-    static DeploymentReader ofJson(Object json) {
+    static DeploymentReader fromJson(Object json) {
         Map<String, String> pairs = new HashMap<>();
         flatten("", json, pairs);
         return new DeploymentReader(pairs);
@@ -51,7 +51,7 @@
         }
     }
 
-    public Deployment read(long seed) throws Unreadable {
+    public Deployment read(long seed) throws MalformedDataException {
         List<Profile> profiles = new ArrayList<>();
         int count = (int) number("profiles.count");
         for (int i = 0; i < count; i++) {
@@ -118,21 +118,21 @@
     }
 
     /** How long a message of the i-th profile may take. */
-    private double messageGoal(int i) throws Unreadable {
+    private double messageGoal(int i) throws MalformedDataException {
         String path = "domain.message-aim-s";
-        String[] goals = stated(path) ? pairs.get(path).split(",") : new String[0];
+        String[] goals = isSet(path) ? pairs.get(path).split(",") : new String[0];
         try {
             return i < goals.length ? Double.parseDouble(goals[i]) : Double.POSITIVE_INFINITY;
         } catch (NumberFormatException e) {
-            throw new Unreadable(path + ": expected numbers set apart by commas");
+            throw new MalformedDataException(path + ": expected numbers set apart by commas");
         }
     }
 
     /** The budget of further setups: three settings that stand together or not at all. */
-    private Budget budget() throws Unreadable {
+    private Budget budget() throws MalformedDataException {
         List<String> paths =
                 List.of("rules.extra-free", "rules.repeat-ratio", "rules.resend-span-s");
-        if (paths.stream().noneMatch(this::stated)) {
+        if (paths.stream().noneMatch(this::isSet)) {
             return Budget.NONE;
         }
         Budget budget =
@@ -141,7 +141,7 @@
             double least = path.endsWith("span-s") ? Double.MIN_VALUE : 0;
             double value = number(path);
             if (!(value >= least && value < Double.POSITIVE_INFINITY)) {
-                throw new Unreadable(
+                throw new MalformedDataException(
                         path + ": expected a number " + (least > 0 ? "above 0" : "of 0 or more"));
             }
         }
@@ -154,38 +154,38 @@
         return columns.isEmpty() || columns.equals("-") ? List.of() : List.of(columns.split(","));
     }
 
-    private String text(String path) throws Unreadable {
+    private String text(String path) throws MalformedDataException {
         String value = pairs.get(path);
         if (value == null || value.isEmpty()) {
-            throw new Unreadable(path + ": expected a value");
+            throw new MalformedDataException(path + ": expected a value");
         }
         return value;
     }
 
-    private double numberOr(String path, double otherwise) throws Unreadable {
-        return stated(path) ? number(path) : otherwise;
+    private double numberOr(String path, double otherwise) throws MalformedDataException {
+        return isSet(path) ? number(path) : otherwise;
     }
 
-    private boolean stated(String path) {
+    private boolean isSet(String path) {
         return !List.of("", "-").contains(pairs.getOrDefault(path, ""));
     }
 
-    private double number(String path) throws Unreadable {
+    private double number(String path) throws MalformedDataException {
         try {
             return Double.parseDouble(text(path));
         } catch (NumberFormatException e) {
-            throw new Unreadable(path + ": expected a number");
+            throw new MalformedDataException(path + ": expected a number");
         }
     }
 
-    private boolean flag(String path) throws Unreadable {
+    private boolean flag(String path) throws MalformedDataException {
         return oneOf(path, Map.of("true", true, "false", false, "1", true, "0", false));
     }
 
-    private <T> T oneOf(String path, Map<String, T> values) throws Unreadable {
+    private <T> T oneOf(String path, Map<String, T> values) throws MalformedDataException {
         T value = values.get(text(path));
         if (value == null) {
-            throw new Unreadable(
+            throw new MalformedDataException(
                     path
                             + ": expected one of "
                             + String.join(", ", values.keySet().stream().sorted().toList()));
--- a/node/src/main/java/embershift/protocol/HostLine.java
+++ b/node/src/main/java/embershift/protocol/HostLine.java
@@ -1,10 +1,10 @@
 package embershift.protocol;
 
 /** A line from a host: its first word, and the load report that may follow. */
-public record HostLine(Word word, Report report) {
+public record HostLine(Type type, LoadReport report) {
 
     /** What hosts say; {@code OTHER} is any line that is none of this. */
-    public enum Word {
+    public enum Type {
         UP,
         BYE,
         MOVE,
@@ -15,23 +15,25 @@
         OTHER
     }
 
-    public static HostLine read(String text) {
+    public static HostLine parse(String text) {
         int space = text.indexOf(' ');
         String first = space < 0 ? text : text.substring(0, space);
-        Word word =
+        Type word =
                 switch (first) {
-                    case "UP" -> Word.UP;
-                    case "BYE" -> Word.BYE;
-                    case "MOVE" -> Word.MOVE;
-                    case "ERR" -> Word.ERR;
-                    case "BUSY" -> Word.BUSY;
-                    case "LOAD" -> Word.LOAD;
-                    case "PONG" -> Word.PONG;
-                    default -> Word.OTHER;
+                    case "UP" -> Type.UP;
+                    case "BYE" -> Type.BYE;
+                    case "MOVE" -> Type.MOVE;
+                    case "ERR" -> Type.ERR;
+                    case "BUSY" -> Type.BUSY;
+                    case "LOAD" -> Type.LOAD;
+                    case "PONG" -> Type.PONG;
+                    default -> Type.OTHER;
                 };
-        boolean mayReport = word != Word.UP && word != Word.MOVE && word != Word.OTHER;
+        boolean mayReport = word != Type.UP && word != Type.MOVE && word != Type.OTHER;
         return new HostLine(
                 word,
-                mayReport && space >= 0 ? Report.read(text.substring(space + 1)) : Report.NONE);
+                mayReport && space >= 0
+                        ? LoadReport.parse(text.substring(space + 1))
+                        : LoadReport.NONE);
     }
 }
--- a/node/src/main/java/embershift/protocol/Trail.java
+++ b/node/src/main/java/embershift/protocol/HostLineTracker.java
@@ -6,19 +6,19 @@
  * Follows the lines that a host sends through an open tunnel: which one came last, and whether the
  * stream now stands between two lines. Only the head of an unfinished line is kept.
  */
-public final class Trail {
+public final class HostLineTracker {
 
     /** Enough for each word that decides something, with its report. */
-    private static final int HEAD = 160;
+    private static final int MAX_KEPT_BYTES = 160;
 
-    private byte[] head;
-    private int held;
-    private boolean between = true;
-    private HostLine last = new HostLine(HostLine.Word.OTHER, Report.NONE);
+    private byte[] partial;
+    private int partialLength;
+    private boolean atLineBoundary = true;
+    private HostLine lastLine = new HostLine(HostLine.Type.OTHER, LoadReport.NONE);
     private double load = Double.NaN;
 
     /** Looks at what is passed on; the buffer's position stays. */
-    public void follow(ByteBuffer bytes) {
+    public void observe(ByteBuffer bytes) {
         int start = bytes.position();
         for (int i = start; i < bytes.limit(); i++) {
             if (bytes.get(i) == '\n') {
@@ -26,49 +26,51 @@
                 start = i + 1;
             }
         }
-        between = start == bytes.limit() && (bytes.hasRemaining() || between);
+        atLineBoundary = start == bytes.limit() && (bytes.hasRemaining() || atLineBoundary);
         if (start < bytes.limit()) {
             keep(bytes, start, bytes.limit());
         }
     }
 
     private void endLine(ByteBuffer bytes, int from, int to) {
-        byte first = held > 0 ? head[0] : bytes.get(from);
+        byte first = partialLength > 0 ? partial[0] : bytes.get(from);
         // Other lines are the clients' own affair: their text is not looked at.
         boolean telling = first == 'B' || first == 'M' || first == 'E' || first == 'L';
         if (telling) {
             keep(bytes, from, to);
-            last = HostLine.read(Line.text(java.util.Arrays.copyOf(head, held)));
-            if (last.word() == HostLine.Word.LOAD) {
-                load = last.report().single();
+            lastLine =
+                    HostLine.parse(
+                            LineCodec.decode(java.util.Arrays.copyOf(partial, partialLength)));
+            if (lastLine.type() == HostLine.Type.LOAD) {
+                load = lastLine.report().bareValue();
             }
         } else {
-            last = new HostLine(HostLine.Word.OTHER, Report.NONE);
+            lastLine = new HostLine(HostLine.Type.OTHER, LoadReport.NONE);
         }
-        head = null;
-        held = 0;
+        partial = null;
+        partialLength = 0;
     }
 
     private void keep(ByteBuffer bytes, int from, int to) {
-        int many = Math.min(to - from, HEAD - held);
+        int many = Math.min(to - from, MAX_KEPT_BYTES - partialLength);
         if (many > 0) {
-            byte[] grown = new byte[held + many];
-            if (head != null) {
-                System.arraycopy(head, 0, grown, 0, held);
+            byte[] grown = new byte[partialLength + many];
+            if (partial != null) {
+                System.arraycopy(partial, 0, grown, 0, partialLength);
             }
-            bytes.get(from, grown, held, many);
-            head = grown;
-            held = grown.length;
+            bytes.get(from, grown, partialLength, many);
+            partial = grown;
+            partialLength = grown.length;
         }
     }
 
     /** Whether all that was passed on ended with the end of a line. */
-    public boolean betweenLines() {
-        return between;
+    public boolean atLineBoundary() {
+        return atLineBoundary;
     }
 
-    public HostLine last() {
-        return last;
+    public HostLine lastLine() {
+        return lastLine;
     }
 
     /**
--- a/node/src/main/java/embershift/protocol/HttpRequest.java
+++ b/node/src/main/java/embershift/protocol/HttpRequestParser.java
@@ -8,23 +8,23 @@
 
 /**
  * One request of an HTTP/1.1 client, read from bytes that come in any split. A body is read and
- * dropped: no call needs one. A request that can't be taken fails with {@link Rejected}, which
- * holds the status to answer with.
+ * dropped: no call needs one. A request that can't be taken fails with {@link RejectedException},
+ * which holds the status to answer with.
  */
-public final class HttpRequest extends HttpMessage {
+public final class HttpRequestParser extends HttpMessageParser {
 
     /** Bytes of the header with the first line, and of the body, that a request may have. */
-    private static final int LARGEST_HEADER = 16 * 1024;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
 
-    private static final int LARGEST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     /** Why a request is not taken. */
-    public static final class Refused extends Exception {
+    public static final class RejectedException extends Exception {
 
         private static final long serialVersionUID = 1;
         private final int status;
 
-        Refused(int status, String message) {
+        RejectedException(int status, String message) {
             super(message, null, false, false);
             this.status = status;
         }
@@ -36,56 +36,57 @@
 
     private String method;
     private List<String> path = List.of();
-    private boolean continues;
+    private boolean expectsContinue;
     private int headerBytes;
     private long bodyBytes;
-    private int status = 400;
+    private int rejectionStatus = 400;
 
-    /** As {@link #take}; what is wrong is told with its status. */
-    public boolean read(ByteBuffer bytes) throws Refused {
+    /** As {@link #feed}; what is wrong is told with its status. */
+    public boolean parse(ByteBuffer bytes) throws RejectedException {
         try {
-            return take(bytes);
-        } catch (Unreadable e) {
-            throw new Refused(status, e.getMessage());
+            return feed(bytes);
+        } catch (MalformedDataException e) {
+            throw new RejectedException(rejectionStatus, e.getMessage());
         }
     }
 
-    private Unreadable wrong(int as, String why) {
-        status = as;
-        return new Unreadable(why);
+    private MalformedDataException reject(int as, String why) {
+        rejectionStatus = as;
+        return new MalformedDataException(why);
     }
 
     @Override
-    byte[] nextLine(Line from, ByteBuffer bytes) throws Unreadable {
+    byte[] nextLine(LineCodec from, ByteBuffer bytes) throws MalformedDataException {
         int before = bytes.remaining();
         byte[] line;
         try {
             line = from.next(bytes);
-        } catch (Unreadable e) {
-            throw wrong(431, e.getMessage());
+        } catch (MalformedDataException e) {
+            throw reject(431, e.getMessage());
         }
         headerBytes += before - bytes.remaining();
-        if (headerBytes > LARGEST_HEADER) {
-            throw wrong(431, "header over " + LARGEST_HEADER + " bytes");
+        if (headerBytes > MAX_HEADER_BYTES) {
+            throw reject(431, "header over " + MAX_HEADER_BYTES + " bytes");
         }
         return line;
     }
 
     @Override
-    boolean takeFirst(String line) throws Unreadable {
+    boolean parseStartLine(String line) throws MalformedDataException {
         if (line.isEmpty()) {
             // Empty lines before a request are to be passed over (RFC 9112, 2.2).
             return false;
         }
         String[] words = line.split(" ", -1);
         if (words.length != 3 || words[0].isEmpty() || words[1].isEmpty()) {
-            throw new Unreadable("a request begins with a method, a path and a version");
+            throw new MalformedDataException(
+                    "a request begins with a method, a path and a version");
         }
         if (!words[2].matches("HTTP/\\d\\.\\d")) {
-            throw new Unreadable("'" + printable(words[2]) + "' is no version of HTTP");
+            throw new MalformedDataException("'" + printable(words[2]) + "' is no version of HTTP");
         }
         if (!words[2].startsWith("HTTP/1.")) {
-            throw wrong(505, "this is HTTP/1.1");
+            throw reject(505, "this is HTTP/1.1");
         }
         method = words[0];
         path = segments(words[1]);
@@ -93,7 +94,7 @@
     }
 
     /** The path's parts, decoded one by one, so that an encoded slash stays within its part. */
-    private static List<String> segments(String target) throws Unreadable {
+    private static List<String> segments(String target) throws MalformedDataException {
         String text = target;
         int scheme = text.indexOf("://");
         if (!text.startsWith("/") && scheme > 0) {
@@ -101,7 +102,7 @@
             text = slash < 0 ? "/" : text.substring(slash);
         }
         if (!text.startsWith("/")) {
-            throw new Unreadable("a path begins with /");
+            throw new MalformedDataException("a path begins with /");
         }
         int query = text.indexOf('?');
         List<String> parts = new ArrayList<>();
@@ -112,7 +113,7 @@
         return List.copyOf(parts);
     }
 
-    private static String decoded(String part) throws Unreadable {
+    private static String decoded(String part) throws MalformedDataException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(part.length());
         for (int i = 0; i < part.length(); i++) {
             char c = part.charAt(i);
@@ -121,7 +122,7 @@
                 int high = whole ? Character.digit(part.charAt(i + 1), 16) : -1;
                 int low = whole ? Character.digit(part.charAt(i + 2), 16) : -1;
                 if (high < 0 || low < 0) {
-                    throw new Unreadable("a percent sign without its two digits");
+                    throw new MalformedDataException("a percent sign without its two digits");
                 }
                 bytes.write(high * 16 + low);
                 i += 2;
@@ -137,38 +138,38 @@
     }
 
     @Override
-    void takeField(String name, String value) throws Unreadable {
+    void handleField(String name, String value) throws MalformedDataException {
         if (name.equals("expect")) {
-            continues = value.equalsIgnoreCase("100-continue");
+            expectsContinue = value.equalsIgnoreCase("100-continue");
         } else if (name.equals("transfer-encoding") && !value.equalsIgnoreCase("chunked")) {
-            throw wrong(501, "no transfer encoding but chunked is known here");
+            throw reject(501, "no transfer encoding but chunked is known here");
         }
     }
 
     @Override
-    boolean headerEnds() throws Unreadable {
-        if (chunked() && counted()) {
-            throw new Unreadable("a body both counted and in chunks");
+    boolean endHeader() throws MalformedDataException {
+        if (isChunked() && hasContentLength()) {
+            throw new MalformedDataException("a body both counted and in chunks");
         }
         return true;
     }
 
     /** Who asks before sending a body is answered at once: none is needed. */
     @Override
-    boolean bodyless() {
-        return continues;
+    boolean hasNoBody() {
+        return expectsContinue;
     }
 
     @Override
-    boolean runsToEnd() {
+    boolean bodyRunsToEnd() {
         return false;
     }
 
     @Override
-    void takeBody(ByteBuffer bytes) throws Unreadable {
+    void handleBody(ByteBuffer bytes) throws MalformedDataException {
         bodyBytes += bytes.remaining();
-        if (bodyBytes > LARGEST_BODY) {
-            throw wrong(413, "body over " + LARGEST_BODY + " bytes");
+        if (bodyBytes > MAX_BODY_BYTES) {
+            throw reject(413, "body over " + MAX_BODY_BYTES + " bytes");
         }
     }
 
--- a/node/src/main/java/embershift/protocol/HttpAnswer.java
+++ b/node/src/main/java/embershift/protocol/HttpResponse.java
@@ -4,19 +4,19 @@
 import java.nio.charset.StandardCharsets;
 
 /** What a server says to one request: a status and a JSON text. The connection ends with it. */
-public record HttpAnswer(int status, String json, String allow) {
+public record HttpResponse(int status, String json, String allow) {
 
-    public static HttpAnswer of(int status, String json) {
-        return new HttpAnswer(status, json, null);
+    public static HttpResponse of(int status, String json) {
+        return new HttpResponse(status, json, null);
     }
 
     /** An answer that says in one line what was wrong. */
-    public static HttpAnswer error(int status, String why) {
-        return of(status, "{\"error\":" + Json.quoted(why) + "}");
+    public static HttpResponse error(int status, String why) {
+        return of(status, "{\"error\":" + Json.quote(why) + "}");
     }
 
-    public static HttpAnswer onlyBy(String method) {
-        return new HttpAnswer(405, error(405, "only by " + method).json, method);
+    public static HttpResponse methodNotAllowed(String method) {
+        return new HttpResponse(405, error(405, "only by " + method).json, method);
     }
 
     private String reason() {
@@ -35,7 +35,7 @@
         };
     }
 
-    public ByteBuffer bytes() {
+    public ByteBuffer encode() {
         String body = json + "\n";
         return ByteBuffer.wrap(
                 ("HTTP/1.1 "
--- a/node/src/main/java/embershift/protocol/HttpReply.java
+++ b/node/src/main/java/embershift/protocol/HttpResponseParser.java
@@ -5,52 +5,52 @@
 import java.nio.charset.StandardCharsets;
 
 /** One reply of an HTTP/1.1 server, read from bytes that come in any split. */
-public final class HttpReply extends HttpMessage {
+public final class HttpResponseParser extends HttpMessageParser {
 
-    private static final int LARGEST = 8 << 20;
+    private static final int MAX_BODY_BYTES = 8 << 20;
 
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(512);
     private int status;
-    private boolean keptOpen = true;
+    private boolean keepAlive = true;
 
     @Override
-    boolean takeFirst(String line) throws Unreadable {
+    boolean parseStartLine(String line) throws MalformedDataException {
         String[] words = line.split(" ", 3);
         if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-            throw new Unreadable("not an HTTP/1.1 reply");
+            throw new MalformedDataException("not an HTTP/1.1 reply");
         }
-        status = (int) whole(words[1], 10);
-        keptOpen = !words[0].equals("HTTP/1.0");
+        status = (int) parseNumber(words[1], 10);
+        keepAlive = !words[0].equals("HTTP/1.0");
         return true;
     }
 
     @Override
-    void takeField(String name, String value) {
+    void handleField(String name, String value) {
         if (name.equals("connection")) {
-            keptOpen = !value.equalsIgnoreCase("close");
+            keepAlive = !value.equalsIgnoreCase("close");
         }
     }
 
     @Override
-    boolean headerEnds() {
+    boolean endHeader() {
         return status / 100 != 1;
     }
 
     @Override
-    boolean bodyless() {
+    boolean hasNoBody() {
         return status == 204 || status == 304;
     }
 
     @Override
-    boolean runsToEnd() {
-        keptOpen = false;
+    boolean bodyRunsToEnd() {
+        keepAlive = false;
         return true;
     }
 
     @Override
-    void takeBody(ByteBuffer bytes) throws Unreadable {
-        if (body.size() + bytes.remaining() > LARGEST) {
-            throw new Unreadable("reply over " + LARGEST + " bytes");
+    void handleBody(ByteBuffer bytes) throws MalformedDataException {
+        if (body.size() + bytes.remaining() > MAX_BODY_BYTES) {
+            throw new MalformedDataException("reply over " + MAX_BODY_BYTES + " bytes");
         }
         byte[] taken = new byte[bytes.remaining()];
         bytes.get(taken);
@@ -61,8 +61,8 @@
         return status;
     }
 
-    public boolean keptOpen() {
-        return keptOpen;
+    public boolean keepAlive() {
+        return keepAlive;
     }
 
     public String body() {
--- a/node/src/main/java/embershift/protocol/Json.java
+++ b/node/src/main/java/embershift/protocol/Json.java
@@ -8,7 +8,7 @@
 /** Reads JSON into maps, lists, strings, doubles, booleans and nulls. */
 public final class Json {
 
-    private static final int DEEPEST = 64;
+    private static final int MAX_DEPTH = 64;
 
     private final String text;
     private int at;
@@ -17,37 +17,37 @@
         this.text = text;
     }
 
-    public static Object read(String text) throws Unreadable {
+    public static Object parse(String text) throws MalformedDataException {
         Json json = new Json(text);
         Object value = json.value(0);
-        json.space();
+        json.skipWhitespace();
         if (json.at < text.length()) {
-            throw json.wrong("nothing more");
+            throw json.malformed("nothing more");
         }
         return value;
     }
 
-    private Unreadable wrong(String expected) {
-        return new Unreadable("JSON: expected " + expected + " at character " + at);
+    private MalformedDataException malformed(String expected) {
+        return new MalformedDataException("JSON: expected " + expected + " at character " + at);
     }
 
-    private void space() {
+    private void skipWhitespace() {
         while (at < text.length() && text.charAt(at) <= ' ') {
             at++;
         }
     }
 
-    private char next(String expected) throws Unreadable {
-        space();
+    private char next(String expected) throws MalformedDataException {
+        skipWhitespace();
         if (at >= text.length()) {
-            throw wrong(expected);
+            throw malformed(expected);
         }
         return text.charAt(at);
     }
 
-    private Object value(int depth) throws Unreadable {
-        if (depth > DEEPEST) {
-            throw wrong("less depth");
+    private Object value(int depth) throws MalformedDataException {
+        if (depth > MAX_DEPTH) {
+            throw malformed("less depth");
         }
         char c = next("a value");
         return switch (c) {
@@ -61,15 +61,15 @@
         };
     }
 
-    private Object word(String word, Object value) throws Unreadable {
+    private Object word(String word, Object value) throws MalformedDataException {
         if (!text.startsWith(word, at)) {
-            throw wrong("a value");
+            throw malformed("a value");
         }
         at += word.length();
         return value;
     }
 
-    private Map<String, Object> object(int depth) throws Unreadable {
+    private Map<String, Object> object(int depth) throws MalformedDataException {
         Map<String, Object> fields = new LinkedHashMap<>();
         at++;
         if (next("a name or }") == '}') {
@@ -78,11 +78,11 @@
         }
         while (true) {
             if (next("a name") != '"') {
-                throw wrong("a name");
+                throw malformed("a name");
             }
             String name = string();
             if (next(":") != ':') {
-                throw wrong(":");
+                throw malformed(":");
             }
             at++;
             fields.put(name, value(depth + 1));
@@ -93,12 +93,12 @@
             }
             if (c != ',') {
                 at--;
-                throw wrong(", or }");
+                throw malformed(", or }");
             }
         }
     }
 
-    private List<Object> list(int depth) throws Unreadable {
+    private List<Object> list(int depth) throws MalformedDataException {
         List<Object> items = new ArrayList<>();
         at++;
         if (next("a value or ]") == ']') {
@@ -114,12 +114,12 @@
             }
             if (c != ',') {
                 at--;
-                throw wrong(", or ]");
+                throw malformed(", or ]");
             }
         }
     }
 
-    private String string() throws Unreadable {
+    private String string() throws MalformedDataException {
         StringBuilder out = new StringBuilder();
         at++;
         while (at < text.length()) {
@@ -143,23 +143,23 @@
                 case 'f' -> out.append('\f');
                 case 'u' -> out.append(unicode());
                 case '"', '\\', '/' -> out.append(escaped);
-                default -> throw wrong("an escape");
+                default -> throw malformed("an escape");
             }
         }
-        throw wrong("the end of a string");
+        throw malformed("the end of a string");
     }
 
-    private char unicode() throws Unreadable {
+    private char unicode() throws MalformedDataException {
         try {
             char c = (char) Integer.parseInt(text.substring(at, at + 4), 16);
             at += 4;
             return c;
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
-            throw wrong("four hexadecimal digits");
+            throw malformed("four hexadecimal digits");
         }
     }
 
-    private Double number() throws Unreadable {
+    private Double number() throws MalformedDataException {
         int from = at;
         while (at < text.length() && "+-.eE0123456789".indexOf(text.charAt(at)) >= 0) {
             at++;
@@ -168,12 +168,12 @@
             return Double.valueOf(text.substring(from, at));
         } catch (NumberFormatException e) {
             at = from;
-            throw wrong("a value");
+            throw malformed("a value");
         }
     }
 
     /** The text as a JSON string, with its quotes; whatever is not plain ASCII is escaped. */
-    public static String quoted(String text) {
+    public static String quote(String text) {
         StringBuilder out = new StringBuilder(text.length() + 2).append('"');
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
--- a/node/src/main/java/embershift/protocol/JsonObject.java
+++ b/node/src/main/java/embershift/protocol/JsonObject.java
@@ -10,9 +10,9 @@
     private final String where;
     private final Map<?, ?> fields;
 
-    JsonObject(String where, Object json) throws Unreadable {
+    JsonObject(String where, Object json) throws MalformedDataException {
         if (!(json instanceof Map<?, ?> map)) {
-            throw new Unreadable(where + " is not an object");
+            throw new MalformedDataException(where + " is not an object");
         }
         this.where = where;
         this.fields = map;
@@ -26,14 +26,14 @@
         return fields.get(name) != null;
     }
 
-    JsonObject child(String name) throws Unreadable {
+    JsonObject child(String name) throws MalformedDataException {
         if (!has(name)) {
             throw missing(name);
         }
         return new JsonObject(name, fields.get(name));
     }
 
-    List<JsonObject> items(String name) throws Unreadable {
+    List<JsonObject> items(String name) throws MalformedDataException {
         if (!(fields.get(name) instanceof List<?> list)) {
             throw missing(name);
         }
@@ -44,7 +44,7 @@
         return nodes;
     }
 
-    List<String> texts(String name) throws Unreadable {
+    List<String> texts(String name) throws MalformedDataException {
         List<String> texts = new ArrayList<>();
         if (fields.get(name) instanceof List<?> list) {
             for (Object item : list) {
@@ -54,7 +54,7 @@
         return texts;
     }
 
-    String text(String name) throws Unreadable {
+    String text(String name) throws MalformedDataException {
         String text = textOr(name, null);
         if (text == null || text.isEmpty()) {
             throw missing(name);
@@ -67,14 +67,14 @@
         return value == null ? otherwise : String.valueOf(value);
     }
 
-    double number(String name) throws Unreadable {
+    double number(String name) throws MalformedDataException {
         if (!has(name)) {
             throw missing(name);
         }
         return numberOr(name, 0);
     }
 
-    double numberOr(String name, double otherwise) throws Unreadable {
+    double numberOr(String name, double otherwise) throws MalformedDataException {
         Object value = fields.get(name);
         if (value == null) {
             return otherwise;
@@ -82,14 +82,14 @@
         if (value instanceof Double number) {
             return number;
         }
-        throw new Unreadable(where + ": " + name + " is not a number");
+        throw new MalformedDataException(where + ": " + name + " is not a number");
     }
 
     boolean flagOr(String name, boolean otherwise) {
         return fields.get(name) instanceof Boolean flag ? flag : otherwise;
     }
 
-    private Unreadable missing(String name) {
-        return new Unreadable(where + ": '" + name + "' is missing");
+    private MalformedDataException missing(String name) {
+        return new MalformedDataException(where + ": '" + name + "' is missing");
     }
 }
--- a/node/src/main/java/embershift/protocol/Report.java
+++ b/node/src/main/java/embershift/protocol/LoadReport.java
@@ -1,12 +1,14 @@
 package embershift.protocol;
 
 /** A host's own figures, NaN for each that it does not report or that makes no sense. */
-public record Report(double loadOverCapacity, double openTunnels, double queued, double single) {
+public record LoadReport(
+        double loadOverCapacity, double openTunnels, double queued, double bareValue) {
 
-    public static final Report NONE = new Report(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
+    public static final LoadReport NONE =
+            new LoadReport(Double.NaN, Double.NaN, Double.NaN, Double.NaN);
 
     /** Reads names and values set apart by commas, or the one number of a {@code LOAD} line. */
-    static Report read(String text) {
+    static LoadReport parse(String text) {
         double over = Double.NaN;
         double open = Double.NaN;
         double queued = Double.NaN;
@@ -22,7 +24,7 @@
                 }
             }
         }
-        return new Report(over, open, queued, number(text));
+        return new LoadReport(over, open, queued, number(text));
     }
 
     private static double number(String text) {
@@ -34,7 +36,7 @@
         }
     }
 
-    public boolean empty() {
+    public boolean isEmpty() {
         return Double.isNaN(loadOverCapacity) && Double.isNaN(openTunnels) && Double.isNaN(queued);
     }
 }
--- a/node/src/main/java/embershift/protocol/Unreadable.java
+++ b/node/src/main/java/embershift/protocol/MalformedDataException.java
@@ -1,11 +1,11 @@
 package embershift.protocol;
 
 /** What was received can't be read; the message says plainly what is wrong with it. */
-public final class Unreadable extends Exception {
+public final class MalformedDataException extends Exception {
 
     private static final long serialVersionUID = 1;
 
-    public Unreadable(String message) {
+    public MalformedDataException(String message) {
         super(message, null, false, false);
     }
 }
--- a/node/src/main/java/embershift/protocol/NodeConfiguration.java
+++ b/node/src/main/java/embershift/protocol/NodeConfiguration.java
@@ -16,48 +16,49 @@
         InetSocketAddress management,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
-        RosterPage known,
+        InetSocketAddress allPeers,
+        RosterUpdate initialRoster,
         Object settings,
         Deployment deployment) {
 
-    private static final int USUAL_SOCKETS = 1024;
+    private static final int DEFAULT_SOCKETS = 1024;
 
     /**
      * Reads a configuration. {@code management}, the operators' address, is taken from the text,
      * else as given here, which may be null or empty where there is none.
      */
-    public static NodeConfiguration read(String text, String management) throws Unreadable {
-        JsonObject all = new JsonObject("configuration", Json.read(text));
+    public static NodeConfiguration parse(String text, String management)
+            throws MalformedDataException {
+        JsonObject all = new JsonObject("configuration", Json.parse(text));
         all.child("settings");
         List<InetSocketAddress> peers = new ArrayList<>();
         for (String peer : all.texts("peers")) {
-            peers.add(Addresses.read(peer));
+            peers.add(Addresses.parse(peer));
         }
         int sockets =
                 all.has("limits")
-                        ? (int) all.child("limits").numberOr("sockets", USUAL_SOCKETS)
-                        : USUAL_SOCKETS;
+                        ? (int) all.child("limits").numberOr("sockets", DEFAULT_SOCKETS)
+                        : DEFAULT_SOCKETS;
         String operators = all.textOr("management", management);
         return new NodeConfiguration(
                 all.textOr("name", "-"),
-                Addresses.read(all.text("listen")),
-                Addresses.read(all.text("discovery")),
+                Addresses.parse(all.text("listen")),
+                Addresses.parse(all.text("discovery")),
                 sockets,
-                operators == null || operators.isEmpty() ? null : Addresses.read(operators),
-                all.has("peer_listen") ? Addresses.read(all.text("peer_listen")) : null,
+                operators == null || operators.isEmpty() ? null : Addresses.parse(operators),
+                all.has("peer_listen") ? Addresses.parse(all.text("peer_listen")) : null,
                 List.copyOf(peers),
-                all.has("peers_all") ? Addresses.read(all.text("peers_all")) : null,
-                all.has("known") ? RosterPage.of(all.value("known")) : null,
+                all.has("peers_all") ? Addresses.parse(all.text("peers_all")) : null,
+                all.has("known") ? RosterUpdate.fromJson(all.value("known")) : null,
                 all.value("settings"),
-                DeploymentReader.ofJson(all.value("settings")).read(seed(all.text("seed"))));
+                DeploymentReader.fromJson(all.value("settings")).read(seed(all.text("seed"))));
     }
 
     /**
      * This one with what the orders of the fleet say in place of its own; null for what they leave
      * alone.
      */
-    public NodeConfiguration with(
+    public NodeConfiguration withOverrides(
             InetSocketAddress otherDiscovery,
             Integer otherSockets,
             List<InetSocketAddress> otherPeers) {
@@ -69,14 +70,14 @@
                 management,
                 peerListen,
                 otherPeers == null ? peers : otherPeers,
-                otherPeers == null ? peersAll : null,
-                known,
+                otherPeers == null ? allPeers : null,
+                initialRoster,
                 settings,
                 deployment);
     }
 
     /** Whether operators have an address; a second process may then listen beside this one. */
-    public boolean operated() {
+    public boolean hasManagement() {
         return management != null;
     }
 
@@ -85,7 +86,7 @@
      * shares: the names of its tiers and of its zones. Two nodes of which these differ have neither
      * hosts nor operators in common.
      */
-    public String belongsTo() {
+    public String deploymentIdentity() {
         return settings instanceof Map<?, ?> all
                 ? all.get("tiers") + " in " + all.get("areas")
                 : "";
@@ -95,7 +96,7 @@
      * What differs in a later configuration and can't change before a restart; seeds do with each
      * reading.
      */
-    public List<String> fixedChanges(NodeConfiguration later) {
+    public List<String> changesRequiringRestart(NodeConfiguration later) {
         List<String> changes = new ArrayList<>();
         if (!name.equals(later.name)) {
             changes.add("name");
@@ -115,11 +116,11 @@
         return changes;
     }
 
-    private static long seed(String digits) throws Unreadable {
+    private static long seed(String digits) throws MalformedDataException {
         try {
             return Long.parseUnsignedLong(digits, 16);
         } catch (NumberFormatException e) {
-            throw new Unreadable("configuration: seed is no hexadecimal number");
+            throw new MalformedDataException("configuration: seed is no hexadecimal number");
         }
     }
 }
--- a/node/src/main/java/embershift/protocol/Tail.java
+++ b/node/src/main/java/embershift/protocol/PartialLineBuffer.java
@@ -8,20 +8,20 @@
  * the end of a line: a client can then be told to move at any time. What is longer than a line may
  * be is passed on as it comes.
  */
-public final class Tail {
+public final class PartialLineBuffer {
 
     private byte[] held;
 
     /** Takes all bytes, and passes on what is whole, in the order in which it came. */
-    public void pass(ByteBuffer bytes, Consumer<ByteBuffer> on) {
+    public void forward(ByteBuffer bytes, Consumer<ByteBuffer> on) {
         int limit = bytes.limit();
-        int end = Line.afterLastEnd(bytes);
+        int end = LineCodec.endOfLastLine(bytes);
         int begun = limit - end + (end == bytes.position() && held != null ? held.length : 0);
-        if (begun > Line.LONGEST) {
+        if (begun > LineCodec.MAX_LENGTH) {
             end = limit;
         }
         if (end > bytes.position()) {
-            ByteBuffer before = rest();
+            ByteBuffer before = takeRemainder();
             if (before != null) {
                 on.accept(before);
             }
@@ -40,7 +40,7 @@
     }
 
     /** What is held back, and is no more; null for nothing. */
-    public ByteBuffer rest() {
+    public ByteBuffer takeRemainder() {
         ByteBuffer rest = held == null ? null : ByteBuffer.wrap(held);
         held = null;
         return rest;
--- a/node/src/main/java/embershift/protocol/RosterPage.java
+++ b/node/src/main/java/embershift/protocol/RosterUpdate.java
@@ -13,19 +13,19 @@
  * What discovery says: a whole list or changes, and at which address each host is reached from
  * here.
  */
-public record RosterPage(
+public record RosterUpdate(
         long generation,
-        boolean whole,
+        boolean full,
         List<Listing> listings,
         Map<HostId, InetSocketAddress> addresses,
-        int unreadable) {
+        int malformedEntries) {
 
-    public static RosterPage read(String text) throws Unreadable {
-        return of(Json.read(text));
+    public static RosterUpdate parse(String text) throws MalformedDataException {
+        return fromJson(Json.parse(text));
     }
 
     /** Reads a page that stands within a larger text. */
-    public static RosterPage of(Object json) throws Unreadable {
+    public static RosterUpdate fromJson(Object json) throws MalformedDataException {
         JsonObject page = new JsonObject("list of hosts", json);
         List<Listing> listings = new ArrayList<>();
         Map<HostId, InetSocketAddress> addresses = new LinkedHashMap<>();
@@ -35,15 +35,15 @@
                 Listing listing = listing(item);
                 String address = item.textOr("hostPort", null);
                 if (address != null) {
-                    addresses.put(listing.host(), Addresses.read(address));
+                    addresses.put(listing.host(), Addresses.parse(address));
                 }
                 listings.add(listing);
-            } catch (Unreadable e) {
+            } catch (MalformedDataException e) {
                 // One bad entry must not lose the others.
                 unreadable++;
             }
         }
-        return new RosterPage(
+        return new RosterUpdate(
                 (long) page.number("generation"),
                 page.flagOr("reset", false),
                 List.copyOf(listings),
@@ -51,7 +51,7 @@
                 unreadable);
     }
 
-    private static Listing listing(JsonObject item) throws Unreadable {
+    private static Listing listing(JsonObject item) throws MalformedDataException {
         Listing.State state =
                 switch (item.textOr("lifecycle", "")) {
                     case "in_service" -> Listing.State.READY;
--- a/node/src/main/java/embershift/routing/Contact.java
+++ b/node/src/main/java/embershift/routing/Contact.java
@@ -3,18 +3,18 @@
 import embershift.model.HostId;
 import embershift.model.News;
 import embershift.protocol.HostLine;
-import embershift.protocol.Line;
-import embershift.protocol.Report;
-import embershift.protocol.Unreadable;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.LineCodec;
+import embershift.protocol.LoadReport;
+import embershift.protocol.MalformedDataException;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
 /** How this node reaches one host: its address, and one kept connection on which it is asked. */
-final class Contact implements Link.Events {
+final class Contact implements TcpConnection.Listener {
 
-    private static final ByteBuffer QUESTION = Line.of("STATS").asReadOnlyBuffer();
+    private static final ByteBuffer QUESTION = LineCodec.encode("STATS").asReadOnlyBuffer();
 
     final HostId host;
 
@@ -30,9 +30,9 @@
     boolean byHand;
     private final Router router;
     private InetSocketAddress address;
-    private Link link;
+    private TcpConnection link;
     private boolean connected;
-    private Line lines = new Line();
+    private LineCodec lines = new LineCodec();
 
     /** When the question now out was asked; NaN for none. */
     private double askedAt = Double.NaN;
@@ -46,7 +46,7 @@
     /** When this connection brought its last answer; negative infinity for none yet. */
     private double answeredAt = Double.NEGATIVE_INFINITY;
 
-    private Loop.Timer patience;
+    private EventLoop.Timer patience;
     private boolean unheard;
     private double messageDelayToldAt = Double.NEGATIVE_INFINITY;
     private boolean messagesSlow;
@@ -85,7 +85,7 @@
         askedAt = router.now();
         router.tally().count("probes sent");
         if (address == null) {
-            router.loop().execute(() -> answer(false, Report.NONE));
+            router.loop().execute(() -> answer(false, LoadReport.NONE));
             return;
         }
         if (link == null) {
@@ -112,7 +112,9 @@
     }
 
     private void begin() {
-        patience = router.loop().after(router.probePatience(), () -> answer(false, Report.NONE));
+        patience =
+                router.loop()
+                        .schedule(router.probePatience(), () -> answer(false, LoadReport.NONE));
     }
 
     /** Gives the connection up, and its place. */
@@ -130,7 +132,7 @@
         if (link != null) {
             link.close();
         }
-        lines = new Line();
+        lines = new LineCodec();
         connected = false;
         written = false;
         answeredAt = Double.NEGATIVE_INFINITY;
@@ -145,10 +147,10 @@
         double settled = answeredAt + router.doubleMayFollow();
         double now = router.now();
         if (now < settled) {
-            Link of = link;
+            TcpConnection of = link;
             double asked = askedAt;
             router.loop()
-                    .after(
+                    .schedule(
                             settled - now,
                             () -> {
                                 if (link == of && askedAt == asked && !written) {
@@ -166,12 +168,12 @@
         if (link != null || router.kept().leaveLine(this)) {
             drop();
             if (!Double.isNaN(askedAt)) {
-                router.loop().execute(() -> answer(false, Report.NONE));
+                router.loop().execute(() -> answer(false, LoadReport.NONE));
             }
         }
     }
 
-    private void answer(boolean answered, Report report) {
+    private void answer(boolean answered, LoadReport report) {
         if (Double.isNaN(askedAt)) {
             return;
         }
@@ -207,8 +209,8 @@
         return unheard;
     }
 
-    void tell(News news, Report report) {
-        if (!report.empty()) {
+    void tell(News news, LoadReport report) {
+        if (!report.isEmpty()) {
             news.hostReported(
                     host, report.loadOverCapacity(), report.openTunnels(), report.queued());
         }
@@ -236,7 +238,7 @@
     }
 
     @Override
-    public void notConnected() {
+    public void connectFailed() {
         lost();
     }
 
@@ -251,12 +253,12 @@
             if (line == null) {
                 return;
             }
-            HostLine said = HostLine.read(Line.text(line));
-            answer(said.word() == HostLine.Word.PONG, said.report());
+            HostLine said = HostLine.parse(LineCodec.decode(line));
+            answer(said.type() == HostLine.Type.PONG, said.report());
             if (bytes.hasRemaining() && link != null) {
                 outOfStep();
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             router.tally().count("probes unreadable");
             lost();
         }
@@ -276,8 +278,8 @@
     }
 
     @Override
-    public void ended() {
-        broken();
+    public void inputEnded() {
+        connectionLost();
     }
 
     /**
@@ -286,8 +288,10 @@
      * something of the host.
      */
     @Override
-    public void broken() {
-        if (!Double.isNaN(askedAt) && answeredAt > Double.NEGATIVE_INFINITY && !lines.begun()) {
+    public void connectionLost() {
+        if (!Double.isNaN(askedAt)
+                && answeredAt > Double.NEGATIVE_INFINITY
+                && !lines.hasPartialLine()) {
             router.tally().count("probes asked again");
             connectAnew();
         } else {
@@ -297,6 +301,6 @@
 
     private void lost() {
         drop();
-        answer(false, Report.NONE);
+        answer(false, LoadReport.NONE);
     }
 }
--- a/node/src/main/java/embershift/routing/Passage.java
+++ b/node/src/main/java/embershift/routing/Passage.java
@@ -4,15 +4,15 @@
 import embershift.model.SetupEnd;
 import embershift.model.TunnelId;
 import embershift.protocol.HostLine;
-import embershift.protocol.Line;
-import embershift.protocol.Opening;
-import embershift.protocol.Report;
-import embershift.protocol.Tail;
-import embershift.protocol.Trail;
-import embershift.protocol.Unreadable;
+import embershift.protocol.HostLineTracker;
+import embershift.protocol.LineCodec;
+import embershift.protocol.LoadReport;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.OpenRequest;
+import embershift.protocol.PartialLineBuffer;
 import embershift.routing.Tally.Outcome;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.nio.ByteBuffer;
 
 /**
@@ -40,11 +40,11 @@
     private static final int MOST_PINGS = 16;
 
     private final Router router;
-    private final Link client;
+    private final TcpConnection client;
     private State state = State.GREETING;
-    private Line greeting = new Line();
+    private LineCodec greeting = new LineCodec();
     private int pings;
-    private Opening opening;
+    private OpenRequest opening;
 
     /**
      * What the module calls this tunnel: no other has it, so that late news of this one reaches
@@ -54,7 +54,7 @@
 
     private double clientTimeoutAt;
     private ByteBuffer ahead;
-    private Loop.Timer overdue;
+    private EventLoop.Timer overdue;
     private boolean askingToMove;
     private boolean unlinked;
 
@@ -70,13 +70,13 @@
      */
     private double repeatsUntil = Double.POSITIVE_INFINITY;
 
-    private Trail trail;
-    private Tail tail;
+    private HostLineTracker trail;
+    private PartialLineBuffer tail;
 
-    Passage(Router router, Link client) {
+    Passage(Router router, TcpConnection client) {
         this.router = router;
         this.client = client;
-        client.events(new ClientSide());
+        client.setListener(new ClientSide());
     }
 
     // ---- The client's first lines ----
@@ -90,31 +90,31 @@
                 }
                 take(line);
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             refuse(e.getMessage());
         }
     }
 
-    private void take(byte[] line) throws Unreadable {
-        String text = Line.text(line);
+    private void take(byte[] line) throws MalformedDataException {
+        String text = LineCodec.decode(line);
         if (text.equals("PING")) {
             if (router.stopping()) {
-                throw new Unreadable("this node stops");
+                throw new MalformedDataException("this node stops");
             }
             if (++pings > MOST_PINGS) {
-                throw new Unreadable("too many questions");
+                throw new MalformedDataException("too many questions");
             }
             router.tally().count("pings answered");
-            client.write(Line.of("PONG"));
+            client.write(LineCodec.encode("PONG"));
             return;
         }
-        if (!Opening.isOne(text)) {
-            throw new Unreadable("a connection begins with OPEN or PING");
+        if (!OpenRequest.isOpenLine(text)) {
+            throw new MalformedDataException("a connection begins with OPEN or PING");
         }
-        opening = Opening.read(line);
+        opening = OpenRequest.parse(line);
         if (router.knows(opening.id())) {
             opening = null;
-            throw new Unreadable("this id has been used");
+            throw new MalformedDataException("this id has been used");
         }
         id = router.named(opening.id());
         greeting = null;
@@ -123,7 +123,7 @@
         clientTimeoutAt = router.now() + opening.clientTimeout() - margin;
         state = State.TAKEN;
         unlinked(true);
-        overdue = router.loop().after(opening.clientTimeout() - margin / 2, this::overdue);
+        overdue = router.loop().schedule(opening.clientTimeout() - margin / 2, this::overdue);
         router.taken(this);
     }
 
@@ -147,14 +147,14 @@
     /** Says what is wrong with a first line, and ends the connection. */
     void refuse(String why) {
         router.tally().count("first lines refused");
-        client.write(Line.of("ERR " + why));
+        client.write(LineCodec.encode("ERR " + why));
         over();
-        client.finish();
+        client.closeGracefully();
     }
 
     /** Reads what it has sent by now; whether no tunnel has come of that. */
     boolean stillStranger() {
-        client.look();
+        client.readAvailable();
         return state == State.GREETING;
     }
 
@@ -162,11 +162,11 @@
      * No whole first line has come in time, or others need the room: who only asked needs no word.
      */
     void greetingOver(String word) {
-        if (pings == 0 || greeting.begun()) {
-            client.write(Line.of(word));
+        if (pings == 0 || greeting.hasPartialLine()) {
+            client.write(LineCodec.encode(word));
         }
         over();
-        client.finish();
+        client.closeGracefully();
     }
 
     /** Whether it still needs a connection to a host that it does not have. */
@@ -196,7 +196,7 @@
         return router.silences().end(this);
     }
 
-    Opening opening() {
+    OpenRequest opening() {
         return opening;
     }
 
@@ -206,7 +206,7 @@
 
     /** Whether a first line has begun to come, and may still become a tunnel. */
     boolean greetingBegun() {
-        return state == State.GREETING && greeting.begun();
+        return state == State.GREETING && greeting.hasPartialLine();
     }
 
     double timeLeft(double now) {
@@ -225,7 +225,7 @@
         // may count an attempt from its connection on, so the client is looked at before that is
         // begun.
         if (state == State.TAKEN) {
-            client.look();
+            client.readAvailable();
         }
         if (state != State.TAKEN) {
             return false;
@@ -260,9 +260,9 @@
             return;
         }
         router.tally().count(outcome, opening.profile());
-        client.write(Line.of(line));
+        client.write(LineCodec.encode(line));
         over();
-        client.finish();
+        client.closeGracefully();
         if (setup != null) {
             setup.cancel();
         }
@@ -279,12 +279,12 @@
     }
 
     private void moveBetweenLines() {
-        if (askingToMove && state == State.OPEN && trail.betweenLines()) {
+        if (askingToMove && state == State.OPEN && trail.atLineBoundary()) {
             router.tally().count("tunnels moved");
-            client.write(Line.of("MOVE"));
-            finish(SetupEnd.CANCELLED, Report.NONE);
-            client.finish();
-            setup.link.finish();
+            client.write(LineCodec.encode("MOVE"));
+            finish(SetupEnd.CANCELLED, LoadReport.NONE);
+            client.closeGracefully();
+            setup.link.closeGracefully();
         }
     }
 
@@ -293,7 +293,7 @@
      * vanished; else the module hears of it, which asks the host, and the tunnel waits for longer.
      */
     void quiet() {
-        if (client.backedUp()) {
+        if (client.hasPendingWrites()) {
             // A client that does not read keeps its host's lines from coming; that is no host's
             // silence.
             return;
@@ -318,23 +318,23 @@
     void silent() {
         if (state == State.OPEN) {
             router.tally().count("tunnels at silent hosts");
-            if (trail.betweenLines()) {
-                client.write(Line.of("MOVE"));
+            if (trail.atLineBoundary()) {
+                client.write(LineCodec.encode("MOVE"));
             }
-            finish(SetupEnd.BROKEN, Report.NONE);
-            client.finish();
+            finish(SetupEnd.BROKEN, LoadReport.NONE);
+            client.closeGracefully();
             setup.link.close();
         }
     }
 
     /** The open tunnel has ended; the module hears it once. */
-    private void finish(SetupEnd end, Report report) {
+    private void finish(SetupEnd end, LoadReport report) {
         over();
         tellEnd(setup, end, report, true);
         router.forget(this);
     }
 
-    private void tellEnd(Setup of, SetupEnd end, Report report, boolean last) {
+    private void tellEnd(Setup of, SetupEnd end, LoadReport report, boolean last) {
         double took = router.now() - of.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
         router.hear(
@@ -346,7 +346,7 @@
 
     // ---- The two sides ----
 
-    private final class ClientSide implements Link.Events {
+    private final class ClientSide implements TcpConnection.Listener {
 
         @Override
         public void received(ByteBuffer bytes) {
@@ -359,13 +359,14 @@
                 }
                 case TAKEN -> keepAhead(bytes);
                 case OPEN -> {
-                    if (!router.longSilences().has(Passage.this) && Line.endsIn(bytes)) {
+                    if (!router.longSilences().has(Passage.this)
+                            && LineCodec.containsLineEnd(bytes)) {
                         router.silences().begin(Passage.this, router.now());
                     }
                     router.tally().add("bytes to hosts", bytes.remaining());
                     setup.link.write(bytes);
-                    if (setup.link.backedUp()) {
-                        client.receive(false);
+                    if (setup.link.hasPendingWrites()) {
+                        client.setReading(false);
                     }
                 }
                 default -> {
@@ -391,14 +392,14 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             switch (state) {
                 case OPEN -> {
                     // The host may still say BYE; what ends the tunnel is the end of its
                     // connection.
                     state = State.ENDING;
                     endSilence();
-                    setup.link.endSending();
+                    setup.link.shutdownOutput();
                     router.endings().begin(Passage.this, router.now());
                 }
                 case ENDING -> close();
@@ -407,14 +408,14 @@
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             left(true);
         }
 
         @Override
-        public void drained() {
+        public void flushed() {
             if (setup != null && setup.link != null) {
-                setup.link.receive(true);
+                setup.link.setReading(true);
             }
         }
     }
@@ -424,11 +425,11 @@
         State was = state;
         if (was == State.OPEN || was == State.ENDING) {
             router.endings().end(this);
-            finish(SetupEnd.CANCELLED, Report.NONE);
+            finish(SetupEnd.CANCELLED, LoadReport.NONE);
             if (reset) {
                 setup.link.reset();
             } else {
-                setup.link.finish();
+                setup.link.closeGracefully();
             }
             client.close();
             return;
@@ -452,11 +453,11 @@
         switch (state) {
             case TAKEN -> answer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
             case OPEN -> {
-                if (trail.betweenLines()) {
-                    client.write(Line.of("MOVE"));
+                if (trail.atLineBoundary()) {
+                    client.write(LineCodec.encode("MOVE"));
                 }
-                finish(SetupEnd.CANCELLED, Report.NONE);
-                client.finish();
+                finish(SetupEnd.CANCELLED, LoadReport.NONE);
+                client.closeGracefully();
                 setup.link.close();
             }
             // Its client has taken its leave: the end goes on to both sides, as it would when the
@@ -475,9 +476,9 @@
 
     private void close() {
         router.endings().end(this);
-        finish(SetupEnd.CANCELLED, Report.NONE);
-        client.finish();
-        setup.link.finish();
+        finish(SetupEnd.CANCELLED, LoadReport.NONE);
+        client.closeGracefully();
+        setup.link.closeGracefully();
     }
 
     /** The host has ended its sending, or its connection broke, on an open tunnel. */
@@ -485,38 +486,38 @@
         if (state == State.OVER) {
             return;
         }
-        ByteBuffer rest = reset ? null : tail.rest();
+        ByteBuffer rest = reset ? null : tail.takeRemainder();
         if (rest != null) {
             setup.toClient(rest);
         }
-        HostLine.Word last = trail.betweenLines() ? trail.last().word() : HostLine.Word.OTHER;
+        HostLine.Type last = trail.atLineBoundary() ? trail.lastLine().type() : HostLine.Type.OTHER;
         // A host that takes its leave while a client's line is under way has its end turned into a
         // reset.
-        boolean tookLeave = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
+        boolean tookLeave = last == HostLine.Type.BYE || last == HostLine.Type.MOVE;
         SetupEnd end =
-                last == HostLine.Word.BYE
+                last == HostLine.Type.BYE
                         ? SetupEnd.COMPLETED
                         : tookLeave || (state == State.ENDING && !reset)
                                 ? SetupEnd.CANCELLED
                                 : SetupEnd.BROKEN;
         router.endings().end(this);
-        finish(end, end == SetupEnd.COMPLETED ? trail.last().report() : Report.NONE);
+        finish(end, end == SetupEnd.COMPLETED ? trail.lastLine().report() : LoadReport.NONE);
         if (reset && !tookLeave) {
             client.reset();
         } else {
-            client.finish();
+            client.closeGracefully();
         }
-        setup.link.finish();
+        setup.link.closeGracefully();
     }
 
     /** A setup, and the tunnel that comes of it, on the connection to its host. */
-    private final class Setup implements Link.Events {
+    private final class Setup implements TcpConnection.Listener {
         final Contact contact;
         final int number;
         final double sentAt = router.now();
-        Link link;
-        private Line lines = new Line();
-        private Loop.Timer timer;
+        TcpConnection link;
+        private LineCodec lines = new LineCodec();
+        private EventLoop.Timer timer;
         private double waitsUntil;
 
         /**
@@ -541,22 +542,22 @@
             router.tally().count("setups sent");
             waitsUntil = sentAt + wait;
             if (wait <= 0 || contact.address() == null) {
-                router.loop().execute(() -> end(SetupEnd.NOT_SENT, Report.NONE));
+                router.loop().execute(() -> end(SetupEnd.NOT_SENT, LoadReport.NONE));
                 return;
             }
             unlinked(false);
             link = router.loop().connect(contact.address(), this);
             timer =
                     router.loop()
-                            .after(
+                            .schedule(
                                     Math.min(wait, router.connectTimeout()),
-                                    () -> end(SetupEnd.NO_CONNECTION, Report.NONE));
+                                    () -> end(SetupEnd.NO_CONNECTION, LoadReport.NONE));
         }
 
         @Override
         public void connected() {
             timer.cancel();
-            client.look();
+            client.readAvailable();
             if (answered) {
                 // The client had left: nothing goes on for it.
                 return;
@@ -568,11 +569,11 @@
                 // connection took, the grace may be over, and so may the time in which a repeat is
                 // dropped (rule 2).
                 // None of these is a host out of reach.
-                end(SetupEnd.NOT_SENT, Report.NONE);
+                end(SetupEnd.NOT_SENT, LoadReport.NONE);
                 return;
             }
-            timer = router.loop().after(wait, this::timedOut);
-            if (link.write(opening.toHost(wait)) && !link.backedUp()) {
+            timer = router.loop().schedule(wait, this::timedOut);
+            if (link.write(opening.encodeForHost(wait)) && !link.hasPendingWrites()) {
                 writtenWhole();
             }
         }
@@ -582,9 +583,9 @@
          * meanwhile.
          */
         @Override
-        public void draining() {
+        public void beforeFlush() {
             if (!written) {
-                client.look();
+                client.readAvailable();
             }
         }
 
@@ -607,9 +608,9 @@
         }
 
         @Override
-        public void notConnected() {
+        public void connectFailed() {
             link = null;
-            end(SetupEnd.NO_CONNECTION, Report.NONE);
+            end(SetupEnd.NO_CONNECTION, LoadReport.NONE);
         }
 
         private void timedOut() {
@@ -631,16 +632,16 @@
                 return;
             }
             if (!written || state != State.TAKEN || timeLeft(router.now()) < router.endPatience()) {
-                end(written ? as : SetupEnd.NO_CONNECTION, Report.NONE);
+                end(written ? as : SetupEnd.NO_CONNECTION, LoadReport.NONE);
                 return;
             }
             givenUp = as;
             timer.cancel();
-            timer = router.loop().after(router.endPatience(), () -> end(as, Report.NONE));
-            link.endSending();
+            timer = router.loop().schedule(router.endPatience(), () -> end(as, LoadReport.NONE));
+            link.shutdownOutput();
         }
 
-        private void end(SetupEnd end, Report report) {
+        private void end(SetupEnd end, LoadReport report) {
             if (answered) {
                 return;
             }
@@ -670,7 +671,7 @@
         }
 
         private boolean standing() {
-            return opening.standingAt() != null;
+            return opening.resumeHost() != null;
         }
 
         @Override
@@ -690,15 +691,15 @@
             byte[] line;
             try {
                 line = lines.next(bytes);
-            } catch (Unreadable e) {
-                end(SetupEnd.ERROR, Report.NONE);
+            } catch (MalformedDataException e) {
+                end(SetupEnd.ERROR, LoadReport.NONE);
                 return;
             }
             if (line == null) {
                 return;
             }
-            HostLine said = HostLine.read(Line.text(line));
-            switch (said.word()) {
+            HostLine said = HostLine.parse(LineCodec.decode(line));
+            switch (said.type()) {
                 case UP -> up(line);
                 case BUSY -> end(SetupEnd.FULL, said.report());
                 default -> end(SetupEnd.ERROR, said.report());
@@ -709,7 +710,7 @@
             if (givenUp != null || state != State.TAKEN) {
                 // It came too late: this node has ended its sending, and the tunnel could not live
                 // so.
-                end(givenUp == null ? SetupEnd.CANCELLED : givenUp, Report.NONE);
+                end(givenUp == null ? SetupEnd.CANCELLED : givenUp, LoadReport.NONE);
                 return;
             }
             answered = true;
@@ -718,8 +719,8 @@
             overdue.cancel();
             overdue = null;
             state = State.OPEN;
-            trail = new Trail();
-            tail = new Tail();
+            trail = new HostLineTracker();
+            tail = new PartialLineBuffer();
             double took = router.now() - sentAt;
             if (standing()) {
                 router.tally().count("standing tunnels resumed");
@@ -730,7 +731,7 @@
             if (ahead != null) {
                 link.write(ahead);
                 ahead = null;
-                client.receive(true);
+                client.setReading(true);
             }
         }
 
@@ -741,15 +742,15 @@
                 contact.messageTook(now - since, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
-            tail.pass(bytes, this::toClient);
-            if (client.backedUp()) {
-                link.receive(false);
+            tail.forward(bytes, this::toClient);
+            if (client.hasPendingWrites()) {
+                link.setReading(false);
             }
             moveBetweenLines();
         }
 
         private void toClient(ByteBuffer bytes) {
-            trail.follow(bytes);
+            trail.observe(bytes);
             double load = trail.takeLoad();
             if (!Double.isNaN(load)) {
                 router.hear(news -> news.tunnelLoadNoted(id, load * 1e-6));
@@ -758,37 +759,37 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             if (!answered) {
                 end(
                         givenUp != null
                                 ? givenUp
                                 : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
-                        Report.NONE);
+                        LoadReport.NONE);
             } else {
                 hostEnded(false);
             }
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             if (!answered) {
                 end(
                         givenUp != null
                                 ? givenUp
                                 : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
-                        Report.NONE);
+                        LoadReport.NONE);
             } else {
                 hostEnded(true);
             }
         }
 
         @Override
-        public void drained() {
+        public void flushed() {
             if (!written) {
                 writtenWhole();
             }
-            client.receive(true);
+            client.setReading(true);
         }
     }
 }
--- a/node/src/main/java/embershift/routing/Peers.java
+++ b/node/src/main/java/embershift/routing/Peers.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
 import embershift.protocol.NodeConfiguration;
-import embershift.transport.Datagrams;
+import embershift.transport.DatagramEndpoint;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -17,7 +17,7 @@
     private List<InetSocketAddress> addresses;
     private InetSocketAddress all;
     private final Map<InetSocketAddress, Integer> numbers = new HashMap<>();
-    private final Datagrams socket;
+    private final DatagramEndpoint socket;
 
     Peers(Router router, NodeConfiguration configuration) throws IOException {
         this.router = router;
@@ -26,9 +26,9 @@
                 configuration.peerListen() == null
                         ? null
                         : router.loop()
-                                .datagrams(
+                                .openDatagramEndpoint(
                                         configuration.peerListen(),
-                                        configuration.operated(),
+                                        configuration.hasManagement(),
                                         this::received);
     }
 
@@ -42,7 +42,7 @@
     /** Where the other nodes are, at the start and when that has changed. */
     void reachedBy(NodeConfiguration configuration) {
         addresses = configuration.peers();
-        all = configuration.peersAll();
+        all = configuration.allPeers();
         numbers.clear();
         for (int i = 0; i < addresses.size(); i++) {
             numbers.put(addresses.get(i), i);
@@ -54,7 +54,7 @@
     }
 
     InetSocketAddress address() {
-        return socket == null ? null : socket.address();
+        return socket == null ? null : socket.localAddress();
     }
 
     private void received(InetSocketAddress from, byte[] content) {
