--- a/node/src/main/java/embershift/routing/Roster.java
+++ b/node/src/main/java/embershift/routing/Roster.java
@@ -2,12 +2,12 @@
 
 import embershift.model.News;
 import embershift.policy.Chance;
-import embershift.protocol.HttpReply;
-import embershift.protocol.RosterPage;
-import embershift.protocol.Unreadable;
+import embershift.protocol.HttpResponseParser;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.RosterUpdate;
 import embershift.protocol.WatchSchedule;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -17,16 +17,16 @@
  * up is decided by {@link WatchSchedule}; where the module is the one to ask, it may have them
  * begin sooner after a failure.
  */
-final class Roster implements Link.Events {
+final class Roster implements TcpConnection.Listener {
 
     private final Router router;
     private final boolean byItself;
     private final WatchSchedule schedule;
     private InetSocketAddress address;
     private String hostLine;
-    private Link link;
-    private HttpReply reply;
-    private Loop.Timer timer;
+    private TcpConnection link;
+    private HttpResponseParser reply;
+    private EventLoop.Timer timer;
     private long generation = -1;
     private boolean watching;
     private boolean wholeWanted;
@@ -94,13 +94,13 @@
 
     private void stop() {
         hangUp();
-        schedule.stopped();
+        schedule.stop();
         follow();
     }
 
     void watch(boolean on) {
         watching = on;
-        if (on && !schedule.calling() && !led) {
+        if (on && !schedule.isCalling() && !led) {
             call();
         }
     }
@@ -111,7 +111,7 @@
             return;
         }
         wholeWanted = true;
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             call();
         }
     }
@@ -122,13 +122,13 @@
             timer.cancel();
             timer = null;
         }
-        if (schedule.due() < Double.POSITIVE_INFINITY) {
+        if (schedule.nextActionAt() < Double.POSITIVE_INFINITY) {
             timer =
                     router.loop()
-                            .after(
-                                    Math.max(0, schedule.due() - router.now()),
+                            .schedule(
+                                    Math.max(0, schedule.nextActionAt() - router.now()),
                                     () -> {
-                                        if (schedule.calling()) {
+                                        if (schedule.isCalling()) {
                                             failed();
                                         } else {
                                             call();
@@ -138,10 +138,10 @@
     }
 
     private void call() {
-        reply = new HttpReply();
+        reply = new HttpResponseParser();
         router.tally().count("roster calls");
         usedBefore = link != null;
-        schedule.called(router.now(), usedBefore);
+        schedule.callStarted(router.now(), usedBefore);
         follow();
         if (link == null) {
             link = router.loop().connect(address, this);
@@ -155,7 +155,7 @@
         String query =
                 wholeAsked
                         ? ""
-                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.mayWait() * 1000);
+                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.maxWait() * 1000);
         link.write(
                 ByteBuffer.wrap(
                         ("GET /api/targets"
@@ -175,14 +175,14 @@
 
     private void failed() {
         hangUp();
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             return;
         }
         wholeWanted = false;
         if (watching) {
-            schedule.failed(router.now());
+            schedule.callFailed(router.now());
         } else {
-            schedule.stopped();
+            schedule.stop();
         }
         router.tally().count("roster calls failed");
         goOn();
@@ -192,24 +192,24 @@
     }
 
     private void answered() {
-        if (!reply.keptOpen()) {
+        if (!reply.keepAlive()) {
             hangUp();
         }
         if (reply.status() != 200) {
             failed();
             return;
         }
-        RosterPage page;
+        RosterUpdate page;
         try {
-            page = RosterPage.read(reply.body());
-        } catch (Unreadable e) {
+            page = RosterUpdate.parse(reply.body());
+        } catch (MalformedDataException e) {
             failed();
             return;
         }
         boolean sameAgain =
                 page.generation() == generation
                         && !page.listings().isEmpty()
-                        && schedule.early(router.now());
+                        && schedule.isEarly(router.now());
         if (usedBefore && (page.generation() < generation || (!wholeAsked && sameAgain))) {
             // On one connection versions only grow: this is an earlier answer that came once more,
             // and the call that is
@@ -219,13 +219,13 @@
         }
         // A discovery that came back may count anew: what has changed since its first version is
         // not all that has.
-        boolean counted = page.whole() || page.generation() >= generation;
-        wholeWanted = (wholeWanted && !page.whole() && !wholeAsked) || !counted;
-        schedule.answered(router.now(), page.generation() != generation);
+        boolean counted = page.full() || page.generation() >= generation;
+        wholeWanted = (wholeWanted && !page.full() && !wholeAsked) || !counted;
+        schedule.callAnswered(router.now(), page.generation() != generation);
         generation = page.generation();
         router.discoverySaid(page);
         if (led || (!watching && !wholeWanted)) {
-            schedule.stopped();
+            schedule.stop();
             follow();
         } else if (wholeWanted) {
             call();
@@ -235,7 +235,7 @@
     }
 
     private void goOn() {
-        if (schedule.due() <= router.now()) {
+        if (schedule.nextActionAt() <= router.now()) {
             call();
         } else {
             follow();
@@ -254,25 +254,25 @@
 
     @Override
     public void connected() {
-        if (schedule.calling()) {
+        if (schedule.isCalling()) {
             send();
         }
     }
 
     @Override
-    public void notConnected() {
+    public void connectFailed() {
         link = null;
         failed();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             hangUp();
             return;
         }
         try {
-            if (reply.take(bytes)) {
+            if (reply.feed(bytes)) {
                 if (bytes.hasRemaining()) {
                     // More than was asked for, as a second answer: the rest of it would be taken
                     // for the next one.
@@ -280,29 +280,29 @@
                 }
                 answered();
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             failed();
         }
     }
 
     @Override
-    public void ended() {
+    public void inputEnded() {
         gone();
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
         gone();
     }
 
     private void gone() {
         hangUp();
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             return;
         }
-        if (reply.end()) {
+        if (reply.endOfInput()) {
             answered();
-        } else if (usedBefore && !reply.begun()) {
+        } else if (usedBefore && !reply.hasStarted()) {
             // A kept connection may be ended by the other side just as a call goes out on it.
             call();
         } else {
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -11,10 +11,10 @@
 import embershift.policy.Filling;
 import embershift.policy.Policy;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Opening;
-import embershift.protocol.RosterPage;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.OpenRequest;
+import embershift.protocol.RosterUpdate;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -85,7 +85,7 @@
 
     private static final int LEAST_KEPT = 8;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Deployment deployment;
     private final Filling filling;
     private final Policy module;
@@ -120,7 +120,7 @@
 
     private boolean leaving;
     private boolean replaced;
-    private Loop.Listening listening;
+    private EventLoop.Acceptor listening;
 
     /** Whether operators have an address, and so descriptors of their own. */
     private final boolean operators;
@@ -137,7 +137,7 @@
     private int listedHosts;
     private int avoidedHosts;
 
-    public Router(Loop loop, NodeConfiguration configuration, Consumer<String> log)
+    public Router(EventLoop loop, NodeConfiguration configuration, Consumer<String> log)
             throws IOException {
         this.loop = loop;
         this.log = log;
@@ -152,7 +152,7 @@
                                 .mapToDouble(Deployment.Profile::setupGoal)
                                 .min()
                                 .orElse(1);
-        operators = configuration.operated();
+        operators = configuration.hasManagement();
         descriptors = configuration.sockets();
         kept = new KeptConnections<>(this::roomForHost, Contact::hangUp);
         strangers = new Strangers(loop, tally, () -> unlinked + kept.unused());
@@ -164,8 +164,8 @@
                         !deployment.rosterOnRequest(),
                         deployment.seed());
         peers = new Peers(this, configuration);
-        if (configuration.known() != null) {
-            RosterPage known = configuration.known();
+        if (configuration.initialRoster() != null) {
+            RosterUpdate known = configuration.initialRoster();
             roster.known(known.generation());
             addresses(known);
             hear(news -> news.rosterListed(known.listings(), true));
@@ -183,7 +183,7 @@
         void discoverySaid(long generation);
 
         /** The whole list, as it was told last. */
-        RosterPage whole();
+        RosterUpdate whole();
     }
 
     /** Who may tell lists from now on, once {@link #led} says that they hold. */
@@ -202,7 +202,7 @@
         loop.execute(() -> listed(lists.whole()));
     }
 
-    void discoverySaid(RosterPage page) {
+    void discoverySaid(RosterUpdate page) {
         if (lists != null) {
             lists.discoverySaid(page.generation());
         }
@@ -228,7 +228,7 @@
         return contact == null ? 0 : contact.setUps;
     }
 
-    private void accepted(Link link) {
+    private void accepted(TcpConnection link) {
         tally.count("connections taken in");
         strangers.begin(new Passage(this, link));
     }
@@ -239,7 +239,7 @@
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         listening = loop.listen(address, operators, strangers, this::accepted);
-        return listening.address();
+        return listening.localAddress();
     }
 
     /** Goes by a new configuration, as far as that can change while tunnels stand. */
@@ -267,14 +267,14 @@
      * they are.
      */
     public void heldElsewhere(int many, int processes) {
-        if (share.told(descriptors, loop.descriptors(), many, processes)) {
+        if (share.told(descriptors, loop.openDescriptors(), many, processes)) {
             limitStrangers();
         }
     }
 
     /** Descriptors that this process tells others at its address to be its own. */
     public int claimedDescriptors() {
-        return share.claimed(descriptors, loop.descriptors(), leaving, OPERATORS);
+        return share.claimed(descriptors, loop.openDescriptors(), leaving, OPERATORS);
     }
 
     private void limitStrangers() {
@@ -341,7 +341,9 @@
      */
     public boolean empty() {
         return passages.isEmpty()
-                && !(replaced ? strangers.any() || listening.waiting() > 0 : strangers.anyBegun());
+                && !(replaced
+                        ? strangers.any() || listening.queuedConnections() > 0
+                        : strangers.anyBegun());
     }
 
     /** Whether a list or a ban has named this host. */
@@ -394,7 +396,7 @@
         return tally;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -448,7 +450,7 @@
         listedHosts = module.listed(false);
         avoidedHosts = module.listed(true);
         serveLine();
-        loop.after(SWEEP, this::sweep);
+        loop.schedule(SWEEP, this::sweep);
     }
 
     // ---- News ----
@@ -527,11 +529,11 @@
      * start.
      */
     void taken(Passage passage) {
-        Opening opening = passage.opening();
+        OpenRequest opening = passage.opening();
         passages.put(passage.id(), passage);
         idsInUse.add(opening.id());
         tally.count("tunnels taken");
-        if (!(opening.standingAt() == null
+        if (!(opening.resumeHost() == null
                 ? strangers.makeRoom()
                 : strangers.makeRoomAsPromised())) {
             // Guards the descriptors: with none left, nothing could be taken in or answered at all.
@@ -539,7 +541,7 @@
             passage.answer("BUSY", Tally.Outcome.DECLINED);
             return;
         }
-        if (opening.standingAt() != null) {
+        if (opening.resumeHost() != null) {
             if (!resume(passage)) {
                 unplaced.add(passage);
             }
@@ -587,12 +589,12 @@
      * now.
      */
     void resumeLater(Passage passage) {
-        loop.after(RESUME_AGAIN, () -> resume(passage));
+        loop.schedule(RESUME_AGAIN, () -> resume(passage));
     }
 
     /** Sends a tunnel that stood before back to its host, if that is known by now. */
     private boolean resume(Passage passage) {
-        Contact contact = contacts.get(passage.opening().standingAt());
+        Contact contact = contacts.get(passage.opening().resumeHost());
         if (contact == null) {
             return false;
         }
@@ -601,8 +603,8 @@
     }
 
     void opened(Passage passage, Contact contact, int setup, double took) {
-        Opening opening = passage.opening();
-        if (opening.standingAt() != null) {
+        OpenRequest opening = passage.opening();
+        if (opening.resumeHost() != null) {
             hear(
                     news ->
                             news.tunnelStanding(
@@ -625,11 +627,11 @@
     }
 
     /** A list of hosts, or what is new in one. */
-    public void listed(RosterPage page) {
-        tally.add("roster entries unreadable", page.unreadable());
+    public void listed(RosterUpdate page) {
+        tally.add("roster entries unreadable", page.malformedEntries());
         addresses(page);
         hear(
-                page.whole()
+                page.full()
                         ? news -> news.rosterListed(page.listings(), false)
                         : news -> news.rosterChanged(page.listings()));
         // Over a copy: a client that is found to have left takes its tunnel off the list by itself.
@@ -644,8 +646,8 @@
         return contacts.computeIfAbsent(host, id -> new Contact(this, id));
     }
 
-    private void addresses(RosterPage page) {
-        if (page.whole()) {
+    private void addresses(RosterUpdate page) {
+        if (page.full()) {
             contacts.forEach(
                     (host, contact) -> {
                         contact.listedReady = false;
@@ -743,7 +745,7 @@
     @Override
     public void wakeAfter(double delay) {
         // Guards the sockets: a module that asks for rounds without a pause would let none be read.
-        loop.after(Math.max(delay, LEAST_WAKE), () -> hear(news -> {}));
+        loop.schedule(Math.max(delay, LEAST_WAKE), () -> hear(news -> {}));
     }
 
     @Override
--- a/node/src/main/java/embershift/routing/Strangers.java
+++ b/node/src/main/java/embershift/routing/Strangers.java
@@ -1,6 +1,6 @@
 package embershift.routing;
 
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.function.IntSupplier;
 
 /**
@@ -8,7 +8,7 @@
  * descriptors only what tunnels leave. When these run short, who was turned away goes first, then
  * who says nothing.
  */
-final class Strangers implements Loop.Admission {
+final class Strangers implements EventLoop.Admission {
 
     /**
      * Seconds from the accept within which a whole first line must have come, however many
@@ -35,7 +35,7 @@
     /** Seconds for which they are left alone then, so that what they have sent is read. */
     private static final double TO_BE_READ = 0.02;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Tally tally;
     private final IntSupplier promised;
     private int sockets;
@@ -52,7 +52,7 @@
      * {@code promised}: descriptors that tunnels taken in will need, or that are for hosts, and are
      * not taken yet.
      */
-    Strangers(Loop loop, Tally tally, IntSupplier promised) {
+    Strangers(EventLoop loop, Tally tally, IntSupplier promised) {
         this.loop = loop;
         this.promised = promised;
         this.tally = tally;
@@ -64,7 +64,7 @@
     void limit(int most) {
         sockets = most;
         while (held() > sockets - OWN_RESERVE
-                && waiting.size() + loop.lingering() >= ALWAYS
+                && waiting.size() + loop.lingeringCount() >= ALWAYS
                 && oneGoes()) {
             // One after the other.
         }
@@ -126,11 +126,11 @@
     @Override
     public boolean mayAccept() {
         while (held() > sockets - OWN_RESERVE) {
-            if (waiting.size() + loop.lingering() < ALWAYS) {
+            if (waiting.size() + loop.lingeringCount() < ALWAYS) {
                 tally.count("connections let in beyond the descriptors");
                 return true;
             }
-            if (loop.lingering() == 0
+            if (loop.lingeringCount() == 0
                     && waiting.size() <= ALWAYS
                     && loop.now() < waiting.begun(waiting.oldest()) + TO_BE_READ) {
                 tally.count("accepts paused");
@@ -142,12 +142,12 @@
     }
 
     @Override
-    public int free() {
+    public int freeDescriptors() {
         return sockets - OWN_RESERVE - held();
     }
 
     private int held() {
-        return loop.descriptors() + promised.getAsInt();
+        return loop.openDescriptors() + promised.getAsInt();
     }
 
     private boolean leaves(int free) {
@@ -164,7 +164,7 @@
      * spoken after all.
      */
     private boolean oneGoes() {
-        if (loop.closeLingering()) {
+        if (loop.closeOldestLingering()) {
             return true;
         }
         Passage silent = waiting.oldest();
--- a/node/src/main/java/embershift/transport/Datagrams.java
+++ b/node/src/main/java/embershift/transport/DatagramEndpoint.java
@@ -8,27 +8,27 @@
 import org.xnio.channels.SocketAddressBuffer;
 
 /** A socket for datagrams. */
-public final class Datagrams {
+public final class DatagramEndpoint {
 
     /** Room for one byte more than may come, so that a longer one shows. */
-    private static final int ROOM = 2048;
+    private static final int BUFFER_BYTES = 2048;
 
     /** What hears of each datagram. */
-    public interface Arrival {
+    public interface Handler {
         void received(InetSocketAddress from, byte[] content);
     }
 
     private final MulticastMessageChannel channel;
-    private final ByteBuffer buffer = ByteBuffer.allocateDirect(ROOM);
+    private final ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
     private final SocketAddressBuffer addresses = new SocketAddressBuffer();
 
-    Datagrams(MulticastMessageChannel channel, Arrival arrival) {
+    DatagramEndpoint(MulticastMessageChannel channel, Handler arrival) {
         this.channel = channel;
         channel.getReadSetter().set(ready -> receive(arrival));
         channel.resumeReads();
     }
 
-    private void receive(Arrival arrival) {
+    private void receive(Handler arrival) {
         try {
             while (true) {
                 buffer.clear();
@@ -50,7 +50,7 @@
         IoUtils.safeClose(channel);
     }
 
-    public InetSocketAddress address() {
+    public InetSocketAddress localAddress() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
 
--- a/node/src/main/java/embershift/transport/Loop.java
+++ b/node/src/main/java/embershift/transport/EventLoop.java
@@ -26,19 +26,19 @@
 import org.xnio.channels.AcceptingChannel;
 
 /** The one thread on which all of a node's sockets and timers are served, and its clock. */
-public final class Loop {
+public final class EventLoop {
 
     static {
         SharingProvider.install();
     }
 
-    private static final OptionMap STREAM = OptionMap.create(Options.TCP_NODELAY, true);
+    private static final OptionMap STREAM_OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     /** Descriptors that the program holds besides its sockets, where the machine can't tell. */
-    private static final int USUAL_FILES = 64;
+    private static final int DEFAULT_OPEN_FILES = 64;
 
     /** Descriptors that the loop itself takes for its selectors. */
-    private static final int OWN_FILES = 12;
+    private static final int SELECTOR_FILES = 12;
 
     private static final int BACKLOG = 1024;
 
@@ -46,51 +46,51 @@
      * Connections handed over in a row before other sockets get their turn, and seconds until the
      * next ones are.
      */
-    private static final int ACCEPTS = 8;
+    private static final int MAX_ACCEPTS_PER_TURN = 8;
 
-    private static final double NEXT_TURN = 0.001;
+    private static final double NEXT_TURN_SECONDS = 0.001;
 
     /**
      * Connections that may have been accepted and not yet been handed over, at the least and at the
      * most.
      */
-    private static final int LEAST_AHEAD = 4;
+    private static final int MIN_QUEUED = 4;
 
-    private static final int MOST_AHEAD = 256;
+    private static final int MAX_QUEUED = 256;
 
     /** Seconds until accepts go on that were stopped for want of room. */
-    private static final double ACCEPT_AGAIN = 0.02;
+    private static final double ACCEPT_RETRY_SECONDS = 0.02;
 
     /**
      * Seconds from which a timer counts as late, and for which it then lets the sockets go first.
      */
-    private static final double LATE = 0.05;
+    private static final double LATE_TIMER_SECONDS = 0.05;
 
-    private static final double WAVE = 0.02;
+    private static final double LATE_TIMER_DELAY_SECONDS = 0.02;
 
     /** Held, so that its level stays: the library's greetings tell the operators nothing. */
-    private static final List<Logger> QUIET =
+    private static final List<Logger> LIBRARY_LOGGERS =
             List.of(Logger.getLogger("org.xnio"), Logger.getLogger("org.jboss.threads"));
 
     private final XnioWorker worker;
     private final XnioIoThread thread;
-    private final Buffers buffers = new Buffers();
+    private final BufferPool buffers = new BufferPool();
 
     /** Added to the monotonic clock so that it agrees with the system's as it was at the start. */
-    private final double epoch;
+    private final double clockOffset;
 
-    private final int files;
+    private final int nonSocketDescriptors;
     private int sockets;
 
     /** Links that were finished and whose peers have not ended yet, the longest finished first. */
-    private final Set<Link> lingering = new LinkedHashSet<>();
+    private final Set<TcpConnection> lingering = new LinkedHashSet<>();
 
-    private final List<Listening> listenings = new CopyOnWriteArrayList<>();
+    private final List<Acceptor> acceptors = new CopyOnWriteArrayList<>();
 
-    public Loop() throws IOException {
-        QUIET.forEach(logger -> logger.setLevel(Level.WARNING));
+    public EventLoop() throws IOException {
+        LIBRARY_LOGGERS.forEach(logger -> logger.setLevel(Level.WARNING));
         worker =
-                Xnio.getInstance(Loop.class.getClassLoader())
+                Xnio.getInstance(EventLoop.class.getClassLoader())
                         .createWorker(
                                 OptionMap.builder()
                                         .set(Options.WORKER_IO_THREADS, 1)
@@ -100,14 +100,14 @@
                                         .set(Options.STACK_SIZE, 256L * 1024)
                                         .getMap());
         thread = worker.getIoThread(0);
-        epoch = System.currentTimeMillis() / 1e3 - System.nanoTime() / 1e9;
+        clockOffset = System.currentTimeMillis() / 1e3 - System.nanoTime() / 1e9;
         String[] open = new File("/proc/self/fd").list();
-        files = open == null ? USUAL_FILES : open.length + OWN_FILES;
+        nonSocketDescriptors = open == null ? DEFAULT_OPEN_FILES : open.length + SELECTOR_FILES;
     }
 
     /** Seconds since 1970, never running backwards. */
     public double now() {
-        return epoch + System.nanoTime() / 1e9;
+        return clockOffset + System.nanoTime() / 1e9;
     }
 
     /**
@@ -123,7 +123,7 @@
     }
 
     /** Runs the task, which may wait for a disk, on a thread of its own, one after the other. */
-    public void aside(Runnable task) {
+    public void executeBlocking(Runnable task) {
         try {
             worker.execute(task);
         } catch (RejectedExecutionException e) {
@@ -132,9 +132,9 @@
     }
 
     /** A timer on the loop's thread. */
-    public Timer after(double delay, Runnable task) {
-        Delayed delayed = new Delayed(task, now() + delay);
-        delayed.schedule(delay);
+    public Timer schedule(double delay, Runnable task) {
+        ScheduledTask delayed = new ScheduledTask(task, now() + delay);
+        delayed.submit(delay);
         return delayed;
     }
 
@@ -142,19 +142,19 @@
      * A task that comes up late lets the sockets go first, once: after a pause of the whole process
      * all timers are due at once, while the answers that they wait for may already have come.
      */
-    private final class Delayed implements Runnable, Timer {
+    private final class ScheduledTask implements Runnable, Timer {
         private final Runnable task;
         private final double due;
         private XnioExecutor.Key key;
-        private boolean waved;
+        private boolean postponed;
         private boolean cancelled;
 
-        Delayed(Runnable task, double due) {
+        ScheduledTask(Runnable task, double due) {
             this.task = task;
             this.due = due;
         }
 
-        void schedule(double delay) {
+        void submit(double delay) {
             try {
                 key =
                         thread.executeAfter(
@@ -168,9 +168,9 @@
 
         @Override
         public void run() {
-            if (!waved && now() > due + LATE) {
-                waved = true;
-                schedule(WAVE);
+            if (!postponed && now() > due + LATE_TIMER_SECONDS) {
+                postponed = true;
+                submit(LATE_TIMER_DELAY_SECONDS);
             } else if (!cancelled) {
                 task.run();
             }
@@ -186,38 +186,38 @@
     }
 
     /** Descriptors that this process holds. */
-    public int descriptors() {
-        return files + sockets;
+    public int openDescriptors() {
+        return nonSocketDescriptors + sockets;
     }
 
-    Buffers buffers() {
+    BufferPool buffers() {
         return buffers;
     }
 
-    void opened() {
+    void socketOpened() {
         sockets++;
-        for (Listening listening : listenings) {
-            listening.allow();
+        for (Acceptor listening : acceptors) {
+            listening.updateWaterMarks();
         }
     }
 
-    void closed(Link link) {
+    void connectionClosed(TcpConnection link) {
         sockets--;
         lingering.remove(link);
-        if (link.from() != null) {
-            link.from().open--;
-            link.from().allow();
+        if (link.acceptor() != null) {
+            link.acceptor().openConnections--;
+            link.acceptor().updateWaterMarks();
         }
     }
 
-    void lingers(Link link) {
+    void addLingering(TcpConnection link) {
         lingering.add(link);
     }
 
     /**
      * Closes the link that was finished the longest ago, if any lingers: its last words are out.
      */
-    public boolean closeLingering() {
+    public boolean closeOldestLingering() {
         if (lingering.isEmpty()) {
             return false;
         }
@@ -226,7 +226,7 @@
     }
 
     /** Links that were finished and whose peers have not ended yet. */
-    public int lingering() {
+    public int lingeringCount() {
         return lingering.size();
     }
 
@@ -240,13 +240,14 @@
          * Descriptors left for those that come in; zero and less where each has to have room made
          * for it.
          */
-        default int free() {
+        default int freeDescriptors() {
             return Integer.MAX_VALUE;
         }
     }
 
     /** As below, at an address of this process alone. */
-    public Listening listen(InetSocketAddress address, Admission admission, Consumer<Link> accepted)
+    public Acceptor listen(
+            InetSocketAddress address, Admission admission, Consumer<TcpConnection> accepted)
             throws IOException {
         return listen(address, false, admission, accepted);
     }
@@ -257,51 +258,54 @@
      * fails for want of descriptors would have the library look away for up to half a minute.
      * {@code shared}: other processes may listen there as well.
      */
-    public Listening listen(
-            InetSocketAddress address, boolean shared, Admission admission, Consumer<Link> accepted)
+    public Acceptor listen(
+            InetSocketAddress address,
+            boolean shared,
+            Admission admission,
+            Consumer<TcpConnection> accepted)
             throws IOException {
-        Listening listening = new Listening(admission, accepted);
+        Acceptor listening = new Acceptor(admission, accepted);
         try {
             listening.server =
-                    SharingProvider.opening(
+                    SharingProvider.openShared(
                             shared,
                             () ->
                                     worker.createStreamConnectionServer(
                                             address,
-                                            listening::arrived,
+                                            listening::acceptPending,
                                             OptionMap.builder()
-                                                    .addAll(STREAM)
+                                                    .addAll(STREAM_OPTIONS)
                                                     .set(Options.BACKLOG, BACKLOG)
                                                     .set(Options.REUSE_ADDRESSES, true)
                                                     .set(
                                                             Options.CONNECTION_HIGH_WATER,
-                                                            listening.high)
+                                                            listening.highWater)
                                                     .set(
                                                             Options.CONNECTION_LOW_WATER,
-                                                            listening.high - 1)
+                                                            listening.highWater - 1)
                                                     .getMap()));
         } catch (IOException e) {
-            throw named(address, e);
+            throw withAddress(address, e);
         }
         listening.server.resumeAccepts();
-        listenings.add(listening);
+        acceptors.add(listening);
         return listening;
     }
 
     /**
      * Starts to connect; the link tells its events how that went, never before this call returns.
      */
-    public Link connect(InetSocketAddress address, Link.Events events) {
-        opened();
-        Link link = new Link(this, events);
+    public TcpConnection connect(InetSocketAddress address, TcpConnection.Listener events) {
+        socketOpened();
+        TcpConnection link = new TcpConnection(this, events);
         IoFuture<StreamConnection> future =
-                thread.openStreamConnection(address, link::established, null, STREAM);
-        link.connecting(future);
+                thread.openStreamConnection(address, link::established, null, STREAM_OPTIONS);
+        link.setConnectFuture(future);
         future.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleFailed(IOException reason, Void none) {
-                        execute(link::failed);
+                        execute(link::connectFailed);
                     }
                 },
                 null);
@@ -309,26 +313,27 @@
     }
 
     /** Opens a socket for datagrams at an address of this process alone. */
-    public Datagrams datagrams(InetSocketAddress address, Datagrams.Arrival arrival)
-            throws IOException {
-        return datagrams(address, false, arrival);
+    public DatagramEndpoint openDatagramEndpoint(
+            InetSocketAddress address, DatagramEndpoint.Handler arrival) throws IOException {
+        return openDatagramEndpoint(address, false, arrival);
     }
 
     /** Opens a socket for datagrams; {@code shared}: other processes may receive there as well. */
-    public Datagrams datagrams(InetSocketAddress address, boolean shared, Datagrams.Arrival arrival)
+    public DatagramEndpoint openDatagramEndpoint(
+            InetSocketAddress address, boolean shared, DatagramEndpoint.Handler arrival)
             throws IOException {
-        opened();
+        socketOpened();
         try {
-            return new Datagrams(
-                    SharingProvider.opening(
+            return new DatagramEndpoint(
+                    SharingProvider.openShared(
                             shared, () -> worker.createUdpServer(address, OptionMap.EMPTY)),
                     arrival);
         } catch (IOException e) {
-            throw named(address, e);
+            throw withAddress(address, e);
         }
     }
 
-    private static IOException named(InetSocketAddress address, IOException e) {
+    private static IOException withAddress(InetSocketAddress address, IOException e) {
         return new IOException(
                 "can't listen on "
                         + address.getHostString()
@@ -342,7 +347,7 @@
     /** Ends the thread; sockets still open are closed. */
     public void stop() {
         // First of all: what the library accepted from now on it could hand to nobody.
-        listenings.forEach(Listening::close);
+        acceptors.forEach(Acceptor::close);
         worker.shutdownNow();
     }
 
@@ -355,66 +360,66 @@
      * how many connections may be open in all, only a few beyond those that were handed over, and
      * what it has is taken from it, and counted, at once.
      */
-    public final class Listening {
+    public final class Acceptor {
         private final Admission admission;
-        private final Consumer<Link> accepted;
+        private final Consumer<TcpConnection> handler;
         private AcceptingChannel<StreamConnection> server;
-        private final Deque<Link> waiting = new ArrayDeque<>();
+        private final Deque<TcpConnection> queue = new ArrayDeque<>();
 
         /**
          * Connections that came in here and are open, the waiting ones as well; and how many the
          * library lets be.
          */
-        private int open;
+        private int openConnections;
 
-        private int high;
+        private int highWater;
 
         /** Whether the next ones are handed over by a timer. */
-        private boolean due;
+        private boolean handOverScheduled;
 
-        private Listening(Admission admission, Consumer<Link> accepted) {
+        private Acceptor(Admission admission, Consumer<TcpConnection> accepted) {
             this.admission = admission;
-            this.accepted = accepted;
-            high = ahead();
+            this.handler = accepted;
+            highWater = queueTarget();
         }
 
-        private int ahead() {
-            int room = Math.min(admission.free(), 2 * MOST_AHEAD) + waiting.size();
-            return Math.max(LEAST_AHEAD, Math.min(room / 2, MOST_AHEAD));
+        private int queueTarget() {
+            int room = Math.min(admission.freeDescriptors(), 2 * MAX_QUEUED) + queue.size();
+            return Math.max(MIN_QUEUED, Math.min(room / 2, MAX_QUEUED));
         }
 
         /**
          * Has the library take in no more than there is room for, and no fewer; told only where
          * that has changed by half.
          */
-        private void allow() {
-            int handed = open - waiting.size();
-            int now = high - handed;
-            int ahead = ahead();
+        private void updateWaterMarks() {
+            int handed = openConnections - queue.size();
+            int now = highWater - handed;
+            int ahead = queueTarget();
             if ((now > 2 * ahead || now < (ahead + 1) / 2) && server.isOpen()) {
-                high = handed + ahead;
+                highWater = handed + ahead;
                 try {
-                    server.setOption(Options.CONNECTION_HIGH_WATER, high);
-                    server.setOption(Options.CONNECTION_LOW_WATER, high - 1);
+                    server.setOption(Options.CONNECTION_HIGH_WATER, highWater);
+                    server.setOption(Options.CONNECTION_LOW_WATER, highWater - 1);
                 } catch (IOException e) {
                     // It is being closed: nothing comes any more.
                 }
             }
         }
 
-        private void arrived(AcceptingChannel<StreamConnection> from) {
+        private void acceptPending(AcceptingChannel<StreamConnection> from) {
             try {
                 for (StreamConnection next = from.accept(); next != null; next = from.accept()) {
-                    open++;
-                    Link link = new Link(Loop.this, next, this);
-                    waiting.add(link);
-                    opened();
+                    openConnections++;
+                    TcpConnection link = new TcpConnection(EventLoop.this, next, this);
+                    queue.add(link);
+                    socketOpened();
                 }
             } catch (IOException e) {
                 // The listener itself is gone, as at the end of the program: nothing comes any
                 // more.
             }
-            if (!due) {
+            if (!handOverScheduled) {
                 handOver();
             }
         }
@@ -424,44 +429,46 @@
          * comes, and a flood of connections does not keep the others waiting.
          */
         private void handOver() {
-            due = false;
-            for (int i = 0; !waiting.isEmpty(); i++) {
-                boolean may = i < ACCEPTS && admission.mayAccept();
+            handOverScheduled = false;
+            for (int i = 0; !queue.isEmpty(); i++) {
+                boolean may = i < MAX_ACCEPTS_PER_TURN && admission.mayAccept();
                 if (!may) {
-                    due = true;
-                    after(i == ACCEPTS ? NEXT_TURN : ACCEPT_AGAIN, this::handOver);
+                    handOverScheduled = true;
+                    schedule(
+                            i == MAX_ACCEPTS_PER_TURN ? NEXT_TURN_SECONDS : ACCEPT_RETRY_SECONDS,
+                            this::handOver);
                     break;
                 }
-                accepted.accept(waiting.remove());
+                handler.accept(queue.remove());
             }
-            allow();
+            updateWaterMarks();
         }
 
         /** Hands over all that have come in, without asking for room. */
         public void handOverAll() {
-            while (!waiting.isEmpty()) {
-                accepted.accept(waiting.remove());
+            while (!queue.isEmpty()) {
+                handler.accept(queue.remove());
             }
         }
 
-        public InetSocketAddress address() {
+        public InetSocketAddress localAddress() {
             return server.getLocalAddress(InetSocketAddress.class);
         }
 
         /** Connections that came in here and are open, also those that were finished and linger. */
-        public int open() {
-            return open;
+        public int openConnections() {
+            return openConnections;
         }
 
         /** Connections that came in and have not been handed over. */
-        public int waiting() {
-            return waiting.size();
+        public int queuedConnections() {
+            return queue.size();
         }
 
         /** Closes the link that came in here and was finished the longest ago, if any lingers. */
-        public boolean closeLingering() {
-            for (Link link : lingering) {
-                if (link.from() == this) {
+        public boolean closeOldestLingering() {
+            for (TcpConnection link : lingering) {
+                if (link.acceptor() == this) {
                     link.close();
                     return true;
                 }
@@ -471,7 +478,7 @@
 
         public void close() {
             IoUtils.safeClose(server);
-            listenings.remove(this);
+            acceptors.remove(this);
         }
     }
 
--- a/node/src/main/java/embershift/transport/SharingProvider.java
+++ b/node/src/main/java/embershift/transport/SharingProvider.java
@@ -21,7 +21,7 @@
 public final class SharingProvider extends SelectorProvider {
 
     private static final String PROPERTY = "java.nio.channels.spi.SelectorProvider";
-    private static final ThreadLocal<Boolean> SHARING = ThreadLocal.withInitial(() -> false);
+    private static final ThreadLocal<Boolean> SHARED = ThreadLocal.withInitial(() -> false);
 
     private final SelectorProvider platform;
 
@@ -38,7 +38,7 @@
     }
 
     /** Opens something that binds. */
-    interface Opening<T> {
+    interface ChannelOpener<T> {
         T open() throws IOException;
     }
 
@@ -58,18 +58,18 @@
     }
 
     /** Opens with SO_REUSEPORT on whatever binds, if {@code shared}. */
-    static <T> T opening(boolean shared, Opening<T> opening) throws IOException {
-        SHARING.set(shared);
+    static <T> T openShared(boolean shared, ChannelOpener<T> opening) throws IOException {
+        SHARED.set(shared);
         try {
             return opening.open();
         } finally {
-            SHARING.remove();
+            SHARED.remove();
         }
     }
 
-    private static <T extends NetworkChannel> T shared(T channel) throws IOException {
+    private static <T extends NetworkChannel> T configure(T channel) throws IOException {
         SocketOption<Boolean> option = StandardSocketOptions.SO_REUSEPORT;
-        if (SHARING.get() && channel.supportedOptions().contains(option)) {
+        if (SHARED.get() && channel.supportedOptions().contains(option)) {
             channel.setOption(option, true);
         }
         return channel;
@@ -77,12 +77,12 @@
 
     @Override
     public DatagramChannel openDatagramChannel() throws IOException {
-        return shared(platform.openDatagramChannel());
+        return configure(platform.openDatagramChannel());
     }
 
     @Override
     public DatagramChannel openDatagramChannel(ProtocolFamily family) throws IOException {
-        return shared(platform.openDatagramChannel(family));
+        return configure(platform.openDatagramChannel(family));
     }
 
     @Override
@@ -97,12 +97,12 @@
 
     @Override
     public ServerSocketChannel openServerSocketChannel() throws IOException {
-        return shared(platform.openServerSocketChannel());
+        return configure(platform.openServerSocketChannel());
     }
 
     @Override
     public ServerSocketChannel openServerSocketChannel(ProtocolFamily family) throws IOException {
-        return shared(platform.openServerSocketChannel(family));
+        return configure(platform.openServerSocketChannel(family));
     }
 
     @Override
--- a/node/src/main/java/embershift/transport/Link.java
+++ b/node/src/main/java/embershift/transport/TcpConnection.java
@@ -13,95 +13,95 @@
 
 /**
  * One stream connection. Its events come from the loop only, never from within a call on a link, so
- * a caller need not fear that its state changes under its hands; but for {@link #look}, which is
- * there for that.
+ * a caller need not fear that its state changes under its hands; but for {@link #readAvailable},
+ * which is there for that.
  */
-public final class Link {
+public final class TcpConnection {
 
     /** What a link tells. After {@code broken}, or a call of {@code close}, nothing more comes. */
-    public interface Events {
+    public interface Listener {
 
         default void connected() {}
 
-        default void notConnected() {}
+        default void connectFailed() {}
 
         /** The buffer is good only during the call; what is left in it is lost. */
         void received(ByteBuffer bytes);
 
         /** The peer has ended its sending. */
-        void ended();
+        void inputEnded();
 
         /** The connection was reset, or what was written can't be sent. */
-        void broken();
+        void connectionLost();
 
         /**
          * Some of what waited is about to be handed to the system; who closes the link in this call
          * keeps it back.
          */
-        default void draining() {}
+        default void beforeFlush() {}
 
         /** All that was written has been handed to the system, after some of it had to wait. */
-        default void drained() {}
+        default void flushed() {}
     }
 
     /** Reads in a row from one link before others get their turn. */
-    private static final int READS = 4;
+    private static final int MAX_READS_PER_EVENT = 4;
 
     /** Seconds for which the peer may go on after the link was finished. */
-    private static final double LINGER = 1.0;
+    private static final double LINGER_SECONDS = 1.0;
 
     /**
      * Bytes read and dropped in that time at the most: a peer that sends at full speed costs no
      * more.
      */
-    private static final int DROPPED = 1 << 20;
+    private static final int MAX_DISCARDED_BYTES = 1 << 20;
 
     /** Seconds for a peer that has not yet taken all that was written. */
-    private static final double SLOW_LINGER = 20.0;
+    private static final double SLOW_READER_LINGER_SECONDS = 20.0;
 
-    private final Loop loop;
+    private final EventLoop loop;
 
     /** Where it came in; null for one that this process began. */
-    private final Loop.Listening from;
+    private final EventLoop.Acceptor acceptor;
 
-    private Events events;
+    private Listener listener;
     private StreamConnection connection;
-    private IoFuture<StreamConnection> connecting;
-    private Deque<ByteBuffer> pending;
-    private boolean receiving = true;
-    private boolean endAfterPending;
-    private boolean sendingEnded;
-    private boolean peerEnded;
-    private boolean finished;
-    private int dropped;
+    private IoFuture<StreamConnection> connectFuture;
+    private Deque<ByteBuffer> pendingWrites;
+    private boolean reading = true;
+    private boolean shutdownAfterFlush;
+    private boolean outputShutdown;
+    private boolean inputEnded;
+    private boolean closing;
+    private int discardedBytes;
     private boolean closed;
 
-    Link(Loop loop, Events events) {
+    TcpConnection(EventLoop loop, Listener events) {
         this.loop = loop;
-        from = null;
-        this.events = events;
+        acceptor = null;
+        this.listener = events;
     }
 
     /** An accepted connection; it is not read before its events are set. */
-    Link(Loop loop, StreamConnection connection, Loop.Listening from) {
+    TcpConnection(EventLoop loop, StreamConnection connection, EventLoop.Acceptor from) {
         this.loop = loop;
         this.connection = connection;
-        this.from = from;
-        hook();
+        this.acceptor = from;
+        installListeners();
     }
 
     /** Sets who hears of this link, and begins to read. */
-    public void events(Events events) {
-        this.events = events;
+    public void setListener(Listener events) {
+        this.listener = events;
         connection.getSourceChannel().resumeReads();
     }
 
-    Loop.Listening from() {
-        return from;
+    EventLoop.Acceptor acceptor() {
+        return acceptor;
     }
 
-    void connecting(IoFuture<StreamConnection> future) {
-        connecting = future;
+    void setConnectFuture(IoFuture<StreamConnection> future) {
+        connectFuture = future;
     }
 
     void established(StreamConnection stream) {
@@ -110,22 +110,22 @@
             return;
         }
         connection = stream;
-        connecting = null;
-        hook();
-        if (receiving) {
+        connectFuture = null;
+        installListeners();
+        if (reading) {
             connection.getSourceChannel().resumeReads();
         }
-        events.connected();
+        listener.connected();
     }
 
-    void failed() {
+    void connectFailed() {
         if (!closed) {
             close();
-            events.notConnected();
+            listener.connectFailed();
         }
     }
 
-    private void hook() {
+    private void installListeners() {
         connection.getSourceChannel().setReadListener(this::read);
         connection.getSinkChannel().setWriteListener(this::flush);
     }
@@ -136,33 +136,33 @@
 
     /** Reads into {@code own}, or into the buffer of all links where that is null. */
     private void read(ConduitStreamSourceChannel source, ByteBuffer own) {
-        for (int i = 0; i < READS && receiving && !closed && !peerEnded; i++) {
-            ByteBuffer buffer = own == null ? loop.buffers().reading() : own.clear();
+        for (int i = 0; i < MAX_READS_PER_EVENT && reading && !closed && !inputEnded; i++) {
+            ByteBuffer buffer = own == null ? loop.buffers().readBuffer() : own.clear();
             int count;
             try {
                 count = source.read(buffer);
             } catch (IOException e) {
-                breakUp();
+                connectionLost();
                 return;
             }
             if (count == 0) {
                 return;
             }
             if (count < 0) {
-                peerEnded = true;
+                inputEnded = true;
                 source.suspendReads();
-                if (finished) {
+                if (closing) {
                     close();
                 } else {
-                    events.ended();
+                    listener.inputEnded();
                 }
                 return;
             }
-            if (!finished) {
-                events.received(buffer.flip());
+            if (!closing) {
+                listener.received(buffer.flip());
             } else {
-                dropped += count;
-                receive(dropped < DROPPED);
+                discardedBytes += count;
+                setReading(discardedBytes < MAX_DISCARDED_BYTES);
                 return;
             }
         }
@@ -173,12 +173,12 @@
      * in the same wake-up, or while the loop stood still, has not been read yet. The events come
      * within this call.
      */
-    public void look() {
-        if (connection != null && receiving && !closed && !peerEnded && !finished) {
+    public void readAvailable() {
+        if (connection != null && reading && !closed && !inputEnded && !closing) {
             // Whoever calls may be amid what another link has read.
-            ByteBuffer own = loop.buffers().take();
+            ByteBuffer own = loop.buffers().acquire();
             read(connection.getSourceChannel(), own);
-            loop.buffers().giveBack(own);
+            loop.buffers().release(own);
         }
     }
 
@@ -186,30 +186,32 @@
      * Writing found the connection broken. What the peer said before that, its last words amid a
      * reset, has not been read yet; reading tells of the break behind it by an end like any other.
      */
-    private void breakUpBehindLastWords() {
-        if (closed || peerEnded || finished) {
-            breakUp();
+    private void readRemainingThenFail() {
+        if (closed || inputEnded || closing) {
+            connectionLost();
             return;
         }
-        ByteBuffer own = loop.buffers().take();
+        ByteBuffer own = loop.buffers().acquire();
         try {
             for (int i = 0;
-                    i < READS && !closed && connection.getSourceChannel().read(own.clear()) > 0;
+                    i < MAX_READS_PER_EVENT
+                            && !closed
+                            && connection.getSourceChannel().read(own.clear()) > 0;
                     i++) {
-                events.received(own.flip());
+                listener.received(own.flip());
             }
         } catch (IOException e) {
             // That was all.
         }
-        loop.buffers().giveBack(own);
-        breakUp();
+        loop.buffers().release(own);
+        connectionLost();
     }
 
-    private void breakUp() {
+    private void connectionLost() {
         if (!closed) {
             close();
-            if (!finished) {
-                events.broken();
+            if (!closing) {
+                listener.connectionLost();
             }
         }
     }
@@ -219,37 +221,37 @@
      * they are on their way: false where the connection was found to be broken or ended.
      */
     public boolean write(ByteBuffer bytes) {
-        if (closed || sendingEnded || endAfterPending) {
+        if (closed || outputShutdown || shutdownAfterFlush) {
             return false;
         }
         try {
-            if (pending == null) {
+            if (pendingWrites == null) {
                 while (bytes.hasRemaining() && connection.getSinkChannel().write(bytes) > 0) {
                     // More may fit.
                 }
             }
         } catch (IOException e) {
             // The caller may be amid a decision: it hears of this later.
-            loop.execute(this::breakUpBehindLastWords);
+            loop.execute(this::readRemainingThenFail);
             return false;
         }
         if (bytes.hasRemaining()) {
-            keep(bytes);
+            enqueue(bytes);
         }
         return true;
     }
 
-    private void keep(ByteBuffer bytes) {
-        if (pending == null) {
-            pending = new ArrayDeque<>(2);
+    private void enqueue(ByteBuffer bytes) {
+        if (pendingWrites == null) {
+            pendingWrites = new ArrayDeque<>(2);
             connection.getSinkChannel().resumeWrites();
         }
         while (bytes.hasRemaining()) {
-            ByteBuffer last = pending.peekLast();
+            ByteBuffer last = pendingWrites.peekLast();
             if (last == null || last.limit() == last.capacity()) {
-                last = loop.buffers().take();
+                last = loop.buffers().acquire();
                 last.limit(0);
-                pending.add(last);
+                pendingWrites.add(last);
             }
             int read = last.position();
             int many = Math.min(bytes.remaining(), last.capacity() - last.limit());
@@ -261,58 +263,58 @@
     }
 
     private void flush(ConduitStreamSinkChannel sink) {
-        if (pending != null && !finished) {
-            events.draining();
+        if (pendingWrites != null && !closing) {
+            listener.beforeFlush();
             if (closed) {
                 return;
             }
         }
         try {
-            while (pending != null) {
-                ByteBuffer first = pending.peek();
+            while (pendingWrites != null) {
+                ByteBuffer first = pendingWrites.peek();
                 if (first.hasRemaining() && sink.write(first) == 0) {
                     return;
                 }
                 if (!first.hasRemaining()) {
-                    loop.buffers().giveBack(pending.remove());
-                    pending = pending.isEmpty() ? null : pending;
+                    loop.buffers().release(pendingWrites.remove());
+                    pendingWrites = pendingWrites.isEmpty() ? null : pendingWrites;
                 }
             }
         } catch (IOException e) {
-            breakUpBehindLastWords();
+            readRemainingThenFail();
             return;
         }
         sink.suspendWrites();
-        if (endAfterPending) {
-            shutDown();
-            if (finished && !closed) {
-                loop.after(LINGER, this::close);
+        if (shutdownAfterFlush) {
+            shutdownOutputNow();
+            if (closing && !closed) {
+                loop.schedule(LINGER_SECONDS, this::close);
             }
         }
-        if (!closed && !finished) {
-            events.drained();
+        if (!closed && !closing) {
+            listener.flushed();
         }
     }
 
     /** Whether some of what was written still waits for the peer. */
-    public boolean backedUp() {
-        return pending != null;
+    public boolean hasPendingWrites() {
+        return pendingWrites != null;
     }
 
     /** Whether the peer has ended its sending. */
-    public boolean peerEnded() {
-        return peerEnded;
+    public boolean inputEnded() {
+        return inputEnded;
     }
 
-    public boolean closed() {
+    public boolean isClosed() {
         return closed;
     }
 
     /** Reads on, or leaves what the peer sends where it is. */
-    public void receive(boolean on) {
-        if (receiving != on) {
-            receiving = on;
-            if (connection != null && !closed && !peerEnded) {
+    public void setReading(boolean on) {
+        if (reading != on) {
+            reading = on;
+            if (connection != null && !closed && !inputEnded) {
                 if (on) {
                     connection.getSourceChannel().resumeReads();
                 } else {
@@ -323,26 +325,26 @@
     }
 
     /** Ends the sending once all that was written is out. */
-    public void endSending() {
-        if (pending != null) {
-            endAfterPending = true;
+    public void shutdownOutput() {
+        if (pendingWrites != null) {
+            shutdownAfterFlush = true;
         } else {
-            shutDown();
+            shutdownOutputNow();
         }
     }
 
-    private void shutDown() {
-        if (closed || sendingEnded || connection == null) {
+    private void shutdownOutputNow() {
+        if (closed || outputShutdown || connection == null) {
             return;
         }
-        sendingEnded = true;
+        outputShutdown = true;
         try {
             connection.getSinkChannel().shutdownWrites();
             connection.getSinkChannel().flush();
         } catch (IOException e) {
-            loop.execute(this::breakUp);
+            loop.execute(this::connectionLost);
         }
-        if (finished && peerEnded) {
+        if (closing && inputEnded) {
             close();
         }
     }
@@ -351,22 +353,24 @@
      * Ends the connection so that what was written still arrives: a close with input unread would
      * reset it. No events come after this call.
      */
-    public void finish() {
-        if (closed || finished) {
+    public void closeGracefully() {
+        if (closed || closing) {
             return;
         }
         if (connection == null) {
             close();
             return;
         }
-        finished = true;
-        loop.lingers(this);
-        receive(true);
-        endSending();
+        closing = true;
+        loop.addLingering(this);
+        setReading(true);
+        shutdownOutput();
         if (!closed) {
             // A slow reader still gets what waits for it, and only then must end within the shorter
             // time.
-            loop.after(pending == null ? LINGER : SLOW_LINGER, this::close);
+            loop.schedule(
+                    pendingWrites == null ? LINGER_SECONDS : SLOW_READER_LINGER_SECONDS,
+                    this::close);
         }
     }
 
@@ -388,14 +392,14 @@
             return;
         }
         closed = true;
-        loop.closed(this);
-        if (pending != null) {
-            pending.forEach(loop.buffers()::giveBack);
-            pending = null;
+        loop.connectionClosed(this);
+        if (pendingWrites != null) {
+            pendingWrites.forEach(loop.buffers()::release);
+            pendingWrites = null;
         }
-        if (connecting != null) {
-            connecting.cancel();
-            connecting = null;
+        if (connectFuture != null) {
+            connectFuture.cancel();
+            connectFuture = null;
         }
         IoUtils.safeClose(connection);
     }
--- a/node/src/test/java/embershift/Loopback.java
+++ b/node/src/test/java/embershift/Loopback.java
@@ -5,7 +5,7 @@
 
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -32,7 +32,7 @@
 
     protected static final int PATIENCE_MS = 10_000;
 
-    protected Loop loop;
+    protected EventLoop loop;
     protected Router router;
     protected InetSocketAddress address;
     protected ServerSocket discovery;
@@ -45,7 +45,7 @@
 
     @BeforeMethod
     public void beginLoop() throws IOException {
-        loop = new Loop();
+        loop = new EventLoop();
         discovery = listening();
         rosterOnRequest = true;
         settings = new String[0];
@@ -107,7 +107,7 @@
                             "\"" + settings[i] + "\":[^,}]*",
                             "\"" + settings[i] + "\":" + settings[i + 1]);
         }
-        return NodeConfiguration.read(text, null);
+        return NodeConfiguration.parse(text, null);
     }
 
     protected void reconfigure() throws Exception {
--- a/node/src/test/java/embershift/WireFormatTest.java
+++ b/node/src/test/java/embershift/WireFormatTest.java
@@ -83,9 +83,9 @@
                     return null;
                 });
         samples.text("line of a node that moves its sessions", hear(client));
-        samples.text("ban list", BanList.write(List.of(new HostId("h1"), new HostId("h \"2\""))));
+        samples.text("ban list", BanList.format(List.of(new HostId("h1"), new HostId("h \"2\""))));
         assertEquals(
-                BanList.read(BanList.write(List.of(new HostId("h1"), new HostId("h2")))),
+                BanList.parse(BanList.format(List.of(new HostId("h1"), new HostId("h2")))),
                 List.of(new HostId("h1"), new HostId("h2")));
         TreeSet<String> names = new TreeSet<>();
         on(() -> router.tally().toString())
--- a/node/src/test/java/embershift/adapter/AdapterTest.java
+++ b/node/src/test/java/embershift/adapter/AdapterTest.java
@@ -110,8 +110,10 @@
 
     @Test(dataProvider = "unreadable")
     public void unreadableLineIsNamedWithItsField(String line, String field) {
-        UnreadableLine told =
-                expectThrows(UnreadableLine.class, () -> play("BEGIN_BATCH 1 1", line, "COMMIT"));
+        MalformedLineException told =
+                expectThrows(
+                        MalformedLineException.class,
+                        () -> play("BEGIN_BATCH 1 1", line, "COMMIT"));
         String message = told.getMessage();
         assertTrue(message.startsWith("line 2: ") && message.contains(field), message);
     }
@@ -119,14 +121,14 @@
     @Test
     public void exceptionIsAnActionOfTheWire() {
         StringBuilder reply = new StringBuilder();
-        new Replies(5, reply).broken(new IllegalStateException("two\nlines"));
+        new DecisionWriter(5, reply).exception(new IllegalStateException("two\nlines"));
         assertEquals(reply.toString(), "EXCEPTION 5 java.lang.IllegalStateException: two lines\n");
     }
 
     @Test
     public void secondsAreWrittenWithTheirMicroseconds() {
         StringBuilder reply = new StringBuilder();
-        new Replies(5, reply).wakeAfter(0.0000125);
+        new DecisionWriter(5, reply).wakeAfter(0.0000125);
         assertEquals(reply.toString(), "WAKE_ME 5 0.000013 0\n");
     }
 }
--- a/node/src/test/java/embershift/operations/OperatorsTest.java
+++ b/node/src/test/java/embershift/operations/OperatorsTest.java
@@ -5,7 +5,7 @@
 
 import embershift.Loopback;
 import embershift.model.DeclineReason;
-import embershift.protocol.HttpReply;
+import embershift.protocol.HttpResponseParser;
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
 import java.io.IOException;
@@ -40,7 +40,7 @@
                                     .formatted(known.size(), host.getLocalPort())
                             + "\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":0}");
         }
-        return NodeConfiguration.read(
+        return NodeConfiguration.parse(
                 """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":%d},
              "known":{"generation":1,"reset":true,"instances":[%s]},
@@ -74,15 +74,15 @@
                 });
     }
 
-    private static HttpReply reply(Socket socket) throws Exception {
-        HttpReply reply = new HttpReply();
+    private static HttpResponseParser reply(Socket socket) throws Exception {
+        HttpResponseParser reply = new HttpResponseParser();
         // To the end of the connection: each answer must end it.
-        reply.take(ByteBuffer.wrap(socket.getInputStream().readAllBytes()));
-        assertTrue(reply.end());
+        reply.feed(ByteBuffer.wrap(socket.getInputStream().readAllBytes()));
+        assertTrue(reply.endOfInput());
         return reply;
     }
 
-    private HttpReply call(String method, String path) throws Exception {
+    private HttpResponseParser call(String method, String path) throws Exception {
         return reply(talk(operators, method + " " + path + " HTTP/1.1\r\nHost: n\r\n\r\n"));
     }
 
@@ -183,7 +183,7 @@
     public void crowdWithoutAWholeCallKeepsNoSoundCallerOutNorAnyClient() throws Exception {
         ServerSocket host = listening();
         // Beyond what this process holds already: tests before may have left it some.
-        start(on(loop::descriptors) + 1024, host);
+        start(on(loop::openDescriptors) + 1024, host);
         Socket first = talk(operators, "");
         for (int i = 0; i < 100; i++) {
             talk(operators, i % 2 == 0 ? "" : "GET /api/re");
@@ -203,7 +203,7 @@
     public void operatorsAreAnsweredWhereALowerLimitLeavesTunnelsMoreThanThereIs()
             throws Exception {
         ServerSocket host = listening();
-        int held = on(loop::descriptors);
+        int held = on(loop::openDescriptors);
         start(held + 200, host);
         List<Socket[]> tunnels = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
@@ -233,7 +233,7 @@
 
     @Test
     public void operatorsAreAnsweredWhereClientsHaveTakenAllDescriptors() throws Exception {
-        start(on(loop::descriptors) + Router.OPERATORS + 60);
+        start(on(loop::openDescriptors) + Router.OPERATORS + 60);
         for (int i = 0; i < 150; i++) {
             talk(clients, i % 2 == 0 ? "" : "OPEN ");
         }
--- a/node/src/test/java/embershift/program/ReplaceTest.java
+++ b/node/src/test/java/embershift/program/ReplaceTest.java
@@ -236,7 +236,7 @@
         next.destroyForcibly().waitFor();
         assertTrue(call(management[0], "POST /api/include/s").contains("\"kept\":true"));
         assertEquals(
-                BanList.read(
+                BanList.parse(
                         Files.readString(
                                 folder.resolve(
                                         Neighbours.lists("127.0.0.1:" + port, "null in null")
@@ -415,12 +415,12 @@
     @Test
     public void banIsReadAsItWasWrittenAndNothingElseIs() throws Exception {
         Set<HostId> bans = Set.of(new HostId("a\"\n{"), new HostId("\u00e9"));
-        String text = BanList.write(bans);
-        assertEquals(BanList.read(text), bans);
+        String text = BanList.format(bans);
+        assertEquals(BanList.parse(text), bans);
         for (int i = 0; i < text.length(); i++) {
             String cut = text.substring(0, i);
             org.testng.Assert.assertThrows(
-                    embershift.protocol.Unreadable.class, () -> BanList.read(cut));
+                    embershift.protocol.MalformedDataException.class, () -> BanList.parse(cut));
         }
     }
 }
--- a/node/src/test/java/embershift/protocol/HttpRequestTest.java
+++ b/node/src/test/java/embershift/protocol/HttpRequestParserTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.Test;
 
 /** Calls of operators, as they may come. */
-public class HttpRequestTest {
+public class HttpRequestParserTest {
 
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
@@ -49,15 +49,15 @@
     public void callIsReadTheSameHoweverItIsCut(String text, String method, List<String> path)
             throws Exception {
         for (int cut = 0; cut < text.length(); cut++) {
-            HttpRequest call = new HttpRequest();
-            assertFalse(call.read(bytes(text.substring(0, cut))), text.substring(0, cut));
-            assertTrue(call.read(bytes(text.substring(cut))));
+            HttpRequestParser call = new HttpRequestParser();
+            assertFalse(call.parse(bytes(text.substring(0, cut))), text.substring(0, cut));
+            assertTrue(call.parse(bytes(text.substring(cut))));
             assertEquals(call.method(), method);
             assertEquals(call.path(), path);
         }
-        HttpRequest call = new HttpRequest();
+        HttpRequestParser call = new HttpRequestParser();
         for (int i = 0; i < text.length(); i++) {
-            assertEquals(call.read(bytes(text.substring(i, i + 1))), i == text.length() - 1);
+            assertEquals(call.parse(bytes(text.substring(i, i + 1))), i == text.length() - 1);
         }
     }
 
@@ -92,7 +92,9 @@
     @Test(dataProvider = "wrong")
     public void whatIsNoCallIsRefusedWithItsStatus(String text, int status) {
         assertEquals(
-                expectThrows(HttpRequest.Refused.class, () -> new HttpRequest().read(bytes(text)))
+                expectThrows(
+                                HttpRequestParser.RejectedException.class,
+                                () -> new HttpRequestParser().parse(bytes(text)))
                         .status(),
                 status);
     }
@@ -100,9 +102,9 @@
     @Test
     public void namesWithQuotesAndControlCharactersComeOutAsSoundJson() throws Exception {
         String name = "a\"b\\c{}\n\u0000\u00e9\u2028";
-        assertEquals(Json.read(Json.quoted(name)), name);
+        assertEquals(Json.parse(Json.quote(name)), name);
         assertEquals(
-                HttpAnswer.error(404, name).bytes().remaining(),
-                HttpAnswer.error(404, name).bytes().array().length);
+                HttpResponse.error(404, name).encode().remaining(),
+                HttpResponse.error(404, name).encode().array().length);
     }
 }
--- a/node/src/test/java/embershift/protocol/ProtocolTest.java
+++ b/node/src/test/java/embershift/protocol/ProtocolTest.java
@@ -42,51 +42,54 @@
     }
 
     @Test(dataProvider = "splits")
-    public void linesAreCutFromBytesInAnySplit(int size) throws Unreadable {
-        Line lines = new Line();
+    public void linesAreCutFromBytesInAnySplit(int size) throws MalformedDataException {
+        LineCodec lines = new LineCodec();
         List<String> cut = new ArrayList<>();
         byte[] all = bytes("UP abc\r\n\r\nBYE x0=1\nrest");
         for (int at = 0; at < all.length; at += size) {
             ByteBuffer piece = ByteBuffer.wrap(all, at, Math.min(size, all.length - at)).slice();
             for (byte[] line = lines.next(piece); line != null; line = lines.next(piece)) {
-                cut.add(Line.text(line));
+                cut.add(LineCodec.decode(line));
             }
         }
         assertEquals(cut, List.of("UP abc", "", "BYE x0=1"));
-        assertTrue(lines.begun());
+        assertTrue(lines.hasPartialLine());
     }
 
     @Test
-    public void lineOfTheGreatestLengthIsTakenAndALongerOneIsNot() throws Unreadable {
-        String longest = "x".repeat(Line.LONGEST - 2) + "\r\n";
-        assertEquals(new Line().next(buffer(longest)).length, Line.LONGEST);
-        assertThrows(Unreadable.class, () -> new Line().next(buffer("x" + longest)));
+    public void lineOfTheGreatestLengthIsTakenAndALongerOneIsNot() throws MalformedDataException {
+        String longest = "x".repeat(LineCodec.MAX_LENGTH - 2) + "\r\n";
+        assertEquals(new LineCodec().next(buffer(longest)).length, LineCodec.MAX_LENGTH);
+        assertThrows(
+                MalformedDataException.class, () -> new LineCodec().next(buffer("x" + longest)));
     }
 
     @Test
-    public void lineThatNeverEndsIsGivenUpWhenItIsTooLong() throws Unreadable {
-        Line line = new Line();
-        assertNull(line.next(buffer("x".repeat(Line.LONGEST))));
-        assertThrows(Unreadable.class, () -> line.next(buffer("x")));
+    public void lineThatNeverEndsIsGivenUpWhenItIsTooLong() throws MalformedDataException {
+        LineCodec line = new LineCodec();
+        assertNull(line.next(buffer("x".repeat(LineCodec.MAX_LENGTH))));
+        assertThrows(MalformedDataException.class, () -> line.next(buffer("x")));
     }
 
     // ---- A client's first line ----
 
     @Test
-    public void openingKeepsItsBytesButForTheWait() throws Unreadable {
-        Opening opening = Opening.read(bytes("OPEN i k c=chat,zz=\u00e9,d=2000,g=b,r=1\r\n"));
-        assertEquals(text(opening.toHost(0.75)), "OPEN i k c=chat,zz=\u00e9,d=750,g=b,r=1\r\n");
+    public void openingKeepsItsBytesButForTheWait() throws MalformedDataException {
+        OpenRequest opening =
+                OpenRequest.parse(bytes("OPEN i k c=chat,zz=\u00e9,d=2000,g=b,r=1\r\n"));
+        assertEquals(
+                text(opening.encodeForHost(0.75)), "OPEN i k c=chat,zz=\u00e9,d=750,g=b,r=1\r\n");
     }
 
     @Test
-    public void openingTellsWhatDecisionsNeed() throws Unreadable {
-        Opening opening = Opening.read(bytes("OPEN i7 k c=chat,d=1500,g=b,at=s-1,h=0.2"));
+    public void openingTellsWhatDecisionsNeed() throws MalformedDataException {
+        OpenRequest opening = OpenRequest.parse(bytes("OPEN i7 k c=chat,d=1500,g=b,at=s-1,h=0.2"));
         assertEquals(
                 List.of(
                         opening.id(),
                         opening.profile(),
                         opening.group(),
-                        opening.standingAt(),
+                        opening.resumeHost(),
                         opening.clientTimeout()),
                 List.of(
                         new TunnelId("i7"),
@@ -121,9 +124,10 @@
         };
     }
 
-    @Test(dataProvider = "badOpenings", expectedExceptions = Unreadable.class)
-    public void openingThatLacksWhatIsNeededIsUnreadable(String line) throws Unreadable {
-        Opening.read(bytes(line));
+    @Test(dataProvider = "badOpenings", expectedExceptions = MalformedDataException.class)
+    public void openingThatLacksWhatIsNeededIsUnreadable(String line)
+            throws MalformedDataException {
+        OpenRequest.parse(bytes(line));
     }
 
     // ---- What hosts say ----
@@ -131,27 +135,27 @@
     @DataProvider
     public Object[][] hostLines() {
         return new Object[][] {
-            {"UP r-17", HostLine.Word.UP},
-            {"BYE", HostLine.Word.BYE},
-            {"MOVE", HostLine.Word.MOVE},
-            {"ERR", HostLine.Word.ERR},
-            {"BUSY x0=0.5", HostLine.Word.BUSY},
-            {"PONG", HostLine.Word.PONG},
-            {"SYNTAX", HostLine.Word.OTHER},
-            {"", HostLine.Word.OTHER},
-            {"UPPER", HostLine.Word.OTHER},
-            {"up", HostLine.Word.OTHER}
+            {"UP r-17", HostLine.Type.UP},
+            {"BYE", HostLine.Type.BYE},
+            {"MOVE", HostLine.Type.MOVE},
+            {"ERR", HostLine.Type.ERR},
+            {"BUSY x0=0.5", HostLine.Type.BUSY},
+            {"PONG", HostLine.Type.PONG},
+            {"SYNTAX", HostLine.Type.OTHER},
+            {"", HostLine.Type.OTHER},
+            {"UPPER", HostLine.Type.OTHER},
+            {"up", HostLine.Type.OTHER}
         };
     }
 
     @Test(dataProvider = "hostLines")
-    public void firstWordTellsWhatAHostMeans(String line, HostLine.Word word) {
-        assertEquals(HostLine.read(line).word(), word);
+    public void firstWordTellsWhatAHostMeans(String line, HostLine.Type word) {
+        assertEquals(HostLine.parse(line).type(), word);
     }
 
     @Test
     public void reportIsReadByItsNames() {
-        Report report = HostLine.read("PONG queue=2,x0=0.61,qps=9,inflight=7").report();
+        LoadReport report = HostLine.parse("PONG queue=2,x0=0.61,qps=9,inflight=7").report();
         assertEquals(
                 List.of(report.loadOverCapacity(), report.openTunnels(), report.queued()),
                 List.of(0.61, 7.0, 2.0));
@@ -159,29 +163,29 @@
 
     @Test
     public void senselessFiguresAreLeftOut() {
-        assertTrue(HostLine.read("PONG x0=NaN,inflight=-3,queue=,=4,,x0").report().empty());
+        assertTrue(HostLine.parse("PONG x0=NaN,inflight=-3,queue=,=4,,x0").report().isEmpty());
     }
 
     @Test(dataProvider = "splits")
     public void trailFindsTheLastWordInAnySplit(int size) {
-        Trail trail = new Trail();
+        HostLineTracker trail = new HostLineTracker();
         byte[] all = bytes("BYEBYE\r\nLOAD 2.5\r\nhello\r\nBYE x0=0.5\r\n");
         for (int at = 0; at < all.length; at += size) {
-            trail.follow(ByteBuffer.wrap(all, at, Math.min(size, all.length - at)).slice());
+            trail.observe(ByteBuffer.wrap(all, at, Math.min(size, all.length - at)).slice());
         }
-        assertEquals(trail.last().word(), HostLine.Word.BYE);
-        assertEquals(trail.last().report().loadOverCapacity(), 0.5);
+        assertEquals(trail.lastLine().type(), HostLine.Type.BYE);
+        assertEquals(trail.lastLine().report().loadOverCapacity(), 0.5);
         assertEquals(trail.takeLoad(), 2.5);
     }
 
     @Test
     public void trailStandsBetweenLinesOnlyAfterAnEnd() {
-        Trail trail = new Trail();
-        assertTrue(trail.betweenLines());
-        trail.follow(buffer("half"));
-        assertFalse(trail.betweenLines());
-        trail.follow(buffer(" a line\r\n"));
-        assertTrue(trail.betweenLines());
+        HostLineTracker trail = new HostLineTracker();
+        assertTrue(trail.atLineBoundary());
+        trail.observe(buffer("half"));
+        assertFalse(trail.atLineBoundary());
+        trail.observe(buffer(" a line\r\n"));
+        assertTrue(trail.atLineBoundary());
     }
 
     // ---- Discovery ----
@@ -192,13 +196,13 @@
                     + "\"lifecycle\":\"terminating\",\"weight\":1.5,\"startedAtMs\":1500}]}";
 
     @Test
-    public void pageTellsHostsAndTheirAddresses() throws Unreadable {
-        RosterPage page = RosterPage.read(PAGE);
+    public void pageTellsHostsAndTheirAddresses() throws MalformedDataException {
+        RosterUpdate page = RosterUpdate.parse(PAGE);
         Listing listing = page.listings().get(0);
         assertEquals(
                 List.of(
                         page.generation(),
-                        page.whole(),
+                        page.full(),
                         listing.state(),
                         listing.launchedAt(),
                         listing.cell()),
@@ -207,9 +211,9 @@
     }
 
     @Test
-    public void hostInAnUnheardOfStateGetsNothingNew() throws Unreadable {
+    public void hostInAnUnheardOfStateGetsNothingNew() throws MalformedDataException {
         assertEquals(
-                RosterPage.read(PAGE.replace("terminating", "asleep")).listings().get(0).state(),
+                RosterUpdate.parse(PAGE.replace("terminating", "asleep")).listings().get(0).state(),
                 Listing.State.GONE);
     }
 
@@ -225,11 +229,12 @@
     }
 
     @Test(dataProvider = "badEntries")
-    public void oneBadEntryDoesNotLoseTheOthers(String sound, String broken) throws Unreadable {
+    public void oneBadEntryDoesNotLoseTheOthers(String sound, String broken)
+            throws MalformedDataException {
         String entry = PAGE.substring(PAGE.indexOf('[') + 1, PAGE.indexOf(']'));
         String both = entry.replace(sound, broken) + "," + entry.replace("s-1", "s-2");
-        RosterPage page = RosterPage.read(PAGE.replace(entry, both));
-        assertEquals(page.unreadable(), 1);
+        RosterUpdate page = RosterUpdate.parse(PAGE.replace(entry, both));
+        assertEquals(page.malformedEntries(), 1);
         assertEquals(page.listings().get(0).host(), new HostId("s-2"));
     }
 
@@ -246,15 +251,15 @@
         };
     }
 
-    @Test(dataProvider = "badPages", expectedExceptions = Unreadable.class)
-    public void pageThatIsBrokenIsUnreadable(String text) throws Unreadable {
-        RosterPage.read(text);
+    @Test(dataProvider = "badPages", expectedExceptions = MalformedDataException.class)
+    public void pageThatIsBrokenIsUnreadable(String text) throws MalformedDataException {
+        RosterUpdate.parse(text);
     }
 
     @Test
-    public void jsonOfAllKindsIsRead() throws Unreadable {
+    public void jsonOfAllKindsIsRead() throws MalformedDataException {
         assertEquals(
-                Json.read(" {\"a\":[1,-2.5e1,true,null,\"\\u0041\\n\\\"\"],\"b\":{}} "),
+                Json.parse(" {\"a\":[1,-2.5e1,true,null,\"\\u0041\\n\\\"\"],\"b\":{}} "),
                 Map.of(
                         "a",
                         java.util.Arrays.asList(1.0, -25.0, true, null, "A\n\""),
@@ -264,7 +269,7 @@
 
     @Test
     public void jsonNestedWithoutEndIsUnreadable() {
-        assertThrows(Unreadable.class, () -> Json.read("[".repeat(100_000)));
+        assertThrows(MalformedDataException.class, () -> Json.parse("[".repeat(100_000)));
     }
 
     @DataProvider
@@ -295,40 +300,42 @@
 
     @Test(dataProvider = "replies")
     public void replyIsWholeWithItsLastByte(String all, int status, String body, boolean kept)
-            throws Unreadable {
-        HttpReply reply = new HttpReply();
+            throws MalformedDataException {
+        HttpResponseParser reply = new HttpResponseParser();
         byte[] bytes = bytes(all);
         for (int i = 0; i < bytes.length; i++) {
-            assertEquals(reply.take(ByteBuffer.wrap(bytes, i, 1).slice()), i == bytes.length - 1);
+            assertEquals(reply.feed(ByteBuffer.wrap(bytes, i, 1).slice()), i == bytes.length - 1);
         }
         assertEquals(
-                List.of(reply.status(), reply.body(), reply.keptOpen()),
+                List.of(reply.status(), reply.body(), reply.keepAlive()),
                 List.of(status, body, kept));
     }
 
     @Test
-    public void replyWithoutLengthEndsWithItsConnection() throws Unreadable {
-        HttpReply reply = new HttpReply();
-        assertFalse(reply.take(buffer("HTTP/1.1 200 OK\r\n\r\nhello")));
-        assertTrue(reply.end());
+    public void replyWithoutLengthEndsWithItsConnection() throws MalformedDataException {
+        HttpResponseParser reply = new HttpResponseParser();
+        assertFalse(reply.feed(buffer("HTTP/1.1 200 OK\r\n\r\nhello")));
+        assertTrue(reply.endOfInput());
         assertEquals(reply.body(), "hello");
     }
 
     @Test
-    public void replyCutShortIsNotWhole() throws Unreadable {
-        HttpReply reply = new HttpReply();
-        reply.take(buffer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhel"));
-        assertFalse(reply.end());
+    public void replyCutShortIsNotWhole() throws MalformedDataException {
+        HttpResponseParser reply = new HttpResponseParser();
+        reply.feed(buffer("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhel"));
+        assertFalse(reply.endOfInput());
     }
 
     @Test
     public void whatIsNoReplyIsUnreadable() {
-        assertThrows(Unreadable.class, () -> new HttpReply().take(buffer("PONG\r\n")));
         assertThrows(
-                Unreadable.class,
+                MalformedDataException.class,
+                () -> new HttpResponseParser().feed(buffer("PONG\r\n")));
+        assertThrows(
+                MalformedDataException.class,
                 () ->
-                        new HttpReply()
-                                .take(buffer("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n")));
+                        new HttpResponseParser()
+                                .feed(buffer("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n")));
     }
 
     // ---- The configuration ----
@@ -349,8 +356,8 @@
                        "warm-after-s":24,"fall-multiple":4,"fall-s":1.5}}}""";
 
     @Test
-    public void settingsBecomeADeployment() throws Unreadable {
-        NodeConfiguration configuration = NodeConfiguration.read(CONFIGURATION, null);
+    public void settingsBecomeADeployment() throws MalformedDataException {
+        NodeConfiguration configuration = NodeConfiguration.parse(CONFIGURATION, null);
         Deployment deployment = configuration.deployment();
         assertEquals(deployment.seed(), 0x8c1f30d27a5be964L);
         assertEquals(
@@ -366,7 +373,7 @@
         assertEquals(deployment.profiles().get(0).messageGoal(), 0.06);
         assertEquals(deployment.rank(), -1, "not told");
         String ranked = CONFIGURATION.replace("\"az\"", "\"rank\":3,\"az\"");
-        assertEquals(NodeConfiguration.read(ranked, null).deployment().rank(), 3);
+        assertEquals(NodeConfiguration.parse(ranked, null).deployment().rank(), 3);
     }
 
     @DataProvider
@@ -382,9 +389,9 @@
 
     @Test(dataProvider = "budgets")
     public void budgetOfFurtherSetupsIsReadOrThereIsNone(String rules, Deployment.Budget budget)
-            throws Unreadable {
+            throws MalformedDataException {
         String text = CONFIGURATION.replace("\"rules\":{", "\"rules\":{" + rules);
-        assertEquals(NodeConfiguration.read(text, null).deployment().budget(), budget);
+        assertEquals(NodeConfiguration.parse(text, null).deployment().budget(), budget);
     }
 
     @DataProvider
@@ -404,9 +411,9 @@
     @Test(dataProvider = "needed")
     public void whatIsMissingIsNamed(String key, String named) {
         String text = CONFIGURATION.replace(key, "\"other\"");
-        Unreadable e =
+        MalformedDataException e =
                 org.testng.Assert.expectThrows(
-                        Unreadable.class, () -> NodeConfiguration.read(text, null));
+                        MalformedDataException.class, () -> NodeConfiguration.parse(text, null));
         assertTrue(e.getMessage().contains(named), e.getMessage());
     }
 
@@ -414,14 +421,14 @@
     public void beginningOfALineWaitsForItsEndInWhateverPiecesItComes() {
         String text =
                 "one\r\ntwo and\r\n\r\nthree\r\n"
-                        + "x".repeat(Line.LONGEST + 10)
+                        + "x".repeat(LineCodec.MAX_LENGTH + 10)
                         + "\r\nlast without";
         for (int size : new int[] {1, 2, 7, 64, text.length()}) {
-            Tail tail = new Tail();
+            PartialLineBuffer tail = new PartialLineBuffer();
             StringBuilder passed = new StringBuilder();
             for (int at = 0; at < text.length(); at += size) {
                 String piece = text.substring(at, Math.min(text.length(), at + size));
-                tail.pass(
+                tail.forward(
                         ByteBuffer.wrap(piece.getBytes(StandardCharsets.ISO_8859_1)),
                         bytes -> passed.append(StandardCharsets.ISO_8859_1.decode(bytes)));
                 int from = Math.max(0, passed.lastIndexOf("\n") + 1);
@@ -430,12 +437,12 @@
                         passed.substring(from).isEmpty() || passed.indexOf("xxx") >= 0,
                         passed.toString());
             }
-            ByteBuffer rest = tail.rest();
+            ByteBuffer rest = tail.takeRemainder();
             assertEquals(
                     rest == null ? "" : StandardCharsets.ISO_8859_1.decode(rest).toString(),
                     "last without");
             assertEquals(passed + "last without", text);
-            assertNull(tail.rest());
+            assertNull(tail.takeRemainder());
         }
     }
 }
--- a/node/src/test/java/embershift/routing/CrossingsTest.java
+++ b/node/src/test/java/embershift/routing/CrossingsTest.java
@@ -627,7 +627,7 @@
         ServerSocket host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         open.add(host);
         int clients = 60;
-        int limit = on(loop::descriptors) + clients + 50;
+        int limit = on(loop::openDescriptors) + clients + 50;
         start("" + limit, host);
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
@@ -653,6 +653,6 @@
         long sent = counted("tunnels taken") - counted("tunnels declined for want of descriptors");
         awaitCounted("setups sent", sent);
         assertTrue(sent > 0 && sent < clients, "sent " + sent);
-        assertTrue(on(loop::descriptors) <= limit, on(loop::descriptors) + " of " + limit);
+        assertTrue(on(loop::openDescriptors) <= limit, on(loop::openDescriptors) + " of " + limit);
     }
 }
--- a/node/src/test/java/embershift/routing/DepartedClientsTest.java
+++ b/node/src/test/java/embershift/routing/DepartedClientsTest.java
@@ -116,8 +116,9 @@
                                                         InetAddress.getLoopbackAddress(), 0),
                                                 () -> true,
                                                 link -> {
-                                                    link.events(
-                                                            new embershift.transport.Link.Events() {
+                                                    link.setListener(
+                                                            new embershift.transport.TcpConnection
+                                                                    .Listener() {
                                                                 @Override
                                                                 public void received(
                                                                         ByteBuffer bytes) {
@@ -125,18 +126,18 @@
                                                                 }
 
                                                                 @Override
-                                                                public void ended() {
+                                                                public void inputEnded() {
                                                                     link.close();
                                                                 }
 
                                                                 @Override
-                                                                public void broken() {
+                                                                public void connectionLost() {
                                                                     link.close();
                                                                 }
                                                             });
                                                     in.countDown();
                                                 })
-                                        .address());
+                                        .localAddress());
         staller = talk(at, "");
         in.await();
     }
@@ -307,7 +308,7 @@
             } catch (InterruptedException e) {
                 return;
             }
-            loop.after(0.012, () -> throttle(turns));
+            loop.schedule(0.012, () -> throttle(turns));
         }
     }
 
--- a/node/src/test/java/embershift/routing/DescriptorsTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorsTest.java
@@ -25,8 +25,8 @@
 
     /** Starts with so many descriptors beyond those that this process holds now. */
     private int startWith(int more, ServerSocket... hosts) throws Exception {
-        int limit = on(loop::descriptors) + more;
-        before = held() - on(loop::descriptors);
+        int limit = on(loop::openDescriptors) + more;
+        before = held() - on(loop::openDescriptors);
         ownBefore = open.size();
         start("" + limit, hosts);
         return limit;
@@ -107,11 +107,11 @@
         int most = 0;
         for (int i = 0; i < 6; i++) {
             idle(60);
-            most = Math.max(most, on(loop::descriptors));
+            most = Math.max(most, on(loop::openDescriptors));
         }
         // The crowd has filled what there is.
         awaitCounted("connections turned away for want of descriptors", 100);
-        most = Math.max(most, on(loop::descriptors));
+        most = Math.max(most, on(loop::openDescriptors));
         long back = System.nanoTime();
         ServerSocket again = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
         open.add(again);
@@ -137,7 +137,7 @@
             say(tunnel, "still here\r\n");
             assertEquals(hear(tunnel), "still here");
         }
-        most = Math.max(most, on(loop::descriptors));
+        most = Math.max(most, on(loop::openDescriptors));
         assertTrue(most <= limit, most + " of " + limit);
         assertEquals(counted("probes failed"), 0);
         assertEquals(counted("faults"), 0);
@@ -225,7 +225,7 @@
             assertTrue(
                     System.nanoTime() < until,
                     counted("probes answered") + " answered, failed " + counted("probes failed"));
-            most = Math.max(most, on(loop::descriptors));
+            most = Math.max(most, on(loop::openDescriptors));
         }
         assertEquals(counted("probes failed"), 0);
         assertTrue(most <= limit, most + " of " + limit);
--- a/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
@@ -93,7 +93,7 @@
             schedule = new WatchSchedule(mustAsk == 0, new Chance(~seed)::nextApart);
             module = mustAsk == 0 ? null : watching(seed, mustAsk);
             now = begun;
-            schedule.called(now, true);
+            schedule.callStarted(now, true);
             fails = Double.isInfinite(fault.knownAfter) ? fault.knownAfter : 0;
             play();
         }
@@ -148,14 +148,14 @@
         private void play() {
             while (now < 2 * LONGEST_OUTAGE) {
                 double wake = wakes.isEmpty() ? Double.POSITIVE_INFINITY : wakes.peek();
-                double next = Math.min(Math.min(fails, schedule.due()), wake);
+                double next = Math.min(Math.min(fails, schedule.nextActionAt()), wake);
                 assertTrue(next < Double.POSITIVE_INFINITY, "never called again after " + now);
                 now = Math.max(now, next);
-                if (next == fails || (next == schedule.due() && schedule.calling())) {
+                if (next == fails || (next == schedule.nextActionAt() && schedule.isCalling())) {
                     fails = Double.POSITIVE_INFINITY;
-                    schedule.failed(now);
+                    schedule.callFailed(now);
                     round(News::rosterLost);
-                } else if (next == schedule.due()) {
+                } else if (next == schedule.nextActionAt()) {
                     call();
                 } else {
                     wakes.poll();
@@ -172,7 +172,7 @@
 
         private void call() {
             calls.add(now);
-            schedule.called(now, false);
+            schedule.callStarted(now, false);
             fails = now + fault.knownAfter;
         }
 
@@ -184,7 +184,7 @@
 
         @Override
         public void watchRoster(boolean on) {
-            if (schedule != null && !schedule.calling() && module != null) {
+            if (schedule != null && !schedule.isCalling() && module != null) {
                 call();
             }
         }
@@ -373,7 +373,7 @@
                                         () ->
                                                 loop.execute(
                                                         () ->
-                                                                loop.after(
+                                                                loop.schedule(
                                                                         4.4,
                                                                         () ->
                                                                                 many.complete(
--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -329,14 +329,14 @@
     @Test
     public void tunnelsAreDeclinedBeforeDescriptorsRunOut() throws Exception {
         ServerSocket host = listening();
-        start("" + (on(loop::descriptors) + 24), host);
+        start("" + (on(loop::openDescriptors) + 24), host);
         assertEquals(hear(client("OPEN i k c=p,d=3000\r\n")), "BUSY");
     }
 
     @Test
     public void connectionsWithoutAFirstLineMakeRoomAndEndInTime() throws Exception {
         ServerSocket host = listening();
-        start("" + (on(loop::descriptors) + 48), host);
+        start("" + (on(loop::openDescriptors) + 48), host);
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             silent.add(client(i % 2 == 0 ? "" : "OPEN half"));
--- a/node/src/test/java/embershift/routing/StandingFaultsTest.java
+++ b/node/src/test/java/embershift/routing/StandingFaultsTest.java
@@ -113,7 +113,7 @@
     public void connectionsTakenInWhileTheLoopStandsStillKeepToTheLimit() throws Exception {
         int room = 60;
         int clients = 200;
-        start("" + (on(loop::descriptors) + room));
+        start("" + (on(loop::openDescriptors) + room));
         Runnable goOn = hold();
         int before = new File("/proc/self/fd").list().length;
         for (int i = 0; i < clients; i++) {
@@ -134,7 +134,7 @@
         ServerSocket host = listening();
         start("1024", host);
         Socket[] ends = opened(host);
-        onLoop(() -> router.heldElsewhere(1024 - loop.descriptors(), 1));
+        onLoop(() -> router.heldElsewhere(1024 - loop.openDescriptors(), 1));
         try {
             Socket more = client("PING\r\n");
             awaitCounted("connections let in beyond the descriptors", 1);
--- a/node/src/test/java/embershift/routing/StandingTermsTest.java
+++ b/node/src/test/java/embershift/routing/StandingTermsTest.java
@@ -238,7 +238,7 @@
     @Test
     public void clientsThatSendMuchAtOnceAndGoTakeNothingFromASoundOne() throws Exception {
         ServerSocket host = listening();
-        int before = on(loop::descriptors);
+        int before = on(loop::openDescriptors);
         start("" + (before + 80), host);
         byte[] much = "no first line of ours\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < 200; i++) {
@@ -259,10 +259,10 @@
         assertEquals(hear(ends[1]), "line");
         // Its two sides, the listener, discovery's and the datagrams'.
         for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-                on(loop::descriptors) > before + 5; ) {
+                on(loop::openDescriptors) > before + 5; ) {
             assertTrue(
                     System.nanoTime() < until,
-                    on(loop::descriptors) + " held, " + before + " before");
+                    on(loop::openDescriptors) + " held, " + before + " before");
             Thread.sleep(5);
         }
         assertEquals(counted("faults"), 0);
--- a/node/src/test/java/embershift/transport/LastWordsTest.java
+++ b/node/src/test/java/embershift/transport/LastWordsTest.java
@@ -19,7 +19,7 @@
 public class LastWordsTest extends Loopback {
 
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-    private Link host;
+    private TcpConnection host;
 
     private static byte[] text(ByteBuffer bytes) {
         byte[] all = new byte[bytes.remaining()];
@@ -34,42 +34,42 @@
      */
     @Test
     public void lastWordsAreHeardThoughAWriteFoundTheResetThatFollowsThem() throws Exception {
-        CompletableFuture<Link> taken = new CompletableFuture<>();
-        Loop.Listening listening =
+        CompletableFuture<TcpConnection> taken = new CompletableFuture<>();
+        EventLoop.Acceptor listening =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         taken::complete);
-        Socket peer = talk(listening.address(), "");
+        Socket peer = talk(listening.localAddress(), "");
         host = taken.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
         on(
                 () -> {
-                    host.events(
-                            new Link.Events() {
+                    host.setListener(
+                            new TcpConnection.Listener() {
                                 @Override
                                 public void received(ByteBuffer bytes) {
                                     seen.add(new String(text(bytes), StandardCharsets.ISO_8859_1));
                                 }
 
                                 @Override
-                                public void ended() {
+                                public void inputEnded() {
                                     seen.add("ended");
                                 }
 
                                 @Override
-                                public void broken() {
+                                public void connectionLost() {
                                     seen.add("broken");
                                 }
                             });
                     return null;
                 });
-        Loop.Listening other =
+        EventLoop.Acceptor other =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         link ->
-                                link.events(
-                                        new Link.Events() {
+                                link.setListener(
+                                        new TcpConnection.Listener() {
                                             @Override
                                             public void received(ByteBuffer bytes) {
                                                 try {
@@ -82,16 +82,16 @@
                                             }
 
                                             @Override
-                                            public void ended() {
+                                            public void inputEnded() {
                                                 // The test is over.
                                             }
 
                                             @Override
-                                            public void broken() {
+                                            public void connectionLost() {
                                                 // The test is over.
                                             }
                                         }));
-        talk(other.address(), "line\r\n");
+        talk(other.localAddress(), "line\r\n");
         assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
         assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "broken");
     }
--- a/node/src/test/java/embershift/transport/LoopTest.java
+++ b/node/src/test/java/embershift/transport/LoopTest.java
@@ -19,11 +19,11 @@
 public class LoopTest {
 
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-    private Loop loop;
+    private EventLoop loop;
 
     @BeforeMethod
     public void begin() throws IOException {
-        loop = new Loop();
+        loop = new EventLoop();
         seen.clear();
     }
 
@@ -33,19 +33,19 @@
     }
 
     /** Notes what a link tells. */
-    private class Seen implements Link.Events {
+    private class Seen implements TcpConnection.Listener {
         @Override
         public void received(ByteBuffer bytes) {
             seen.add("received " + bytes.remaining());
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             seen.add("ended");
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             seen.add("broken");
         }
     }
@@ -60,15 +60,15 @@
                 loop.listen(
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 () -> true,
-                                link -> link.events(new Seen()))
-                        .address();
+                                link -> link.setListener(new Seen()))
+                        .localAddress();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.getOutputStream().write(1);
             assertEquals(next(), "received 1");
             CountDownLatch sent = new CountDownLatch(1);
             loop.execute(
                     () -> {
-                        loop.after(0.01, () -> seen.add("timer"));
+                        loop.schedule(0.01, () -> seen.add("timer"));
                         double until = loop.now() + 0.2;
                         try {
                             sent.await();
@@ -95,22 +95,22 @@
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 () -> true,
                                 link -> {
-                                    link.events(
+                                    link.setListener(
                                             new Seen() {
                                                 @Override
                                                 public void received(ByteBuffer bytes) {
                                                     link.write(ByteBuffer.allocate(many));
-                                                    seen.add("waits " + link.backedUp());
+                                                    seen.add("waits " + link.hasPendingWrites());
                                                 }
 
                                                 @Override
-                                                public void draining() {
+                                                public void beforeFlush() {
                                                     seen.add("draining");
                                                     link.close();
                                                 }
                                             });
                                 })
-                        .address();
+                        .localAddress();
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout(10_000);
             socket.getOutputStream().write(1);
@@ -130,16 +130,16 @@
                                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                                 () -> true,
                                 link -> {
-                                    link.events(new Seen());
+                                    link.setListener(new Seen());
                                     try {
                                         sent.await();
                                     } catch (InterruptedException e) {
                                         Thread.currentThread().interrupt();
                                     }
-                                    link.look();
+                                    link.readAvailable();
                                     seen.add("looked");
                                 })
-                        .address();
+                        .localAddress();
         Socket socket = new Socket(address.getAddress(), address.getPort());
         socket.getOutputStream().write(new byte[5000]);
         socket.close();
@@ -153,8 +153,8 @@
     public void timerThatIsTakenBackDoesNotRun() throws Exception {
         loop.execute(
                 () -> {
-                    loop.after(0.01, () -> seen.add("taken back")).cancel();
-                    loop.after(0.02, () -> seen.add("kept"));
+                    loop.schedule(0.01, () -> seen.add("taken back")).cancel();
+                    loop.schedule(0.02, () -> seen.add("kept"));
                 });
         assertEquals(next(), "kept");
     }
--- a/node/src/test/java/embershift/transport/SocketOptionsTest.java
+++ b/node/src/test/java/embershift/transport/SocketOptionsTest.java
@@ -19,13 +19,14 @@
 public class SocketOptionsTest extends Loopback {
 
     /** Asks the system, not the program: what a library was told need not have got there. */
-    private static boolean sendsAtOnce(Link link) throws ReflectiveOperationException, IOException {
-        Field connection = Link.class.getDeclaredField("connection");
+    private static boolean sendsAtOnce(TcpConnection link)
+            throws ReflectiveOperationException, IOException {
+        Field connection = TcpConnection.class.getDeclaredField("connection");
         connection.setAccessible(true);
         return ((StreamConnection) connection.get(link)).getOption(Options.TCP_NODELAY);
     }
 
-    private static final class Deaf implements Link.Events {
+    private static final class Deaf implements TcpConnection.Listener {
         private final CompletableFuture<Void> up = new CompletableFuture<>();
 
         @Override
@@ -39,12 +40,12 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             // As above.
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             // As above.
         }
     }
@@ -52,20 +53,20 @@
     @Test
     public void smallWritesOnWhatIsOpenedAndAcceptedWaitForNoAcknowledgement() throws Exception {
         for (boolean shared : new boolean[] {false, true}) {
-            CompletableFuture<Link> accepted = new CompletableFuture<>();
-            Loop.Listening listening =
+            CompletableFuture<TcpConnection> accepted = new CompletableFuture<>();
+            EventLoop.Acceptor listening =
                     loop.listen(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                             shared,
                             () -> true,
                             accepted::complete);
-            talk(listening.address(), "");
-            Link link = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            talk(listening.localAddress(), "");
+            TcpConnection link = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
             assertTrue(on(() -> sendsAtOnce(link)));
         }
         ServerSocket host = listening();
         Deaf events = new Deaf();
-        Link opened =
+        TcpConnection opened =
                 on(() -> loop.connect((InetSocketAddress) host.getLocalSocketAddress(), events));
         events.up.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
         assertTrue(on(() -> sendsAtOnce(opened)));
--- a/rig/src/main/java/embershift/rig/scale/CountingProxy.java
+++ b/rig/src/main/java/embershift/rig/scale/CountingProxy.java
@@ -1,7 +1,7 @@
 package embershift.rig.scale;
 
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -22,20 +22,20 @@
  */
 final class CountingProxy implements AutoCloseable {
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Supplier<InetSocketAddress> target;
     private final AtomicLong fromNodes = new AtomicLong();
     private final AtomicLong toNodes = new AtomicLong();
     private final AtomicLong pieces = new AtomicLong();
-    private final Set<Link> open = new LinkedHashSet<>();
-    private final Loop.Listening listening;
+    private final Set<TcpConnection> open = new LinkedHashSet<>();
+    private final EventLoop.Acceptor listening;
     private boolean cut;
 
     /** {@code target}: where the instance listens, or null while it does not. */
-    CountingProxy(Loop loop, Supplier<InetSocketAddress> target) throws IOException {
+    CountingProxy(EventLoop loop, Supplier<InetSocketAddress> target) throws IOException {
         this.loop = loop;
         this.target = target;
-        CompletableFuture<Loop.Listening> listens = new CompletableFuture<>();
+        CompletableFuture<EventLoop.Acceptor> listens = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     try {
@@ -56,7 +56,7 @@
     }
 
     InetSocketAddress address() {
-        return listening.address();
+        return listening.localAddress();
     }
 
     /** Bytes that nodes have sent, bytes that they were sent, and pieces in both directions. */
@@ -78,13 +78,13 @@
                 () -> {
                     cut = on;
                     if (on) {
-                        Set.copyOf(open).forEach(Link::close);
+                        Set.copyOf(open).forEach(TcpConnection::close);
                         open.clear();
                     }
                 });
     }
 
-    private void accepted(Link node) {
+    private void accepted(TcpConnection node) {
         InetSocketAddress at = target.get();
         if (cut || at == null) {
             node.close();
@@ -93,11 +93,11 @@
         open.add(node);
         Deque<byte[]> early = new ArrayDeque<>();
         boolean[] there = new boolean[1];
-        Link[] instance = new Link[1];
+        TcpConnection[] instance = new TcpConnection[1];
         instance[0] =
                 loop.connect(
                         at,
-                        new Link.Events() {
+                        new TcpConnection.Listener() {
                             @Override
                             public void connected() {
                                 there[0] = true;
@@ -106,7 +106,7 @@
                             }
 
                             @Override
-                            public void notConnected() {
+                            public void connectFailed() {
                                 end();
                             }
 
@@ -118,12 +118,12 @@
                             }
 
                             @Override
-                            public void ended() {
+                            public void inputEnded() {
                                 end();
                             }
 
                             @Override
-                            public void broken() {
+                            public void connectionLost() {
                                 end();
                             }
 
@@ -132,8 +132,8 @@
                             }
                         });
         open.add(instance[0]);
-        node.events(
-                new Link.Events() {
+        node.setListener(
+                new TcpConnection.Listener() {
                     @Override
                     public void received(ByteBuffer bytes) {
                         fromNodes.addAndGet(bytes.remaining());
@@ -148,18 +148,18 @@
                     }
 
                     @Override
-                    public void ended() {
+                    public void inputEnded() {
                         close(node, instance[0]);
                     }
 
                     @Override
-                    public void broken() {
+                    public void connectionLost() {
                         close(node, instance[0]);
                     }
                 });
     }
 
-    private void close(Link one, Link other) {
+    private void close(TcpConnection one, TcpConnection other) {
         open.remove(one);
         open.remove(other);
         one.close();
--- a/rig/src/main/java/embershift/rig/scale/FleetCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/FleetCosts.java
@@ -4,7 +4,7 @@
 import embershift.fleet.audit.AuditSegment;
 import embershift.rig.process.FleetSite;
 import embershift.rig.process.Instances;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -44,7 +44,7 @@
     private static final class Site implements AutoCloseable {
         private final Path folder = Files.createTempDirectory("scale");
         private final FleetSite site;
-        private final Loop ways = new Loop();
+        private final EventLoop ways = new EventLoop();
         private final List<CountingProxy> proxies = new ArrayList<>();
         private HollowNodes hollow;
         private final Map<Long, AtomicInteger> acted = new ConcurrentHashMap<>();
--- a/rig/src/main/java/embershift/rig/scale/HollowNodes.java
+++ b/rig/src/main/java/embershift/rig/scale/HollowNodes.java
@@ -5,10 +5,10 @@
 import embershift.door.TomlSettings;
 import embershift.operations.Bans;
 import embershift.program.Companion;
+import embershift.protocol.MalformedDataException;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Unreadable;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -39,7 +39,7 @@
     private static final double NANOS = 1e9;
     private static final long PATIENCE_S = 30;
 
-    private final List<Loop> loops = new ArrayList<>();
+    private final List<EventLoop> loops = new ArrayList<>();
     private final LongConsumer acted;
 
     /** Who was shut out, and why. */
@@ -69,13 +69,13 @@
         List<CompletableFuture<Void>> begun = new ArrayList<>();
         for (int i = 0; i < many; i++) {
             if (i % TOGETHER == 0) {
-                loops.add(new Loop());
+                loops.add(new EventLoop());
             }
-            Loop loop = loops.get(loops.size() - 1);
+            EventLoop loop = loops.get(loops.size() - 1);
             String name = String.format("hollow%05d", i);
             CompletableFuture<Void> each = new CompletableFuture<>();
             begun.add(each);
-            loop.after(
+            loop.schedule(
                     startEvery * i,
                     () -> {
                         try {
@@ -86,7 +86,7 @@
                                     new FleetAgent(AgentSettings.read(doorFile)));
                             each.complete(null);
                         } catch (IOException
-                                | Unreadable
+                                | MalformedDataException
                                 | TomlSettings.InvalidSettingsException
                                 | RuntimeException e) {
                             each.completeExceptionally(e);
@@ -100,11 +100,11 @@
         }
     }
 
-    private void begin(Loop loop, String name, int discoveryPort, FleetAgent agent)
-            throws IOException, Unreadable {
+    private void begin(EventLoop loop, String name, int discoveryPort, FleetAgent agent)
+            throws IOException, MalformedDataException {
         // As FleetSite has it for nodes that are processes, so that both can be compared.
         NodeConfiguration configuration =
-                NodeConfiguration.read(
+                NodeConfiguration.parse(
                         """
             {"name":"%s","listen":"127.0.0.1:0","discovery":"127.0.0.1:%d","seed":"1",
              "settings":{"balancers":1,"az":"a","discovery":"subscribe",
@@ -118,7 +118,7 @@
         agent.begin(
                 new Companion.Node() {
                     @Override
-                    public Loop loop() {
+                    public EventLoop loop() {
                         return loop;
                     }
 
@@ -163,7 +163,7 @@
     /** Seconds of processor that the loops took so far. */
     double processor() throws IOException {
         double sum = 0;
-        for (Loop loop : loops) {
+        for (EventLoop loop : loops) {
             CompletableFuture<Long> told = new CompletableFuture<>();
             loop.execute(() -> told.complete(Cpu.now()));
             try {
@@ -185,6 +185,6 @@
 
     @Override
     public void close() {
-        loops.forEach(Loop::stop);
+        loops.forEach(EventLoop::stop);
     }
 }
--- a/rig/src/main/java/embershift/rig/scale/ListCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/ListCosts.java
@@ -4,8 +4,8 @@
 import embershift.door.JsonMessages;
 import embershift.fleet.endpoints.EndpointUpdate;
 import embershift.fleet.endpoints.PublishedEndpoints;
-import embershift.protocol.RosterPage;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.RosterUpdate;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -49,11 +49,11 @@
         long from = Cpu.now();
         try {
             for (int i = 0; i < TIMES; i++) {
-                if (RosterPage.read(page).listings().size() != hosts) {
+                if (RosterUpdate.parse(page).listings().size() != hosts) {
                     throw new IllegalStateException("not all hosts were read");
                 }
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             throw new IllegalStateException(e);
         }
         double read = Cpu.since(from) / TIMES;
--- a/rig/src/test/java/embershift/rig/ScaleTest.java
+++ b/rig/src/test/java/embershift/rig/ScaleTest.java
@@ -70,7 +70,7 @@
             },
             {
                 "lists",
-                "node/src/main/java/embershift/protocol/RosterPage.java",
+                "node/src/main/java/embershift/protocol/RosterUpdate.java",
                 "listings.add(listing);",
                 "listings.add(listing);\n                listings.toString();"
             },
