--- a/node/src/main/java/embershift/protocol/WatchSchedule.java
+++ b/node/src/main/java/embershift/protocol/WatchSchedule.java
@@ -6,7 +6,7 @@
  * When a watch at discovery calls, how long a call may wait there, when it is given up and when the
  * next one begins. A watch is a chain of calls, one after the other on a kept connection. Has no
  * sockets and no clock: it is fed the time, in seconds, and what has happened, and says by {@link
- * #due} when it has to be looked at again.
+ * #nextActionAt} when it has to be looked at again.
  *
  * <p>What discovery has counts as told six seconds after it could be reached, whatever became of
  * the calls before. A call that begins once it can be reached is answered within two seconds, or
--- a/node/src/main/java/embershift/routing/HostEndpoint.java
+++ b/node/src/main/java/embershift/routing/HostEndpoint.java
@@ -239,7 +239,7 @@
 
     @Override
     public void connectFailed() {
-        connectionLost();
+        failProbe();
     }
 
     @Override
@@ -260,7 +260,7 @@
             }
         } catch (MalformedDataException e) {
             router.tally().count("probes unreadable");
-            connectionLost();
+            failProbe();
         }
     }
 
@@ -295,11 +295,11 @@
             router.tally().count("probes asked again");
             reconnect();
         } else {
-            connectionLost();
+            failProbe();
         }
     }
 
-    private void connectionLost() {
+    private void failProbe() {
         releaseConnection();
         endProbe(false, LoadReport.NONE);
     }
