--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -29,8 +29,8 @@
 
 /**
  * Every decision of one embershift node. Make one from the node's {@link Deployment}, then call
- * {@link #runRound} whenever there is news or a wake-up asked for has come: it takes the news as
- * calls of {@link NodeEvents}, in order, and writes what is to be done into {@link Decisions}. Both
+ * {@link #round} whenever there is news or a wake-up asked for has come: it takes the news as calls
+ * of {@link NodeEvents}, in order, and writes what is to be done into {@link Decisions}. Both
  * interfaces are in embershift.model. The mechanism, a weighted draw over the hosts' reported load,
  * and each departure from it are told in docs/design.md.
  */
--- a/emulator/src/main/java/embershift/emulator/experiment/Lines.java
+++ b/emulator/src/main/java/embershift/emulator/experiment/Lines.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Adds one line to a file, whole or (if the program ends now) cut off, which {@link #parse}
+     * Adds one line to a file, whole or (if the program ends now) cut off, which {@link #read}
      * passes over.
      */
     static void append(Path file, Result result) throws IOException {
--- a/emulator/src/main/java/embershift/emulator/judge/Judge.java
+++ b/emulator/src/main/java/embershift/emulator/judge/Judge.java
@@ -16,8 +16,8 @@
  * <ol>
  *   <li>Each tunnel taken by a node that runs gets exactly one final answer before its client gives
  *       up.
- *   <li>No effect twice: see {@link #ran} and {@link #replyReceived}; and never two setups of a
- *       tunnel at once.
+ *   <li>No effect twice: see {@link #ran} and {@link #answered}; and never two setups of a tunnel
+ *       at once.
  *   <li>Nothing new to a host later than the grace after that node was told that it drains or is
  *       gone.
  *   <li>No host that has just started is pushed over.
--- a/node/src/main/java/embershift/protocol/HttpRequestParser.java
+++ b/node/src/main/java/embershift/protocol/HttpRequestParser.java
@@ -41,7 +41,7 @@
     private long bodyBytes;
     private int rejectionStatus = 400;
 
-    /** As {@link #tryAcquire}; what is wrong is told with its status. */
+    /** As {@link #feed}; what is wrong is told with its status. */
     public boolean parse(ByteBuffer bytes) throws RejectedException {
         try {
             return feed(bytes);
--- a/raft/src/main/java/embershift/raft/RaftPersistence.java
+++ b/raft/src/main/java/embershift/raft/RaftPersistence.java
@@ -144,7 +144,7 @@
         return isMarked;
     }
 
-    /** Returns what {@link #closeables} found; once only, so that it need not stay in memory. */
+    /** Returns what {@link #open} found; once only, so that it need not stay in memory. */
     public RecoveredState takeRecovered() {
         RecoveredState taken = recovered;
         recovered = null;
--- a/storage/src/main/java/embershift/storage/RecordLog.java
+++ b/storage/src/main/java/embershift/storage/RecordLog.java
@@ -27,7 +27,7 @@
     public record StoredRecord(long retentionKey, byte[] body) {}
 
     /**
-     * What {@link #closeables} found.
+     * What {@link #open} found.
      *
      * @param truncatedBytes bytes at the end that are discarded before the next write; no writer
      *     was ever told that they are durable, unless {@code isUntrusted}
@@ -78,7 +78,7 @@
         return new RecordLog(disk, maxFileBytes, LogRecovery.run(disk));
     }
 
-    /** Returns what {@link #closeables} found; once only, so that it need not stay in memory. */
+    /** Returns what {@link #open} found; once only, so that it need not stay in memory. */
     public Recovery takeRecovery() {
         Recovery taken = recovery;
         recovery = null;
