--- a/door/src/main/java/embershift/door/AgentSettings.java
+++ b/door/src/main/java/embershift/door/AgentSettings.java
@@ -65,7 +65,7 @@
 
     /** Reads a settings file; the exception's message is one line that names file and key. */
     public static AgentSettings read(Path file) throws TomlSettings.InvalidSettingsException {
-        return read(TomlSettings.text(file), file.toString());
+        return read(TomlSettings.readText(file), file.toString());
     }
 
     static AgentSettings read(String text, String file)
@@ -73,7 +73,7 @@
         AgentSettings settings =
                 TomlSettings.read(text, file, "door", tree -> {}, AgentSettings.class);
         for (String address : settings.instances) {
-            if (!TomlSettings.isAddress(address)) {
+            if (!TomlSettings.isValidAddress(address)) {
                 throw new TomlSettings.InvalidSettingsException(
                         file + ": " + address + ": a port is 65535 at the most");
             }
--- a/door/src/main/java/embershift/door/AuditUploader.java
+++ b/door/src/main/java/embershift/door/AuditUploader.java
@@ -24,7 +24,7 @@
     private final OrderAdmission admission;
     private final List<InstanceConnection> connections;
     private double sentAt = Double.NEGATIVE_INFINITY;
-    private int receiver;
+    private int receiverIndex;
 
     AuditUploader(
             EventLoop loop,
@@ -61,16 +61,16 @@
 
     /** Sends the oldest segment to another instance than last time, which did not store it. */
     void retry() {
-        sendFrom(receiver + 1);
+        sendToFirstAccepted(receiverIndex + 1);
     }
 
     /** A segment is stored; the next one goes the same way. */
-    void stored(long segmentNumber) {
+    void segmentStored(long segmentNumber) {
         log.acknowledged(segmentNumber);
-        sendFrom(receiver);
+        sendToFirstAccepted(receiverIndex);
     }
 
-    private void sendFrom(int first) {
+    private void sendToFirstAccepted(int first) {
         if (!registration.isRegistered() || admission.shutOutReason().isPresent()) {
             return;
         }
@@ -82,8 +82,8 @@
         sentAt = loop.now();
         for (int i = 0; i < connections.size(); i++) {
             int candidate = (first + i) % connections.size();
-            if (connections.get(candidate).isWelcomed()) {
-                receiver = candidate;
+            if (connections.get(candidate).isAccepted()) {
+                receiverIndex = candidate;
                 connections.get(candidate).send(NodeMessages.auditSegment(segment.get()));
                 return;
             }
--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -27,7 +27,7 @@
     private final Random random;
     private final AppliedEndpoints endpoints = new AppliedEndpoints();
     private double lastUpdateAt = Double.NEGATIVE_INFINITY;
-    private boolean isPublished;
+    private boolean usesPublishedList;
     private boolean isFallbackDue;
 
     EndpointFeed(
@@ -42,8 +42,8 @@
     }
 
     /** Whether the node goes by published lists, and doesn't poll discovery. */
-    boolean isPublished() {
-        return isPublished;
+    boolean usesPublishedList() {
+        return usesPublishedList;
     }
 
     FencingToken token() {
@@ -55,10 +55,10 @@
     }
 
     void tick(double now) {
-        if (!isPublished || now - lastUpdateAt <= settings.listTimeoutSeconds()) {
+        if (!usesPublishedList || now - lastUpdateAt <= settings.listTimeoutSeconds()) {
             return;
         }
-        isPublished = false;
+        usesPublishedList = false;
         isFallbackDue = true;
         // Not all at once: the holder of the task may have ended for everybody.
         node.loop()
@@ -68,7 +68,7 @@
     }
 
     private void fallBackToDiscovery() {
-        if (!isFallbackDue || isPublished) {
+        if (!isFallbackDue || usesPublishedList) {
             return;
         }
         isFallbackDue = false;
@@ -89,17 +89,17 @@
         }
         lastUpdateAt = node.loop().now();
         isFallbackDue = false;
-        if (!isPublished) {
-            isPublished = true;
-            replaceDiscovery(token, update);
+        if (!usesPublishedList) {
+            usesPublishedList = true;
+            switchToPublishedList(token, update);
         } else if (outcome == AppliedEndpoints.Outcome.APPLIED) {
             node.router().tally().count("lists taken");
-            node.router().applyRoster(update.isFullList() ? fullList() : difference(update));
+            node.router().applyRoster(update.isFullList() ? fullList() : deltaUpdate(update));
         }
         return outcome;
     }
 
-    private void replaceDiscovery(FencingToken token, EndpointUpdate update) {
+    private void switchToPublishedList(FencingToken token, EndpointUpdate update) {
         Map<String, String> fields =
                 Map.of(
                         "by", "list",
@@ -122,25 +122,29 @@
 
     @Override
     public RosterUpdate fullList() {
-        return page(true, endpoints.entries());
+        return rosterUpdate(true, endpoints.entries());
     }
 
-    private RosterUpdate difference(EndpointUpdate update) {
-        RosterUpdate page = page(false, update.changed());
+    private RosterUpdate deltaUpdate(EndpointUpdate update) {
+        RosterUpdate changedEntries = rosterUpdate(false, update.changed());
         if (update.removed().isEmpty()) {
-            return page;
+            return changedEntries;
         }
-        List<RosterEntry> listings = new ArrayList<>(page.listings());
-        update.removed().forEach(host -> listings.add(gone(host)));
+        List<RosterEntry> rosterEntries = new ArrayList<>(changedEntries.listings());
+        update.removed().forEach(host -> rosterEntries.add(removedEntry(host)));
         return new RosterUpdate(
-                page.generation(), false, listings, page.addresses(), page.malformedEntries());
+                changedEntries.generation(),
+                false,
+                rosterEntries,
+                changedEntries.addresses(),
+                changedEntries.malformedEntries());
     }
 
-    private static RosterEntry gone(String host) {
+    private static RosterEntry removedEntry(String host) {
         return new RosterEntry(new HostId(host), RosterEntry.State.GONE, null, 1, 0, 0);
     }
 
-    private RosterUpdate page(boolean isFull, Map<String, String> entries) {
+    private RosterUpdate rosterUpdate(boolean isFull, Map<String, String> entries) {
         String text =
                 "{\"generation\":"
                         + endpoints.number()
--- a/door/src/main/java/embershift/door/FleetAgent.java
+++ b/door/src/main/java/embershift/door/FleetAgent.java
@@ -10,10 +10,10 @@
 public final class FleetAgent implements NodeExtension {
 
     /** Exit status of a node that was shut out. */
-    public static final int SHUT_OUT = 5;
+    public static final int EXIT_SHUT_OUT = 5;
 
     /** Exit status of a node that left because it heard no instance any more. */
-    public static final int STALE = 6;
+    public static final int EXIT_STALE = 6;
 
     private final AgentSettings settings;
     private RunningAgent agent;
--- a/door/src/main/java/embershift/door/FrameCodec.java
+++ b/door/src/main/java/embershift/door/FrameCodec.java
@@ -55,7 +55,7 @@
     private ByteBuffer buffered = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
     /** Decodes what has come, and hands on the type and content of each complete frame. */
-    public void take(ByteBuffer bytes, Consumer<byte[]> receiver) throws MalformedFrameException {
+    public void decode(ByteBuffer bytes, Consumer<byte[]> receiver) throws MalformedFrameException {
         reserve(bytes.remaining());
         buffered.put(bytes).flip();
         while (buffered.remaining() >= HEADER_BYTES) {
--- a/door/src/main/java/embershift/door/InstanceConnection.java
+++ b/door/src/main/java/embershift/door/InstanceConnection.java
@@ -27,12 +27,12 @@
         void fencingTokenRead(TaskId task, FencingToken latest);
 
         /** Other connections may ask for an incarnation now. */
-        void registrationFreed();
+        void registrationAvailable();
     }
 
     private static final double MIN_BACKOFF_SECONDS = 0.1;
     private static final double MAX_BACKOFF_SECONDS = 2;
-    private static final double STUCK_SECONDS = 3;
+    private static final double STALL_TIMEOUT_SECONDS = 3;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -40,13 +40,13 @@
     private final Listener listener;
     private final Random random;
     private final Map<Long, TaskId> pendingReads = new LinkedHashMap<>();
-    private TcpConnection link;
+    private TcpConnection connection;
     private FrameCodec frames;
     private boolean isConnected;
     private boolean isHandshakeSent;
-    private boolean isWelcomed;
+    private boolean isAccepted;
     private double backoffSeconds = MIN_BACKOFF_SECONDS;
-    private double dialNotBefore;
+    private double nextConnectAt;
     private double handshakeStartedAt;
     private double lastReceivedAt;
     private double instanceTime;
@@ -66,67 +66,70 @@
     }
 
     /** Whether the instance has accepted this node. */
-    boolean isWelcomed() {
-        return isWelcomed;
+    boolean isAccepted() {
+        return isAccepted;
     }
 
     /** Dials when it is time to, and drops a connection that is stuck. */
     void tick(double now) {
-        if (link == null) {
-            if (now >= dialNotBefore) {
-                dial(now);
+        if (connection == null) {
+            if (now >= nextConnectAt) {
+                connect(now);
             }
-        } else if (isHandshakeStuck(now) || isSendingStuck(now)) {
-            drop(now);
+        } else if (isHandshakeStalled(now) || isSendStalled(now)) {
+            closeAndBackOff(now);
         }
     }
 
-    private boolean isHandshakeStuck(double now) {
-        return !isWelcomed
+    private boolean isHandshakeStalled(double now) {
+        return !isAccepted
                 && (isHandshakeSent || !isConnected)
-                && now - handshakeStartedAt > STUCK_SECONDS;
+                && now - handshakeStartedAt > STALL_TIMEOUT_SECONDS;
     }
 
-    private boolean isSendingStuck(double now) {
-        return link.hasPendingWrites() && now - lastReceivedAt > STUCK_SECONDS;
+    private boolean isSendStalled(double now) {
+        return connection.hasPendingWrites() && now - lastReceivedAt > STALL_TIMEOUT_SECONDS;
     }
 
-    private void dial(double now) {
+    private void connect(double now) {
         frames = new FrameCodec();
         isConnected = false;
         isHandshakeSent = false;
-        isWelcomed = false;
+        isAccepted = false;
         instanceTime = 0;
         pendingReads.clear();
         handshakeStartedAt = now;
         lastReceivedAt = now;
-        link = loop.connect(address, this);
+        connection = loop.connect(address, this);
     }
 
-    private void drop(double now) {
-        if (link != null) {
-            link.close();
-            link = null;
+    private void closeAndBackOff(double now) {
+        if (connection != null) {
+            connection.close();
+            connection = null;
         }
-        isWelcomed = false;
+        isAccepted = false;
         if (registration.connectionLost(this)) {
-            listener.registrationFreed();
+            listener.registrationAvailable();
         }
         // Others lost theirs at the same time: the jitter spreads their attempts.
         backoffSeconds = Math.min(MAX_BACKOFF_SECONDS, 2 * backoffSeconds);
-        dialNotBefore = now + backoffSeconds * (0.5 + random.nextDouble());
+        nextConnectAt = now + backoffSeconds * (0.5 + random.nextDouble());
     }
 
     /** Sends the first message, once the connection is up and this node may register on it. */
     void handshake() {
-        if (isHandshakeSent || !isConnected || link == null || !registration.mayHandshake(this)) {
+        if (isHandshakeSent
+                || !isConnected
+                || connection == null
+                || !registration.mayHandshake(this)) {
             return;
         }
         isHandshakeSent = true;
         handshakeStartedAt = loop.now();
         registration.handshakeSent(this);
-        link.write(
-                JsonMessages.frame(
+        connection.write(
+                JsonMessages.encodeFrame(
                         FrameCodec.NODE, NodeMessages.handshake(registration, loop.now())));
     }
 
@@ -134,21 +137,21 @@
     void send(ObjectNode message) {
         // By that the instance tells how old this message is, by its own clock alone.
         message.put("echo", instanceTime);
-        if (isWelcomed
-                && link != null
-                && !link.hasPendingWrites()
-                && !link.write(JsonMessages.frame(FrameCodec.NODE, message))) {
-            drop(loop.now());
+        if (isAccepted
+                && connection != null
+                && !connection.hasPendingWrites()
+                && !connection.write(JsonMessages.encodeFrame(FrameCodec.NODE, message))) {
+            closeAndBackOff(loop.now());
         }
     }
 
     /** Asks for a task's latest fencing token; an answer may never come. */
     void readFencingToken(TaskId task) {
-        if (link != null && isConnected) {
+        if (connection != null && isConnected) {
             lastCallId++;
             pendingReads.put(lastCallId, task);
-            link.write(
-                    JsonMessages.frame(
+            connection.write(
+                    JsonMessages.encodeFrame(
                             FrameCodec.CALL, NodeMessages.readFencingToken(task, lastCallId)));
         }
     }
@@ -161,36 +164,36 @@
 
     @Override
     public void connectFailed() {
-        link = null;
-        drop(loop.now());
+        connection = null;
+        closeAndBackOff(loop.now());
     }
 
     @Override
     public void received(ByteBuffer bytes) {
         lastReceivedAt = loop.now();
         try {
-            frames.take(bytes, this::receivedFrame);
+            frames.decode(bytes, this::receivedFrame);
         } catch (FrameCodec.MalformedFrameException e) {
-            drop(loop.now());
+            closeAndBackOff(loop.now());
         }
     }
 
     private void receivedFrame(byte[] frame) {
         try {
             if (frame[0] == FrameCodec.ORDER) {
-                receivedMessage(InstanceMessage.decode(JsonMessages.read(frame)));
+                receivedMessage(InstanceMessage.decode(JsonMessages.decodeFrame(frame)));
             } else if (frame[0] == FrameCodec.ANSWER) {
-                receivedAnswer(JsonMessages.read(frame));
+                receivedAnswer(JsonMessages.decodeFrame(frame));
             }
         } catch (FrameCodec.MalformedFrameException e) {
-            drop(loop.now());
+            closeAndBackOff(loop.now());
         }
     }
 
     private void receivedMessage(InstanceMessage message) {
         instanceTime = Math.max(instanceTime, message.instanceTime());
         if (message.content() instanceof InstanceMessage.Welcome) {
-            isWelcomed = true;
+            isAccepted = true;
             backoffSeconds = MIN_BACKOFF_SECONDS;
         }
         listener.received(this, message);
@@ -206,11 +209,11 @@
 
     @Override
     public void inputEnded() {
-        drop(loop.now());
+        closeAndBackOff(loop.now());
     }
 
     @Override
     public void connectionLost() {
-        drop(loop.now());
+        closeAndBackOff(loop.now());
     }
 }
--- a/door/src/main/java/embershift/door/JsonMessages.java
+++ b/door/src/main/java/embershift/door/JsonMessages.java
@@ -25,31 +25,31 @@
     private JsonMessages() {}
 
     /** Creates an empty object. */
-    public static ObjectNode node() {
+    public static ObjectNode newObject() {
         return JSON.createObjectNode();
     }
 
     /** Creates a message of a kind. */
-    public static ObjectNode node(String kind) {
+    public static ObjectNode newMessage(String kind) {
         return JSON.createObjectNode().put("kind", kind);
     }
 
     /** Encodes an object. */
-    public static byte[] bytes(ObjectNode node) {
+    public static byte[] encode(ObjectNode object) {
         try {
-            return JSON.writeValueAsBytes(node);
+            return JSON.writeValueAsBytes(object);
         } catch (JacksonException e) {
             throw new IllegalStateException(e);
         }
     }
 
     /** Encodes an object as the content of a frame. */
-    public static ByteBuffer frame(byte type, ObjectNode node) {
-        return FrameCodec.encode(type, bytes(node));
+    public static ByteBuffer encodeFrame(byte type, ObjectNode object) {
+        return FrameCodec.encode(type, encode(object));
     }
 
     /** Decodes the object that follows a frame's type. */
-    public static ObjectNode read(byte[] frame) throws FrameCodec.MalformedFrameException {
+    public static ObjectNode decodeFrame(byte[] frame) throws FrameCodec.MalformedFrameException {
         try {
             if (JSON.readTree(frame, 1, frame.length - 1) instanceof ObjectNode object) {
                 return object;
@@ -72,7 +72,7 @@
     }
 
     /** Returns the texts of an object by their names; null for those that are null. */
-    public static Map<String, String> texts(JsonNode object) {
+    public static Map<String, String> readTexts(JsonNode object) {
         Map<String, String> texts = new LinkedHashMap<>();
         object.properties()
                 .forEach(
@@ -86,31 +86,31 @@
     }
 
     /** Writes texts by their names. */
-    public static void texts(ObjectNode object, Map<String, String> texts) {
+    public static void putTexts(ObjectNode object, Map<String, String> texts) {
         texts.forEach(object::put);
     }
 
     /** Returns the values of an object by their names; empty for those that are null. */
-    public static Map<String, Optional<String>> changes(JsonNode object) {
+    public static Map<String, Optional<String>> readChanges(JsonNode object) {
         Map<String, Optional<String>> changes = new LinkedHashMap<>();
-        texts(object).forEach((name, value) -> changes.put(name, Optional.ofNullable(value)));
+        readTexts(object).forEach((name, value) -> changes.put(name, Optional.ofNullable(value)));
         return changes;
     }
 
     /** Writes values by their names; null for those that are empty. */
-    public static void changes(ObjectNode object, Map<String, Optional<String>> changes) {
+    public static void putChanges(ObjectNode object, Map<String, Optional<String>> changes) {
         changes.forEach((name, value) -> object.put(name, value.orElse(null)));
     }
 
     /** Returns the texts of an array, in their order. */
-    public static Set<String> list(JsonNode array) {
+    public static Set<String> readList(JsonNode array) {
         Set<String> texts = new LinkedHashSet<>();
         array.forEach(each -> texts.add(each.asText()));
         return texts;
     }
 
     /** Adds texts to an array. */
-    public static void list(ArrayNode array, Collection<String> texts) {
+    public static void addTexts(ArrayNode array, Collection<String> texts) {
         texts.forEach(array::add);
     }
 }
--- a/door/src/main/java/embershift/door/Main.java
+++ b/door/src/main/java/embershift/door/Main.java
@@ -17,11 +17,11 @@
 /** The command line of a node with an agent. The platform's run starts the node without one. */
 public final class Main {
 
-    private static final int USAGE = 2;
-    private static final int CANNOT_START = 4;
+    private static final int EXIT_USAGE = 2;
+    private static final int EXIT_START_FAILED = 4;
 
     /** Stands for no exit status: the node lives on its loop. */
-    private static final int RUNNING = -1;
+    private static final int NO_EXIT_STATUS = -1;
 
     private Main() {}
 
@@ -72,18 +72,20 @@
                 names = {"--help", "-h"},
                 description = "Say what there is",
                 help = true)
-        private boolean isWanted;
+        private boolean isRequested;
     }
 
     /** Runs a command; ends the process where it is done. */
     public static void main(String[] args) {
         int status = run(args);
-        if (status != RUNNING) {
+        if (status != NO_EXIT_STATUS) {
             System.exit(status);
         }
     }
 
-    /** Runs a command; returns its exit status, or {@link #RUNNING} where the node goes on. */
+    /**
+     * Runs a command; returns its exit status, or {@link #NO_EXIT_STATUS} where the node goes on.
+     */
     public static int run(String[] args) {
         try {
             return runCommand(args);
@@ -91,10 +93,10 @@
                 | MalformedDataException
                 | TomlSettings.InvalidSettingsException e) {
             System.err.println(e.getMessage().lines().findFirst().orElse(""));
-            return USAGE;
+            return EXIT_USAGE;
         } catch (IOException e) {
             System.err.println("can't start: " + e.getMessage());
-            return CANNOT_START;
+            return EXIT_START_FAILED;
         }
     }
 
@@ -112,12 +114,12 @@
                         .build();
         commands.parse(args);
         String command = commands.getParsedCommand();
-        if (help.isWanted) {
+        if (help.isRequested) {
             (command == null ? commands : commands.getCommands().get(command)).usage();
             return 0;
         } else if ("serve".equals(command)) {
             NodeProcess.start(serve::configuration, new FleetAgent(serve.settings()));
-            return RUNNING;
+            return NO_EXIT_STATUS;
         } else if ("check".equals(command)) {
             System.out.println(
                     "sound: "
--- a/door/src/main/java/embershift/door/NodeMessages.java
+++ b/door/src/main/java/embershift/door/NodeMessages.java
@@ -15,7 +15,7 @@
 
     /** The first message on a connection. */
     static ObjectNode handshake(Registration registration, double now) {
-        return JsonMessages.node("here")
+        return JsonMessages.newMessage("here")
                 .put("version", VERSION)
                 .put("name", registration.nodeName())
                 .put("boot", registration.bootId())
@@ -25,7 +25,7 @@
 
     /** A linearizable read of a task's latest fencing token, as any client of the store does it. */
     static ObjectNode readFencingToken(TaskId task, long callId) {
-        return JsonMessages.node()
+        return JsonMessages.newObject()
                 .put("call", "get")
                 .put("key", task.tokenKey())
                 .put("id", callId)
@@ -34,14 +34,14 @@
 
     /** A piece of the audit log. */
     static ObjectNode auditSegment(AuditSegment segment) {
-        return JsonMessages.node("trail")
+        return JsonMessages.newMessage("trail")
                 .put("number", segment.number())
                 .put("text", segment.encode());
     }
 
     /** What became of an order. */
     static ObjectNode verdict(InstanceMessage.Order order, OrderAdmission.Decision decision) {
-        return JsonMessages.node("verdict")
+        return JsonMessages.newMessage("verdict")
                 .put("id", order.id())
                 .put("duty", order.task().name())
                 .put("verdict", decision.verdict().wireName())
--- a/door/src/main/java/embershift/door/OrderAction.java
+++ b/door/src/main/java/embershift/door/OrderAction.java
@@ -12,13 +12,13 @@
 sealed interface OrderAction {
 
     /** The task whose orders publish the list of endpoints. */
-    TaskId LISTS = new TaskId("lists");
+    TaskId ENDPOINTS_TASK = new TaskId("lists");
 
     /** The task whose orders bring nodes to a configuration revision. */
-    TaskId ROLLOUT = new TaskId("rollout");
+    TaskId ROLLOUT_TASK = new TaskId("rollout");
 
     /** The task whose orders restart hosts and nodes in steps. */
-    TaskId RELEASE = new TaskId("release");
+    TaskId RESTART_TASK = new TaskId("release");
 
     /** Take a change of the list of endpoints. */
     record UpdateEndpoints(EndpointUpdate update) implements OrderAction {}
@@ -36,13 +36,13 @@
     static OrderAction decode(InstanceMessage.Order order) {
         ObjectNode body = order.body();
         String what = body.path("what").asText();
-        if (what.equals("hosts") && order.task().equals(LISTS)) {
+        if (what.equals("hosts") && order.task().equals(ENDPOINTS_TASK)) {
             return new UpdateEndpoints(decodeEndpointUpdate(body));
-        } else if (what.equals("revision") && order.task().equals(ROLLOUT)) {
+        } else if (what.equals("revision") && order.task().equals(ROLLOUT_TASK)) {
             return new ApplyRevision(decodeRevision(body));
-        } else if (what.equals("out") && order.task().equals(RELEASE)) {
+        } else if (what.equals("out") && order.task().equals(RESTART_TASK)) {
             Set<HostId> hosts = new LinkedHashSet<>();
-            JsonMessages.list(body.path("hosts")).forEach(host -> hosts.add(new HostId(host)));
+            JsonMessages.readList(body.path("hosts")).forEach(host -> hosts.add(new HostId(host)));
             return new EjectHosts(hosts);
         }
         return new Unsupported(what);
@@ -53,8 +53,8 @@
                 body.path("number").asLong(),
                 body.path("base").asLong(),
                 body.path("generation").asLong(),
-                JsonMessages.texts(body.path("changed")),
-                JsonMessages.list(body.path("gone")));
+                JsonMessages.readTexts(body.path("changed")),
+                JsonMessages.readList(body.path("gone")));
     }
 
     private static AppliedRevision.Order decodeRevision(ObjectNode body) {
@@ -63,6 +63,6 @@
                 body.path("base").asLong(),
                 body.path("chain").asText(),
                 body.path("content").asText(),
-                JsonMessages.changes(body.path("fields")));
+                JsonMessages.readChanges(body.path("fields")));
     }
 }
--- a/door/src/main/java/embershift/door/OrderExecutor.java
+++ b/door/src/main/java/embershift/door/OrderExecutor.java
@@ -108,7 +108,7 @@
         // After the round of the policy that takes it.
         loop.execute(
                 () -> {
-                    if (revisions.takeEffect(order.token(), revision.number())) {
+                    if (revisions.confirmEffect(order.token(), revision.number())) {
                         answerAndReport(answer);
                     } else {
                         answer.run();
--- a/door/src/main/java/embershift/door/RestartEjections.java
+++ b/door/src/main/java/embershift/door/RestartEjections.java
@@ -16,24 +16,24 @@
     /** Seconds for which hosts stay ejected when no order confirms it any more. */
     private static final double LIFETIME_SECONDS = 30;
 
-    private final HostEjections bans;
+    private final HostEjections ejections;
     private final AuditUploader auditLog;
     private double expiresAt = Double.NEGATIVE_INFINITY;
 
-    RestartEjections(HostEjections bans, AuditUploader auditLog) {
-        this.bans = bans;
+    RestartEjections(HostEjections ejections, AuditUploader auditLog) {
+        this.ejections = ejections;
         this.auditLog = auditLog;
     }
 
     /** Ejects these hosts, and no others, until {@link #LIFETIME_SECONDS} have passed. */
     void replace(double now, FencingToken token, Set<HostId> hosts) {
         expiresAt = now + LIFETIME_SECONDS;
-        Set<HostId> before = bans.ejectedBy(EJECTION_SOURCE);
-        bans.replaceEjectedBy(EJECTION_SOURCE, hosts);
+        Set<HostId> before = ejections.ejectedBy(EJECTION_SOURCE);
+        ejections.replaceEjectedBy(EJECTION_SOURCE, hosts);
         if (!before.equals(hosts)) {
             auditLog.append(
                     AuditEntry.Kind.ORDER,
-                    EjectionChange.entryFields(OrderAction.RELEASE, token, before, hosts),
+                    EjectionChange.entryFields(OrderAction.RESTART_TASK, token, before, hosts),
                     "");
         }
     }
@@ -41,11 +41,11 @@
     void tick(double now) {
         if (now > expiresAt) {
             expiresAt = Double.POSITIVE_INFINITY;
-            bans.replaceEjectedBy(EJECTION_SOURCE, Set.of());
+            ejections.replaceEjectedBy(EJECTION_SOURCE, Set.of());
         }
     }
 
     Collection<String> hostNames() {
-        return bans.ejectedBy(EJECTION_SOURCE).stream().map(HostId::name).toList();
+        return ejections.ejectedBy(EJECTION_SOURCE).stream().map(HostId::name).toList();
     }
 }
--- a/door/src/main/java/embershift/door/RevisionApplier.java
+++ b/door/src/main/java/embershift/door/RevisionApplier.java
@@ -97,7 +97,7 @@
      * the next one came in the same turn, as they do to a process that stood still: no round ever
      * went by this one.
      */
-    boolean takeEffect(FencingToken token, long number) {
+    boolean confirmEffect(FencingToken token, long number) {
         if (revision.number() != number) {
             return false;
         }
@@ -114,9 +114,9 @@
         effectiveNumber = number;
         effectiveFields = revision.fields();
         Set<HostId> after = RevisionFields.ejectedHosts(effectiveFields);
-        fields.putAll(EjectionChange.entryFields(OrderAction.ROLLOUT, token, before, after));
+        fields.putAll(EjectionChange.entryFields(OrderAction.ROLLOUT_TASK, token, before, after));
         auditLog.append(AuditEntry.Kind.TOOK, fields, "");
-        sessions.watch(after);
+        sessions.trackSetupsTo(after);
     }
 
     private static Map<String, String> entryFields(FencingToken token, long number) {
@@ -128,32 +128,32 @@
 
     /** Returns the digest of what the node's parts go by, of the fields that the revision has. */
     String effectiveDigest() {
-        return ConfigRevision.contentDigest(readBack());
+        return ConfigRevision.contentDigest(readEffectiveFields());
     }
 
-    private SortedMap<String, String> readBack() {
+    private SortedMap<String, String> readEffectiveFields() {
         SortedMap<String, String> effective = new TreeMap<>();
         for (HostId host : node.ejections().ejectedBy(EJECTION_SOURCE)) {
             String field = ConfigRevision.EJECTED_PREFIX + host.name();
             effective.put(field, revision.fields().getOrDefault(field, ""));
         }
         for (String field : revision.fields().keySet()) {
-            readBack(field).ifPresent(value -> effective.put(field, value));
+            readEffectiveValue(field).ifPresent(value -> effective.put(field, value));
         }
         return effective;
     }
 
-    private Optional<String> readBack(String field) {
+    private Optional<String> readEffectiveValue(String field) {
         return switch (field) {
             case ConfigRevision.DISCOVERY ->
                     Optional.of(Addresses.format(router.discoveryAddress()));
             case ConfigRevision.SOCKETS -> Optional.of(String.valueOf(router.descriptorLimit()));
-            case ConfigRevision.PEERS -> Optional.of(written(router.peerAddresses()));
+            case ConfigRevision.PEERS -> Optional.of(formatAddresses(router.peerAddresses()));
             default -> Optional.empty();
         };
     }
 
-    private static String written(List<InetSocketAddress> addresses) {
+    private static String formatAddresses(List<InetSocketAddress> addresses) {
         return String.join(",", addresses.stream().map(Addresses::format).toList());
     }
 
--- a/door/src/main/java/embershift/door/RunningAgent.java
+++ b/door/src/main/java/embershift/door/RunningAgent.java
@@ -40,10 +40,10 @@
     private final OrderExecutor orders;
     private final double startedAt;
     private double lastHeardAt;
-    private long floor;
-    private boolean isWelcomed;
-    private boolean isLeaving;
-    private boolean recordedReady;
+    private long minRevision;
+    private boolean isAccepted;
+    private boolean isShuttingDown;
+    private boolean lastRecordedReady;
 
     RunningAgent(NodeExtension.NodeContext node, AgentSettings settings) {
         this.node = node;
@@ -81,7 +81,7 @@
             connections.add(
                     new InstanceConnection(
                             node.loop(),
-                            TomlSettings.socket(instance),
+                            TomlSettings.parseAddress(instance),
                             registration,
                             this,
                             random));
@@ -101,11 +101,11 @@
 
     /** Whether clients may be sent to this node, as far as the control plane is concerned. */
     boolean isReady() {
-        if (admission.shutOutReason().isPresent() || isLeaving) {
+        if (admission.shutOutReason().isPresent() || isShuttingDown) {
             return false;
         }
-        if (isWelcomed) {
-            return revision.number() >= floor;
+        if (isAccepted) {
+            return revision.number() >= minRevision;
         }
         // Without the instances a node serves by what it has, unless its operator wants otherwise.
         return settings.stalePolicy() == AgentSettings.StalePolicy.SERVE
@@ -118,7 +118,7 @@
 
     /** The node shuts down gracefully: what is left to tell is sent at once. */
     void shutDown() {
-        isLeaving = true;
+        isShuttingDown = true;
         sessions.record(node.loop().now(), true);
         auditLog.append(AuditEntry.Kind.ENDS, Map.of(), "");
         reportNow();
@@ -134,32 +134,32 @@
         recordReadiness();
         sessions.tick(now);
         auditLog.tick(now);
-        leaveIfStale(now);
+        exitIfStale(now);
         node.loop().schedule(TICK_SECONDS, this::tick);
     }
 
     private void recordReadiness() {
         boolean isReady = isReady();
-        if (isReady != recordedReady) {
-            recordedReady = isReady;
+        if (isReady != lastRecordedReady) {
+            lastRecordedReady = isReady;
             auditLog.append(AuditEntry.Kind.READY, Map.of("ready", String.valueOf(isReady)), "");
             reportNow();
         }
     }
 
-    private void leaveIfStale(double now) {
+    private void exitIfStale(double now) {
         if (settings.stalePolicy() == AgentSettings.StalePolicy.LEAVE
                 && now - lastHeardAt > settings.staleAfterSeconds()
-                && !isLeaving) {
+                && !isShuttingDown) {
             node.log("no instance is heard for " + settings.staleAfterSeconds() + " s: leaves");
-            isLeaving = true;
-            node.exit(FleetAgent.STALE);
+            isShuttingDown = true;
+            node.exit(FleetAgent.EXIT_STALE);
         }
     }
 
     private void reportPeriodically() {
         reportNow();
-        if (!isLeaving) {
+        if (!isShuttingDown) {
             node.loop().schedule(settings.reportSeconds(), this::reportPeriodically);
         }
     }
@@ -171,7 +171,7 @@
 
     private ObjectNode report() {
         ObjectNode report =
-                JsonMessages.node("report")
+                JsonMessages.newMessage("report")
                         .put("clock", node.loop().now())
                         .put("incarnation", registration.incarnation())
                         .put("revision", revision.number())
@@ -182,36 +182,36 @@
                         .put("why", revision.rejectionReason())
                         .put("list-fence", endpoints.token().number())
                         .put("list", endpoints.number())
-                        .put("led", endpoints.isPublished())
+                        .put("led", endpoints.usesPublishedList())
                         .put("open", node.router().openTunnels())
                         .put("time", auditLog.clock().toString());
         SessionCounter.totals(node.router().tally()).forEach(report::put);
-        JsonMessages.list(report.putArray("out"), restartEjections.hostNames());
+        JsonMessages.addTexts(report.putArray("out"), restartEjections.hostNames());
         return report;
     }
 
     @Override
     public void received(InstanceConnection connection, InstanceMessage message) {
         message.clock().ifPresent(auditLog::observe);
-        floor = Math.max(floor, message.floor());
+        minRevision = Math.max(minRevision, message.floor());
         InstanceMessage.Content content = message.content();
         if (content instanceof InstanceMessage.Welcome welcome) {
-            welcomed(connection, welcome);
+            nodeAccepted(connection, welcome);
         } else if (content instanceof InstanceMessage.ReportReceived) {
             lastHeardAt = node.loop().now();
         } else if (content instanceof InstanceMessage.Order order) {
             orders.execute(order, connection::send);
         } else if (content instanceof InstanceMessage.SegmentStored stored) {
-            auditLog.stored(stored.number());
+            auditLog.segmentStored(stored.number());
         } else if (content instanceof InstanceMessage.ShutOut shutOut) {
             shutOut(shutOut.reason());
         }
     }
 
-    private void welcomed(InstanceConnection connection, InstanceMessage.Welcome welcome) {
+    private void nodeAccepted(InstanceConnection connection, InstanceMessage.Welcome accepted) {
         lastHeardAt = node.loop().now();
-        registration.registered(welcome.incarnation());
-        isWelcomed = true;
+        registration.registered(accepted.incarnation());
+        isAccepted = true;
         connection.send(report());
         connections.forEach(InstanceConnection::handshake);
     }
@@ -223,7 +223,7 @@
         admission.shutOut(reason);
         node.log("shut out: " + reason);
         auditLog.append(AuditEntry.Kind.OUT, Map.of(), reason);
-        node.exit(FleetAgent.SHUT_OUT);
+        node.exit(FleetAgent.EXIT_SHUT_OUT);
     }
 
     @Override
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void registrationFreed() {
+    public void registrationAvailable() {
         connections.forEach(InstanceConnection::handshake);
     }
 }
--- a/door/src/main/java/embershift/door/SessionCounter.java
+++ b/door/src/main/java/embershift/door/SessionCounter.java
@@ -24,7 +24,7 @@
     private static final double IDLE_INTERVAL_SECONDS = 60;
 
     /** A counter of the node, and its name in reports and in the audit log. */
-    private record Counter(String nodeCounter, String field) {}
+    private record Counter(String tallyName, String field) {}
 
     private static final List<Counter> COUNTERS =
             List.of(
@@ -50,7 +50,7 @@
     /** Returns the totals since the start, by their names in reports and in their order there. */
     static Map<String, Long> totals(Tally tally) {
         Map<String, Long> totals = new LinkedHashMap<>();
-        COUNTERS.forEach(each -> totals.put(each.field, tally.of(each.nodeCounter)));
+        COUNTERS.forEach(each -> totals.put(each.field, tally.of(each.tallyName)));
         return totals;
     }
 
@@ -73,7 +73,7 @@
     }
 
     private void addSessions(Map<String, String> fields, Counter counter) {
-        long total = router.tally().of(counter.nodeCounter);
+        long total = router.tally().of(counter.tallyName);
         long before = recorded.getOrDefault(counter, 0L);
         if (total > before) {
             fields.put(counter.field, String.valueOf(total - before));
@@ -91,7 +91,7 @@
     }
 
     /** Counts setups to these hosts from now on, and to no others. */
-    void watch(Set<HostId> ejectedHosts) {
+    void trackSetupsTo(Set<HostId> ejectedHosts) {
         recordedSetups.keySet().retainAll(ejectedHosts);
         ejectedHosts.forEach(host -> recordedSetups.putIfAbsent(host, router.setupsSent(host)));
     }
--- a/door/src/main/java/embershift/door/TomlSettings.java
+++ b/door/src/main/java/embershift/door/TomlSettings.java
@@ -36,7 +36,7 @@
     private TomlSettings() {}
 
     /** Returns the text of a file. */
-    public static String text(Path file) throws InvalidSettingsException {
+    public static String readText(Path file) throws InvalidSettingsException {
         try {
             return Files.readString(file, StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -54,15 +54,15 @@
     public static <T> T read(
             String text, String file, String schema, Consumer<ObjectNode> defaults, Class<T> type)
             throws InvalidSettingsException {
-        try (InputStream rules = type.getResourceAsStream(schema + ".schema.json")) {
-            JsonNode tree = new TomlMapper().readTree(text);
-            validate(tree, rules, file);
-            defaults.accept((ObjectNode) tree);
+        try (InputStream schemaStream = type.getResourceAsStream(schema + ".schema.json")) {
+            JsonNode settings = new TomlMapper().readTree(text);
+            validate(settings, schemaStream, file);
+            defaults.accept((ObjectNode) settings);
             return JsonMapper.builder()
                     .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
                     .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                     .build()
-                    .treeToValue(tree, type);
+                    .treeToValue(settings, type);
         } catch (JacksonException e) {
             int line = e.getLocation() == null ? 1 : e.getLocation().getLineNr();
             String reason = e.getOriginalMessage().lines().findFirst().orElse("");
@@ -72,29 +72,29 @@
         }
     }
 
-    private static void validate(JsonNode tree, InputStream rules, String file)
+    private static void validate(JsonNode settings, InputStream schemaStream, String file)
             throws InvalidSettingsException {
-        Optional<String> problem =
+        Optional<String> error =
                 JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012)
-                        .getSchema(rules)
-                        .validate(tree)
+                        .getSchema(schemaStream)
+                        .validate(settings)
                         .stream()
                         .map(ValidationMessage::getMessage)
                         .min(Comparator.naturalOrder());
-        if (problem.isPresent()) {
+        if (error.isPresent()) {
             throw new InvalidSettingsException(
-                    file + ": " + problem.get().replaceFirst("^\\$[.:]? ?", ""));
+                    file + ": " + error.get().replaceFirst("^\\$[.:]? ?", ""));
         }
     }
 
     /** Whether this is HOST:PORT. */
-    public static boolean isAddress(String text) {
+    public static boolean isValidAddress(String text) {
         return text.matches("[^:\\s]+:\\d{1,5}")
                 && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= 65_535;
     }
 
     /** Returns the socket address that HOST:PORT stands for. */
-    public static InetSocketAddress socket(String address) {
+    public static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(
                 address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -138,7 +138,7 @@
             if (read < 0) {
                 throw new IOException("the node ended the connection");
             }
-            frames.take(ByteBuffer.wrap(buffer, 0, read), pieces::add);
+            frames.decode(ByteBuffer.wrap(buffer, 0, read), pieces::add);
         }
         return pieces.remove();
     }
@@ -147,7 +147,7 @@
     private ObjectNode message(byte pieceKind, String kind) throws Exception {
         while (true) {
             byte[] piece = piece();
-            ObjectNode message = JsonMessages.read(piece);
+            ObjectNode message = JsonMessages.decodeFrame(piece);
             if (message.has("clock")) {
                 clock = message.path("clock").asDouble();
             }
@@ -159,7 +159,7 @@
 
     private void say(byte pieceKind, ObjectNode message) throws IOException {
         link.getOutputStream()
-                .write(FrameCodec.encodeToArray(pieceKind, JsonMessages.bytes(message)));
+                .write(FrameCodec.encodeToArray(pieceKind, JsonMessages.encode(message)));
     }
 
     /** As an instance says it; what differs from run to run is left out. */
@@ -175,7 +175,7 @@
     }
 
     private ObjectNode order(String duty, String what, long fence) {
-        return JsonMessages.node("order")
+        return JsonMessages.newMessage("order")
                 .put("id", ++orders)
                 .put("seen", clock)
                 .put("duty", duty)
@@ -202,7 +202,7 @@
         ObjectNode call = message(FrameCodec.CALL, "");
         samples.text("call: fence of " + duty, stable(call));
         ObjectNode answer =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("id", call.path("id").asLong())
                         .put("end", "done")
                         .put("revision", 50);
@@ -223,14 +223,14 @@
 
     private ObjectNode whole(ConfigRevision revision) {
         ObjectNode order = order(revision, 0);
-        JsonMessages.texts(order.putObject("fields"), revision.fields());
+        JsonMessages.putTexts(order.putObject("fields"), revision.fields());
         return order;
     }
 
     private ObjectNode revision(
             ConfigRevision revision, long base, Map<String, Optional<String>> changes) {
         ObjectNode order = order(revision, base);
-        JsonMessages.changes(order.putObject("fields"), changes);
+        JsonMessages.putChanges(order.putObject("fields"), changes);
         return order;
     }
 
@@ -262,7 +262,7 @@
         samples.text("here", stable(message(FrameCodec.NODE, "here")));
         say(
                 FrameCodec.ORDER,
-                JsonMessages.node("welcome")
+                JsonMessages.newMessage("welcome")
                         .put("incarnation", INCARNATION)
                         .put("floor", 0)
                         .put("time", "1.0")
@@ -272,7 +272,7 @@
         samples.text("trail: first", stable(trail));
         say(
                 FrameCodec.ORDER,
-                JsonMessages.node("kept")
+                JsonMessages.newMessage("kept")
                         .put("number", trail.path("number").asLong())
                         .put("time", "1.0")
                         .put("at", 1.2));
@@ -281,10 +281,14 @@
         samples.text("report: after orders", stable(report));
         say(
                 FrameCodec.ORDER,
-                JsonMessages.node("out").put("why", "because").put("time", "1.0").put("at", 9.0));
+                JsonMessages.newMessage("out")
+                        .put("why", "because")
+                        .put("time", "1.0")
+                        .put("at", 9.0));
         assertEquals(exit.get(PATIENCE_MS, TimeUnit.MILLISECONDS).intValue(), 5);
         samples.text(
-                "exit status: shut out and stale", FleetAgent.SHUT_OUT + " " + FleetAgent.STALE);
+                "exit status: shut out and stale",
+                FleetAgent.EXIT_SHUT_OUT + " " + FleetAgent.EXIT_STALE);
         for (byte kind :
                 new byte[] {
                     FrameCodec.HANDSHAKE,
--- a/fleet/src/main/java/embershift/fleet/audit/AuditCheckpoint.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditCheckpoint.java
@@ -21,10 +21,10 @@
     public static final String KEY_PREFIX = "folded/";
 
     /** Before the first segment. */
-    static final AuditCheckpoint BEGINNING =
+    static final AuditCheckpoint INITIAL =
             new AuditCheckpoint(0, 0, "", NO_REVISION, HybridLogicalClock.START);
 
-    private static final int WORDS = 5;
+    private static final int FIELD_COUNT = 5;
 
     /** Returns the key of the checkpoint for the log that a segment's key belongs to. */
     static String keyFor(String segmentKey) {
@@ -34,12 +34,12 @@
     }
 
     /** Returns the checkpoint once that segment is deleted too. */
-    AuditCheckpoint after(AuditSegment segment) {
+    AuditCheckpoint advancedPast(AuditSegment segment) {
         long latestRevision = revision;
         HybridLogicalClock latest = at;
         for (AuditEntry entry : segment.entries()) {
-            if (entry.kind().beginsRevision() || entry.kind() == AuditEntry.Kind.TUNNELS) {
-                latestRevision = entry.numberOf(AuditEntry.REVISION);
+            if (entry.kind().startsRevisionPeriod() || entry.kind() == AuditEntry.Kind.TUNNELS) {
+                latestRevision = entry.longField(AuditEntry.REVISION);
             }
             latest = entry.at();
         }
@@ -54,23 +54,23 @@
 
     /** Decodes the stored text; empty if it is none. */
     public static Optional<AuditCheckpoint> decode(String text) {
-        String[] words = text.split(" ");
+        String[] fields = text.split(" ");
         boolean isValid =
-                words.length == WORDS
-                        && words[0].matches("\\d{1,18}")
-                        && words[1].matches("\\d{1,18}")
-                        && words[3].matches("-?\\d{1,18}");
+                fields.length == FIELD_COUNT
+                        && fields[0].matches("\\d{1,18}")
+                        && fields[1].matches("\\d{1,18}")
+                        && fields[3].matches("-?\\d{1,18}");
         if (!isValid) {
             return Optional.empty();
         }
-        return HybridLogicalClock.decode(words[4])
+        return HybridLogicalClock.decode(fields[4])
                 .map(
                         at ->
                                 new AuditCheckpoint(
-                                        Long.parseLong(words[0]),
-                                        Long.parseLong(words[1]),
-                                        words[2],
-                                        Long.parseLong(words[3]),
+                                        Long.parseLong(fields[0]),
+                                        Long.parseLong(fields[1]),
+                                        fields[2],
+                                        Long.parseLong(fields[3]),
                                         at));
     }
 }
--- a/fleet/src/main/java/embershift/fleet/audit/AuditEntry.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditEntry.java
@@ -41,13 +41,13 @@
         ENDS;
 
         /** Whether entries of this kind name the config revision that is acted on from then on. */
-        boolean beginsRevision() {
+        boolean startsRevisionPeriod() {
             return this == STARTED || this == TOOK;
         }
     }
 
     private static final String TEXT_SEPARATOR = " : ";
-    private static final int HEAD_WORDS = 3;
+    private static final int HEADER_FIELDS = 3;
 
     /** Brings fields into their order, and the text into one line. */
     public AuditEntry {
@@ -56,7 +56,7 @@
     }
 
     /** Returns a field's value as a number; 0 where it is none. */
-    public long numberOf(String field) {
+    public long longField(String field) {
         String value = fields.get(field);
         return value != null && value.matches("-?\\d{1,18}") ? Long.parseLong(value) : 0;
     }
@@ -81,11 +81,11 @@
         int separator = line.indexOf(TEXT_SEPARATOR);
         String text = separator < 0 ? "" : line.substring(separator + TEXT_SEPARATOR.length());
         String[] words = (separator < 0 ? line : line.substring(0, separator)).split(" ");
-        if (words.length < HEAD_WORDS || !words[0].matches("\\d{1,18}")) {
+        if (words.length < HEADER_FIELDS || !words[0].matches("\\d{1,18}")) {
             return Optional.empty();
         }
         Optional<HybridLogicalClock> at = HybridLogicalClock.decode(words[1]);
-        Optional<Kind> kind = kindOf(words[2]);
+        Optional<Kind> kind = decodeKind(words[2]);
         Optional<Map<String, String>> fields = decodeFields(words);
         if (at.isEmpty() || kind.isEmpty() || fields.isEmpty()) {
             return Optional.empty();
@@ -94,7 +94,7 @@
         return Optional.of(new AuditEntry(number, at.get(), kind.get(), fields.get(), text));
     }
 
-    private static Optional<Kind> kindOf(String name) {
+    private static Optional<Kind> decodeKind(String name) {
         for (Kind kind : Kind.values()) {
             if (kind.name().equals(name)) {
                 return Optional.of(kind);
@@ -105,7 +105,7 @@
 
     private static Optional<Map<String, String>> decodeFields(String[] words) {
         Map<String, String> fields = new TreeMap<>();
-        for (int i = HEAD_WORDS; i < words.length; i++) {
+        for (int i = HEADER_FIELDS; i < words.length; i++) {
             int equals = words[i].indexOf('=');
             if (equals < 1) {
                 return Optional.empty();
--- a/fleet/src/main/java/embershift/fleet/audit/AuditReport.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditReport.java
@@ -55,8 +55,8 @@
                 .forEach(
                         (node, byIncarnation) ->
                                 byIncarnation.forEach(
-                                        (incarnation, ofLog) ->
-                                                add(node, incarnation, ofLog, checkpoints)));
+                                        (incarnation, logSegments) ->
+                                                add(node, incarnation, logSegments, checkpoints)));
     }
 
     private Map<String, Map<Long, List<AuditSegment>>> decode(Collection<String> texts) {
@@ -89,7 +89,7 @@
         AuditCheckpoint checkpoint =
                 Optional.ofNullable(checkpoints.get(checkpointKey))
                         .flatMap(AuditCheckpoint::decode)
-                        .orElse(AuditCheckpoint.BEGINNING);
+                        .orElse(AuditCheckpoint.INITIAL);
         IncarnationLog log = new IncarnationLog(node, incarnation, segments, checkpoint);
         logs.add(log);
         problems.addAll(LogVerifier.verify(log));
@@ -125,17 +125,17 @@
 
     /** Returns what a node acted on at a time. */
     public RevisionInForce revisionAt(String node, long millis) {
-        Optional<RevisionPeriod> begun =
+        Optional<RevisionPeriod> current =
                 periods.stream()
                         .filter(each -> each.node().equals(node))
                         .filter(each -> each.from().millis() <= millis)
                         .reduce(
                                 (one, other) ->
                                         other.from().compareTo(one.from()) >= 0 ? other : one);
-        if (begun.isEmpty()) {
+        if (current.isEmpty()) {
             return unknown(node, "nothing is told of it so early");
         }
-        RevisionPeriod period = begun.get();
+        RevisionPeriod period = current.get();
         if (period.to().isPresent() && millis >= period.to().get().millis()) {
             return unknown(node, "it had ended, by its trail");
         }
@@ -143,8 +143,8 @@
                 node, Optional.of(period.revision()), evidence(period, node, millis));
     }
 
-    private static RevisionInForce unknown(String node, String why) {
-        return new RevisionInForce(node, Optional.empty(), why);
+    private static RevisionInForce unknown(String node, String reason) {
+        return new RevisionInForce(node, Optional.empty(), reason);
     }
 
     private String evidence(RevisionPeriod period, String node, long millis) {
@@ -170,24 +170,24 @@
         List<String> neverUsed = new ArrayList<>();
         for (String node : nodes()) {
             if (used.stream().noneMatch(each -> each.node().equals(node))) {
-                whyMayHaveUsed(node, revision)
+                reasonForPossibleUse(node, revision)
                         .ifPresentOrElse(
-                                why -> mayHaveUsed.put(node, why), () -> neverUsed.add(node));
+                                reason -> mayHaveUsed.put(node, reason), () -> neverUsed.add(node));
             }
         }
         return new RevisionUsers(used, mayHaveUsed, neverUsed);
     }
 
-    private Optional<String> whyMayHaveUsed(String node, long revision) {
-        List<RevisionPeriod> own =
+    private Optional<String> reasonForPossibleUse(String node, long revision) {
+        List<RevisionPeriod> nodePeriods =
                 periods.stream().filter(each -> each.node().equals(node)).toList();
-        if (own.isEmpty()) {
+        if (nodePeriods.isEmpty()) {
             return Optional.of("nothing is told of it");
         }
-        if (own.stream().anyMatch(each -> !each.isComplete())) {
+        if (nodePeriods.stream().anyMatch(each -> !each.isComplete())) {
             return Optional.of("entries are missing");
         }
-        RevisionPeriod last = own.get(own.size() - 1);
+        RevisionPeriod last = nodePeriods.get(nodePeriods.size() - 1);
         return last.revision() < revision && last.to().isEmpty()
                 ? Optional.of("nothing is told since " + last.lastKnown().millis())
                 : Optional.empty();
--- a/fleet/src/main/java/embershift/fleet/audit/AuditRetention.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditRetention.java
@@ -48,7 +48,7 @@
                 && charsByNode.values().stream().allMatch(chars -> chars <= maxNodeChars);
     }
 
-    private boolean mustBeDeleted(KeyValue segment) {
+    private boolean exceedsTarget(KeyValue segment) {
         long totalTarget = maxTotalChars - maxTotalChars / HEADROOM_DIVISOR;
         long nodeTarget = maxNodeChars - maxNodeChars / HEADROOM_DIVISOR;
         return totalChars > totalTarget || charsByNode.get(nodeOf(segment)) > nodeTarget;
@@ -62,7 +62,7 @@
      * @param maxTotalChars of all logs together
      * @param maxNodeChars of the logs of one node
      */
-    public static List<Mutation> compact(
+    public static List<Mutation> deleteExcess(
             Collection<KeyValue> segments,
             Map<String, String> checkpoints,
             long maxTotalChars,
@@ -83,7 +83,7 @@
         Map<String, String> newCheckpoints = new TreeMap<>();
         for (KeyValue stored : oldestFirst) {
             boolean hasRoom = mutations.size() + newCheckpoints.size() < MAX_MUTATIONS;
-            if (!hasRoom || !mustBeDeleted(stored)) {
+            if (!hasRoom || !exceedsTarget(stored)) {
                 continue;
             }
             count(stored, -stored.value().length());
@@ -95,16 +95,17 @@
                                 String before =
                                         newCheckpoints.getOrDefault(key, checkpoints.get(key));
                                 newCheckpoints.put(
-                                        key, decodeOrBeginning(before).after(segment).encode());
+                                        key,
+                                        decodeOrInitial(before).advancedPast(segment).encode());
                             });
         }
         newCheckpoints.forEach((key, text) -> mutations.add(Mutation.put(key, text)));
         return mutations;
     }
 
-    private static AuditCheckpoint decodeOrBeginning(String text) {
+    private static AuditCheckpoint decodeOrInitial(String text) {
         return Optional.ofNullable(text)
                 .flatMap(AuditCheckpoint::decode)
-                .orElse(AuditCheckpoint.BEGINNING);
+                .orElse(AuditCheckpoint.INITIAL);
     }
 }
--- a/fleet/src/main/java/embershift/fleet/audit/AuditSegment.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditSegment.java
@@ -22,8 +22,8 @@
 
     private static final String MAGIC = "trail";
     private static final String VERSION = "1";
-    private static final String NO_DIGEST = "-";
-    private static final int HEAD_WORDS = 7;
+    private static final String EMPTY_DIGEST = "-";
+    private static final int HEADER_FIELDS = 7;
 
     /** Returns the number of the first entry. */
     public long firstNumber() {
@@ -63,7 +63,7 @@
     /** Encodes this segment as the stored text. */
     public String encode() {
         StringBuilder out = new StringBuilder();
-        String previous = previousDigest.isEmpty() ? NO_DIGEST : previousDigest;
+        String previous = previousDigest.isEmpty() ? EMPTY_DIGEST : previousDigest;
         out.append(
                 String.join(
                         " ",
@@ -82,27 +82,27 @@
     /** Decodes the stored text; empty if it is none, or does not fit its digest. */
     public static Optional<AuditSegment> decode(String text) {
         String[] lines = text.split("\n");
-        String[] head = lines[0].split(" ");
-        if (lines.length < 2 || !isHead(head)) {
+        String[] header = lines[0].split(" ");
+        if (lines.length < 2 || !isHeaderValid(header)) {
             return Optional.empty();
         }
         return AuditEntry.decodeAll(Arrays.asList(lines).subList(1, lines.length))
                 .map(
                         entries ->
                                 new AuditSegment(
-                                        head[2],
-                                        Long.parseLong(head[3]),
-                                        Long.parseLong(head[4]),
-                                        head[5].equals(NO_DIGEST) ? "" : head[5],
+                                        header[2],
+                                        Long.parseLong(header[3]),
+                                        Long.parseLong(header[4]),
+                                        header[5].equals(EMPTY_DIGEST) ? "" : header[5],
                                         entries))
-                .filter(segment -> segment.digest().equals(head[6]));
+                .filter(segment -> segment.digest().equals(header[6]));
     }
 
-    private static boolean isHead(String[] words) {
-        return words.length == HEAD_WORDS
-                && words[0].equals(MAGIC)
-                && words[1].equals(VERSION)
-                && words[3].matches("\\d{1,18}")
-                && words[4].matches("\\d{1,18}");
+    private static boolean isHeaderValid(String[] header) {
+        return header.length == HEADER_FIELDS
+                && header[0].equals(MAGIC)
+                && header[1].equals(VERSION)
+                && header[3].matches("\\d{1,18}")
+                && header[4].matches("\\d{1,18}");
     }
 }
--- a/fleet/src/main/java/embershift/fleet/audit/HybridLogicalClock.java
+++ b/fleet/src/main/java/embershift/fleet/audit/HybridLogicalClock.java
@@ -7,9 +7,10 @@
  * however far apart the clocks of the machines are, or are set back.
  *
  * @param millis since 1970, by the furthest clock heard of
- * @param count of events within that millisecond
+ * @param counter distinguishes events within that millisecond
  */
-public record HybridLogicalClock(long millis, int count) implements Comparable<HybridLogicalClock> {
+public record HybridLogicalClock(long millis, int counter)
+        implements Comparable<HybridLogicalClock> {
 
     /** Before all events. */
     public static final HybridLogicalClock START = new HybridLogicalClock(0, 0);
@@ -21,7 +22,7 @@
     public HybridLogicalClock next(long wallClockMillis) {
         return wallClockMillis > millis
                 ? new HybridLogicalClock(wallClockMillis, 0)
-                : new HybridLogicalClock(millis, count + 1);
+                : new HybridLogicalClock(millis, counter + 1);
     }
 
     /** Returns the time after a message that carried another clock's time. */
@@ -34,12 +35,12 @@
     public int compareTo(HybridLogicalClock other) {
         return millis != other.millis
                 ? Long.compare(millis, other.millis)
-                : Integer.compare(count, other.count);
+                : Integer.compare(counter, other.counter);
     }
 
     @Override
     public String toString() {
-        return millis + "." + count;
+        return millis + "." + counter;
     }
 
     /** Reads what {@link #toString} wrote; empty if it is no such text. */
--- a/fleet/src/main/java/embershift/fleet/audit/LogVerifier.java
+++ b/fleet/src/main/java/embershift/fleet/audit/LogVerifier.java
@@ -9,11 +9,11 @@
  */
 final class LogVerifier {
 
-    private final String where;
+    private final String location;
     private final List<String> problems = new ArrayList<>();
 
     private LogVerifier(IncarnationLog log) {
-        where = log.node() + ", incarnation " + log.incarnation() + ": ";
+        location = log.node() + ", incarnation " + log.incarnation() + ": ";
     }
 
     /** Returns each problem in one line. */
@@ -24,7 +24,7 @@
             verifier.verifyNumbers(before.entryNumber() + 1, segment);
             verifier.verifyChain(before, segment);
             verifier.verifyEntries(before.at(), segment);
-            before = before.after(segment);
+            before = before.advancedPast(segment);
         }
         return verifier.problems;
     }
@@ -32,18 +32,19 @@
     private void verifyNumbers(long expected, AuditSegment segment) {
         long first = segment.firstNumber();
         if (first > expected) {
-            problems.add(where + "entries " + expected + " to " + (first - 1) + " are missing");
+            problems.add(location + "entries " + expected + " to " + (first - 1) + " are missing");
         } else if (first < expected) {
-            problems.add(where + "entries " + first + " to " + (expected - 1) + " are told twice");
+            problems.add(
+                    location + "entries " + first + " to " + (expected - 1) + " are told twice");
         }
     }
 
     private void verifyChain(AuditCheckpoint before, AuditSegment segment) {
         if (segment.number() != before.segmentNumber() + 1) {
-            problems.add(where + "segments before " + segment.number() + " are missing");
+            problems.add(location + "segments before " + segment.number() + " are missing");
         } else if (!segment.previousDigest().equals(before.digest())) {
             problems.add(
-                    where + "segment " + segment.number() + " is not chained to the one before");
+                    location + "segment " + segment.number() + " is not chained to the one before");
         }
     }
 
@@ -52,10 +53,11 @@
         long expectedNumber = segment.firstNumber();
         for (AuditEntry entry : segment.entries()) {
             if (entry.at().compareTo(last) <= 0) {
-                problems.add(where + "entry " + entry.number() + " is earlier than the one before");
+                problems.add(
+                        location + "entry " + entry.number() + " is earlier than the one before");
             }
             if (entry.number() != expectedNumber) {
-                problems.add(where + "entry " + entry.number() + " is not where it belongs");
+                problems.add(location + "entry " + entry.number() + " is not where it belongs");
             }
             expectedNumber++;
             last = entry.at();
--- a/fleet/src/main/java/embershift/fleet/audit/RevisionPeriods.java
+++ b/fleet/src/main/java/embershift/fleet/audit/RevisionPeriods.java
@@ -43,33 +43,33 @@
                 last = entry.at();
             }
         }
-        end(hasEnded ? Optional.of(last) : Optional.empty(), last);
+        endPeriod(hasEnded ? Optional.of(last) : Optional.empty(), last);
     }
 
     private void read(AuditEntry entry) {
-        boolean begins = entry.kind().beginsRevision();
+        boolean startsPeriod = entry.kind().startsRevisionPeriod();
         boolean isCount = entry.kind() == AuditEntry.Kind.TUNNELS;
         boolean namesRevision =
-                begins || (isCount && entry.fields().containsKey(AuditEntry.REVISION));
-        long revisionNow = namesRevision ? entry.numberOf(AuditEntry.REVISION) : revision;
-        if (revisionNow != revision) {
-            end(Optional.of(entry.at()), entry.at());
+                startsPeriod || (isCount && entry.fields().containsKey(AuditEntry.REVISION));
+        long entryRevision = namesRevision ? entry.longField(AuditEntry.REVISION) : revision;
+        if (entryRevision != revision) {
+            endPeriod(Optional.of(entry.at()), entry.at());
             // If only a count tells of it, the entry at which it began is missing.
-            isComplete = begins;
-            revision = revisionNow;
+            isComplete = startsPeriod;
+            revision = entryRevision;
             from = entry.at();
             opened = 0;
             declined = 0;
             failed = 0;
         }
         if (isCount) {
-            opened += entry.numberOf("opened");
-            declined += entry.numberOf("declined");
-            failed += entry.numberOf("failed");
+            opened += entry.longField("opened");
+            declined += entry.longField("declined");
+            failed += entry.longField("failed");
         }
     }
 
-    private void end(Optional<HybridLogicalClock> to, HybridLogicalClock lastKnown) {
+    private void endPeriod(Optional<HybridLogicalClock> to, HybridLogicalClock lastKnown) {
         if (revision != AuditCheckpoint.NO_REVISION) {
             periods.add(
                     new RevisionPeriod(
--- a/fleet/src/main/java/embershift/fleet/lease/FencingGuard.java
+++ b/fleet/src/main/java/embershift/fleet/lease/FencingGuard.java
@@ -32,12 +32,12 @@
      */
     public void learnLatest(TaskId task, FencingToken latest) {
         if (highestByTask.size() < MAX_TASKS || highestByTask.containsKey(task)) {
-            highestByTask.merge(task, latest, FencingGuard::later);
+            highestByTask.merge(task, latest, FencingGuard::max);
         }
     }
 
-    private static FencingToken later(FencingToken one, FencingToken other) {
-        return one.compareTo(other) >= 0 ? one : other;
+    private static FencingToken max(FencingToken first, FencingToken second) {
+        return first.compareTo(second) >= 0 ? first : second;
     }
 
     /** Checks the token of an order; once one is admitted, no lower one is. */
--- a/fleet/src/main/java/embershift/fleet/lease/Lease.java
+++ b/fleet/src/main/java/embershift/fleet/lease/Lease.java
@@ -46,7 +46,7 @@
     }
 
     /** The lease is released, or another is known to hold it. */
-    public void end() {
+    public void invalidate() {
         expiresAt = Double.NEGATIVE_INFINITY;
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Whether something that takes up to {@code maxSeconds} would end while the lease is held. */
-    public boolean mayBegin(double now, double maxSeconds) {
+    public boolean canComplete(double now, double maxSeconds) {
         return now + maxSeconds < expiresAt;
     }
 
--- a/fleet/src/main/java/embershift/fleet/lease/LeaseHolder.java
+++ b/fleet/src/main/java/embershift/fleet/lease/LeaseHolder.java
@@ -39,7 +39,7 @@
          */
         void readProgress(TaskId task);
 
-        /** Does a step, by this fencing token; {@link #stepCompleted} is owed, however late. */
+        /** Does a step, by this fencing token; {@link #stepEnded} is owed, however late. */
         void runStep(TaskId task, TaskPlan plan, int step, FencingToken token);
 
         /** Tells an operator something. */
@@ -97,10 +97,10 @@
     private double acquiredAt;
 
     /** How often the lease was lost; forgotten once it has been held for long. */
-    private int losses;
+    private int lossCount;
 
     private double acquireDelay;
-    private boolean isLeaving;
+    private boolean isShuttingDown;
     private boolean isHeldByAnother;
 
     /** Creates a candidate of that name. */
@@ -131,8 +131,8 @@
     /**
      * Whether an effect that takes as long as any of the plan would end while the lease is held.
      */
-    public boolean mayAct(double now) {
-        return state.isHolding() && lease.mayBegin(now, plan.maxStepSeconds());
+    public boolean canCompleteStep(double now) {
+        return state.isHolding() && lease.canComplete(now, plan.maxStepSeconds());
     }
 
     /** Returns the fencing token of the latest grant. */
@@ -153,15 +153,15 @@
                     task.name()
                             + " gets nothing done here, at step "
                             + progress.map(TaskProgress::step).orElse(0));
-            losses++;
+            lossCount++;
             release(now);
             return;
         }
         if (state.isHolding() && now - acquiredAt > settings.maxBackoffSeconds()) {
-            losses = 0;
+            lossCount = 0;
         }
         if (now >= nextActionAt) {
-            act(now);
+            performDueAction(now);
         }
     }
 
@@ -174,14 +174,14 @@
         }
     }
 
-    private void act(double now) {
+    private void performDueAction(double now) {
         switch (state) {
             case WITHOUT_SESSION -> {
                 state = State.OPENING_SESSION;
                 submit(now, new StoreCommand.OpenSession(name, settings.sessionSeconds()));
             }
             case IDLE -> {
-                if (!isLeaving && !isHeldByAnother) {
+                if (!isShuttingDown && !isHeldByAnother) {
                     state = State.ACQUIRING;
                     submit(now, LeaseCommands.acquire(session, ++lastSequenceNumber, task, name));
                 }
@@ -190,7 +190,7 @@
                 nextActionAt = now + 5 * settings.retrySeconds();
                 environment.readProgress(task);
             }
-            case WAITING_TO_RETRY -> continuePlan(now);
+            case WAITING_TO_RETRY -> runNextStep(now);
             case OPENING_SESSION, ACQUIRING, RECORDING_PROGRESS, RELEASING -> resubmit();
             default -> {
                 // Nothing is due.
@@ -251,7 +251,7 @@
             case RECORDING_PROGRESS -> {
                 progress = Optional.of(recording);
                 lastProgressAt = now;
-                continuePlan(now);
+                runNextStep(now);
             }
             case RELEASING -> becomeIdle(now, backoff());
             default -> {
@@ -268,7 +268,7 @@
         progress = Optional.empty();
         state = plan.isContinuous() ? State.CONTINUOUS : State.READING_PROGRESS;
         nextActionAt = now;
-        if (isLeaving) {
+        if (isShuttingDown) {
             release(now);
         } else if (plan.isContinuous()) {
             environment.runStep(task, plan, 0, lease.token());
@@ -278,38 +278,38 @@
     private void preconditionFailed(double now) {
         switch (state) {
             case ACQUIRING -> becomeIdle(now, settings.retrySeconds() + acquireDelay);
-            case RECORDING_PROGRESS, RELEASING -> lost(now);
+            case RECORDING_PROGRESS, RELEASING -> leaseLost(now);
             default -> {
                 // Other commands have no precondition.
             }
         }
     }
 
-    private void becomeIdle(double now, double pause) {
-        lease.end();
+    private void becomeIdle(double now, double delay) {
+        lease.invalidate();
         state = State.IDLE;
-        nextActionAt = now + pause;
+        nextActionAt = now + delay;
     }
 
-    private void lost(double now) {
-        losses++;
+    private void leaseLost(double now) {
+        lossCount++;
         becomeIdle(now, backoff());
     }
 
     private double backoff() {
-        double doublings = Math.pow(2, Math.min(losses, MAX_BACKOFF_DOUBLINGS));
+        double doublings = Math.pow(2, Math.min(lossCount, MAX_BACKOFF_DOUBLINGS));
         return Math.min(settings.maxBackoffSeconds(), settings.retrySeconds() * doublings);
     }
 
     /** The task has made progress: it is not stuck. */
-    public void madeProgress(double now) {
+    public void progressMade(double now) {
         lastProgressAt = now;
     }
 
     /** A receiver or the store knows a token: if it is later than this one's, the lease is lost. */
-    public void learnedToken(double now, FencingToken known) {
+    public void tokenObserved(double now, FencingToken known) {
         if (state.isHolding() && known.compareTo(lease.token()) > 0) {
-            lost(now);
+            leaseLost(now);
         }
     }
 
@@ -336,9 +336,9 @@
     }
 
     /** Releases the lease, and acquires none while it is leaving. */
-    public void setLeaving(double now, boolean leaving) {
-        isLeaving = leaving;
-        if (leaving) {
+    public void setShuttingDown(double now, boolean shuttingDown) {
+        isShuttingDown = shuttingDown;
+        if (shuttingDown) {
             release(now);
         }
     }
@@ -354,9 +354,9 @@
     /** The store does not know the session any more. */
     public void sessionEnded(double now) {
         if (state.isHolding()) {
-            losses++;
+            lossCount++;
         }
-        lease.end();
+        lease.invalidate();
         session = SessionId.NONE;
         inFlight = null;
         if (state != State.FINISHED) {
@@ -378,24 +378,24 @@
         } else if (stepState == TaskProgress.State.INTENDED) {
             resumeStep(now, progress.orElseThrow());
         } else {
-            continuePlan(now);
+            runNextStep(now);
         }
     }
 
     /** A holder before this one has begun a step and not ended it. */
-    private void resumeStep(double now, TaskProgress begun) {
-        int attempts = begun.attempts() + 1;
+    private void resumeStep(double now, TaskProgress recorded) {
+        int attempts = recorded.attempts() + 1;
         if (attempts > settings.maxStepAttempts()) {
             environment.notifyOperator(
                     task.name()
                             + " stops: step "
-                            + begun.step()
+                            + recorded.step()
                             + " was begun by "
-                            + begun.attempts()
+                            + recorded.attempts()
                             + " owners and not ended");
-            recordProgress(now, TaskProgress.State.POISONED, begun.step(), begun.attempts());
+            recordProgress(now, TaskProgress.State.POISONED, recorded.step(), recorded.attempts());
         } else {
-            recordProgress(now, TaskProgress.State.INTENDED, begun.step(), attempts);
+            recordProgress(now, TaskProgress.State.INTENDED, recorded.step(), attempts);
         }
     }
 
@@ -409,7 +409,7 @@
     }
 
     /** Goes on from where progress is known to be. */
-    private void continuePlan(double now) {
+    private void runNextStep(double now) {
         TaskProgress.State stepState = progress.map(TaskProgress::state).orElse(null);
         if (stepState == TaskProgress.State.POISONED) {
             finish(task.name() + " is stopped at step " + progress.orElseThrow().step());
@@ -426,7 +426,7 @@
     }
 
     private void runStep(double now, int step) {
-        if (lease.mayBegin(now, plan.maxStepSeconds())) {
+        if (lease.canComplete(now, plan.maxStepSeconds())) {
             state = State.RUNNING_STEP;
             nextActionAt = Double.POSITIVE_INFINITY;
             environment.runStep(task, plan, step, lease.token());
@@ -444,7 +444,7 @@
         environment.notifyOperator(message);
         environment.submit(
                 LeaseCommands.release(session, ++lastSequenceNumber, task, lease.token()));
-        lease.end();
+        lease.invalidate();
         inFlight = null;
         state = State.FINISHED;
     }
@@ -453,13 +453,13 @@
     public void release(double now) {
         if (state.isHolding()) {
             state = State.RELEASING;
-            lease.end();
+            lease.invalidate();
             submit(now, LeaseCommands.release(session, ++lastSequenceNumber, task, lease.token()));
         }
     }
 
     /** The effect of a step has ended; of any but the current one that is ignored. */
-    public void stepCompleted(double now, int step, FencingToken token, StepOutcome outcome) {
+    public void stepEnded(double now, int step, FencingToken token, StepOutcome outcome) {
         boolean isCurrent =
                 state == State.RUNNING_STEP
                         && progress.filter(each -> each.step() == step).isPresent()
@@ -471,7 +471,7 @@
             case DONE ->
                     recordProgress(
                             now, TaskProgress.State.DONE, step, progress.orElseThrow().attempts());
-            case STALE_TOKEN -> lost(now);
+            case STALE_TOKEN -> leaseLost(now);
             case UNKNOWN -> waitToRetry(now);
         }
     }
--- a/fleet/src/main/java/embershift/fleet/lease/TaskProgress.java
+++ b/fleet/src/main/java/embershift/fleet/lease/TaskProgress.java
@@ -19,22 +19,22 @@
         POISONED
     }
 
-    private static final int WORDS = 4;
+    private static final int FIELD_COUNT = 4;
 
     /** Decodes the stored text; empty if it is none that this program knows. */
     public static Optional<TaskProgress> decode(String text) {
-        String[] words = text.split(" ");
-        if (words.length != WORDS || !isNumber(words[2]) || !isNumber(words[3])) {
+        String[] fields = text.split(" ");
+        if (fields.length != FIELD_COUNT || !isNumber(fields[2]) || !isNumber(fields[3])) {
             return Optional.empty();
         }
         for (State state : State.values()) {
-            if (state.name().equals(words[1])) {
+            if (state.name().equals(fields[1])) {
                 return Optional.of(
                         new TaskProgress(
-                                words[0],
+                                fields[0],
                                 state,
-                                Integer.parseInt(words[2]),
-                                Integer.parseInt(words[3])));
+                                Integer.parseInt(fields[2]),
+                                Integer.parseInt(fields[3])));
             }
         }
         return Optional.empty();
--- a/fleet/src/main/java/embershift/fleet/restart/RollingRestart.java
+++ b/fleet/src/main/java/embershift/fleet/restart/RollingRestart.java
@@ -75,10 +75,10 @@
 
     private enum Phase {
         WAITING,
-        TAKING_OUT_OF_SERVICE,
+        EJECTING,
         RESTARTING,
         WARMING_UP,
-        BACK
+        DONE
     }
 
     private static final class TargetProgress {
@@ -90,14 +90,14 @@
         private OptionalDouble servingSince = OptionalDouble.empty();
 
         /** Whether an earlier lease holder may have requested the restart. */
-        private final boolean mayBeRequestedBefore;
+        private final boolean mayHaveBeenRequested;
 
-        TargetProgress(boolean mayBeRequestedBefore) {
-            this.mayBeRequestedBefore = mayBeRequestedBefore;
+        TargetProgress(boolean mayHaveBeenRequested) {
+            this.mayHaveBeenRequested = mayHaveBeenRequested;
         }
 
-        boolean isAway() {
-            return phase == Phase.WAITING ? mayBeRequestedBefore : phase != Phase.BACK;
+        boolean isUnavailable() {
+            return phase == Phase.WAITING ? mayHaveBeenRequested : phase != Phase.DONE;
         }
     }
 
@@ -119,15 +119,15 @@
     /**
      * Begins a step.
      *
-     * @param mayBeBegun whether an earlier lease holder may have begun it, and calls of that one
-     *     may still arrive: then each target is out of service, and counts as away, until the
+     * @param mayHaveStarted whether an earlier lease holder may have begun it, and calls of that
+     *     one may still arrive: then each target is out of service, and counts as away, until the
      *     process manager has said what became of it
      */
     public RollingRestart(
             double now,
             RollingRestartPlan plan,
             int step,
-            boolean mayBeBegun,
+            boolean mayHaveStarted,
             FleetView view,
             Environment environment) {
         this.plan = plan;
@@ -135,7 +135,8 @@
         this.view = view;
         this.environment = environment;
         lastProgressAt = now;
-        plan.targetsOf(step).forEach(target -> targets.put(target, new TargetProgress(mayBeBegun)));
+        plan.targetsOf(step)
+                .forEach(target -> targets.put(target, new TargetProgress(mayHaveStarted)));
     }
 
     /** Takes what operators want: {@code go}, {@code pause} or {@code abort}, which is final. */
@@ -157,12 +158,12 @@
         targets.forEach(
                 (target, progress) -> {
                     if (plan.id(step, target).equals(id)) {
-                        report(now, progress, restartState);
+                        recordReport(now, progress, restartState);
                     }
                 });
     }
 
-    private void report(double now, TargetProgress progress, RestartState restartState) {
+    private void recordReport(double now, TargetProgress progress, RestartState restartState) {
         if (progress.reported != restartState) {
             lastProgressAt = now;
         }
@@ -185,7 +186,7 @@
         waitReason = "";
         targets.forEach((target, progress) -> advance(now, target, progress));
         updateEjectedHosts();
-        if (targets.values().stream().allMatch(progress -> progress.phase == Phase.BACK)) {
+        if (targets.values().stream().allMatch(progress -> progress.phase == Phase.DONE)) {
             isCompleted = true;
             environment.completed(isAborting);
         } else {
@@ -197,7 +198,9 @@
         Set<String> wanted = new TreeSet<>();
         targets.forEach(
                 (target, progress) -> {
-                    if (!target.isNode() && progress.isAway() && progress.servingSince.isEmpty()) {
+                    if (!target.isNode()
+                            && progress.isUnavailable()
+                            && progress.servingSince.isEmpty()) {
                         wanted.add(target.name());
                     }
                 });
@@ -208,12 +211,12 @@
     }
 
     private void haltIfStuck(double now) {
-        boolean isStuck = now - lastProgressAt > plan.patienceSeconds();
+        boolean isStuck = now - lastProgressAt > plan.stallTimeoutSeconds();
         if (isStuck && !isPaused && !isHalted) {
             isHalted = true;
             environment.halted(
                     waitReason.isEmpty()
-                            ? "nothing got on for " + plan.patienceSeconds() + " s"
+                            ? "nothing got on for " + plan.stallTimeoutSeconds() + " s"
                             : waitReason);
         }
     }
@@ -222,15 +225,15 @@
         switch (progress.phase) {
             case WAITING -> {
                 if (isAborting) {
-                    abort(now, target, progress);
+                    abortTarget(now, target, progress);
                 } else {
-                    begin(now, target, progress);
+                    startIfAllowed(now, target, progress);
                 }
             }
-            case TAKING_OUT_OF_SERVICE -> takeOutOfService(now, target, progress);
+            case EJECTING -> eject(now, target, progress);
             case RESTARTING -> restart(now, target, progress);
             case WARMING_UP -> warmUp(now, target, progress);
-            case BACK -> {
+            case DONE -> {
                 // Nothing is left to do for it.
             }
         }
@@ -243,9 +246,10 @@
     }
 
     /** An earlier lease holder may have requested a restart: only the process manager can tell. */
-    private void abort(double now, RollingRestartPlan.Target target, TargetProgress progress) {
+    private void abortTarget(
+            double now, RollingRestartPlan.Target target, TargetProgress progress) {
         if (progress.isCancelled) {
-            enter(now, progress, Phase.BACK);
+            enter(now, progress, Phase.DONE);
         } else if (progress.isRequested) {
             enter(now, progress, Phase.RESTARTING);
         } else {
@@ -253,7 +257,8 @@
         }
     }
 
-    private void begin(double now, RollingRestartPlan.Target target, TargetProgress progress) {
+    private void startIfAllowed(
+            double now, RollingRestartPlan.Target target, TargetProgress progress) {
         if (isPaused) {
             waitReason = "it is paused";
             return;
@@ -263,16 +268,16 @@
             waitReason = String.format("service is %.3f", serviceRate.getAsDouble());
             return;
         }
-        Set<String> away = away();
-        if (!away.contains(target.toString()) && away.size() >= plan.size()) {
-            waitForOthers(away);
+        Set<String> unavailable = unavailableTargets();
+        if (!unavailable.contains(target.toString()) && unavailable.size() >= plan.batchSize()) {
+            waitForOthers(unavailable);
             return;
         }
-        enter(now, progress, target.isNode() ? Phase.RESTARTING : Phase.TAKING_OUT_OF_SERVICE);
+        enter(now, progress, target.isNode() ? Phase.RESTARTING : Phase.EJECTING);
     }
 
-    private void waitForOthers(Set<String> away) {
-        waitReason = "away already: " + String.join(", ", away);
+    private void waitForOthers(Set<String> unavailable) {
+        waitReason = "away already: " + String.join(", ", unavailable);
     }
 
     private void cancel(double now, RollingRestartPlan.Target target, TargetProgress progress) {
@@ -284,26 +289,26 @@
     }
 
     /** What is away: targets under way, and nodes that can't be reached or are not ready. */
-    private Set<String> away() {
-        Set<String> away = new LinkedHashSet<>();
+    private Set<String> unavailableTargets() {
+        Set<String> unavailable = new LinkedHashSet<>();
         targets.forEach(
                 (target, progress) -> {
-                    if (progress.isAway()) {
-                        away.add(target.toString());
+                    if (progress.isUnavailable()) {
+                        unavailable.add(target.toString());
                     }
                 });
         view.nodes()
                 .forEach(
                         (name, node) -> {
                             if (!node.isReachable() || !node.isReady()) {
-                                away.add(new RollingRestartPlan.Target(true, name).toString());
+                                unavailable.add(
+                                        new RollingRestartPlan.Target(true, name).toString());
                             }
                         });
-        return away;
+        return unavailable;
     }
 
-    private void takeOutOfService(
-            double now, RollingRestartPlan.Target target, TargetProgress progress) {
+    private void eject(double now, RollingRestartPlan.Target target, TargetProgress progress) {
         if (isAborting) {
             enter(now, progress, Phase.WAITING);
             return;
@@ -334,22 +339,22 @@
             return;
         }
         if (progress.reported == RestartState.CANCELLED) {
-            enter(now, progress, Phase.BACK);
+            enter(now, progress, Phase.DONE);
             return;
         }
         if (isAborting && !progress.isRequested) {
             cancel(now, target, progress);
             return;
         }
-        Set<String> away = away();
-        if (!progress.isRequested && away.size() > plan.size()) {
+        Set<String> unavailable = unavailableTargets();
+        if (!progress.isRequested && unavailable.size() > plan.batchSize()) {
             // Something else went away since this was begun.
-            waitForOthers(away);
+            waitForOthers(unavailable);
             return;
         }
         if (!progress.isRequested && !nodesThatMayUse(target).isEmpty()) {
             // A node that could not be reached is back, and knows nothing of it.
-            enter(now, progress, Phase.TAKING_OUT_OF_SERVICE);
+            enter(now, progress, Phase.EJECTING);
             return;
         }
         if (now - progress.requestedAt >= RETRY_SECONDS) {
@@ -367,7 +372,7 @@
             progress.servingSince = OptionalDouble.of(now);
             lastProgressAt = now;
         } else if (now - progress.servingSince.getAsDouble() >= plan.warmUpSeconds()) {
-            enter(now, progress, Phase.BACK);
+            enter(now, progress, Phase.DONE);
         } else {
             waitReason = target + " is warming";
         }
--- a/fleet/src/main/java/embershift/fleet/restart/RollingRestartPlan.java
+++ b/fleet/src/main/java/embershift/fleet/restart/RollingRestartPlan.java
@@ -9,17 +9,17 @@
  * What a rolling restart is to do: restart hosts and nodes in steps.
  *
  * @param name tells this restart from all others
- * @param size targets of one step, and targets that may be away at a time
+ * @param batchSize targets of one step, and targets that may be away at a time
  * @param minServiceRate share of sessions that must be opened of those opened or failed
  * @param warmUpSeconds that a target serves before it counts as back
- * @param patienceSeconds without any progress after which the restart pauses by itself
+ * @param stallTimeoutSeconds without any progress after which the restart pauses by itself
  */
 public record RollingRestartPlan(
         String name,
-        int size,
+        int batchSize,
         double minServiceRate,
         double warmUpSeconds,
-        double patienceSeconds,
+        double stallTimeoutSeconds,
         List<Target> targets) {
 
     /** The key of the plan in the store. */
@@ -33,7 +33,7 @@
 
     private static final String MAGIC = "release";
     private static final String VERSION = "1";
-    private static final int HEAD_WORDS = 7;
+    private static final int HEADER_FIELDS = 7;
     private static final String NODE = "node";
     private static final String HOST = "host";
 
@@ -53,13 +53,13 @@
 
     /** Returns the number of steps. */
     public int steps() {
-        return (targets.size() + size - 1) / size;
+        return (targets.size() + batchSize - 1) / batchSize;
     }
 
     /** Returns the targets of a step, which counts from 0. */
     public List<Target> targetsOf(int step) {
-        int from = Math.min(targets.size(), step * size);
-        int to = Math.min(targets.size(), (step + 1) * size);
+        int from = Math.min(targets.size(), step * batchSize);
+        int to = Math.min(targets.size(), (step + 1) * batchSize);
         return targets.subList(from, to);
     }
 
@@ -80,7 +80,10 @@
             return Optional.of("a part is named twice");
         }
         boolean isServiceRate = minServiceRate >= 0 && minServiceRate <= 1;
-        if (size < 1 || !isServiceRate || !(warmUpSeconds >= 0) || !(patienceSeconds > 0)) {
+        if (batchSize < 1
+                || !isServiceRate
+                || !(warmUpSeconds >= 0)
+                || !(stallTimeoutSeconds > 0)) {
             return Optional.of(
                     "a step has one part at least, service is 0 to 1, times are not negative");
         }
@@ -98,10 +101,10 @@
                         MAGIC,
                         VERSION,
                         name,
-                        String.valueOf(size),
+                        String.valueOf(batchSize),
                         String.valueOf(minServiceRate),
                         String.valueOf(warmUpSeconds),
-                        String.valueOf(patienceSeconds)));
+                        String.valueOf(stallTimeoutSeconds)));
         out.append('\n');
         targets.forEach(target -> out.append(target).append('\n'));
         return out.toString();
@@ -110,8 +113,10 @@
     /** Decodes the stored text; empty if it is none, or no plan that can be carried out. */
     public static Optional<RollingRestartPlan> decode(String text) {
         String[] lines = text.split("\n");
-        String[] head = lines[0].split(" ");
-        if (head.length != HEAD_WORDS || !head[0].equals(MAGIC) || !head[1].equals(VERSION)) {
+        String[] header = lines[0].split(" ");
+        if (header.length != HEADER_FIELDS
+                || !header[0].equals(MAGIC)
+                || !header[1].equals(VERSION)) {
             return Optional.empty();
         }
         List<Target> targets = new ArrayList<>();
@@ -125,11 +130,11 @@
         try {
             return Optional.of(
                             new RollingRestartPlan(
-                                    head[2],
-                                    Integer.parseInt(head[3]),
-                                    Double.parseDouble(head[4]),
-                                    Double.parseDouble(head[5]),
-                                    Double.parseDouble(head[6]),
+                                    header[2],
+                                    Integer.parseInt(header[3]),
+                                    Double.parseDouble(header[4]),
+                                    Double.parseDouble(header[5]),
+                                    Double.parseDouble(header[6]),
                                     targets))
                     .filter(plan -> plan.findError().isEmpty());
         } catch (NumberFormatException e) {
--- a/fleet/src/main/java/embershift/fleet/rollout/AppliedRevision.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/AppliedRevision.java
@@ -83,7 +83,7 @@
                     "revision " + applied.number() + " holds here, not " + order.baseNumber);
         }
         SortedMap<String, String> base = order.baseNumber == 0 ? new TreeMap<>() : applied.fields();
-        SortedMap<String, String> fields = ConfigRevision.applied(base, order.changes);
+        SortedMap<String, String> fields = ConfigRevision.withChanges(base, order.changes);
         if (!ConfigRevision.contentDigest(fields).equals(order.contentDigest)) {
             return new Result(
                     Outcome.FULL_REVISION_NEEDED,
--- a/fleet/src/main/java/embershift/fleet/rollout/ConfigRevision.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ConfigRevision.java
@@ -38,8 +38,8 @@
     private static final int MAX_FIELDS = 5_000;
     private static final String MAGIC = "revision";
     private static final String VERSION = "1";
-    private static final String NO_DIGEST = "-";
-    private static final int HEAD_WORDS = 5;
+    private static final String EMPTY_DIGEST = "-";
+    private static final int HEADER_FIELDS = 5;
 
     /** Copies the fields. */
     public ConfigRevision {
@@ -79,16 +79,17 @@
 
     /** Returns the next revision, with these fields set, or removed where the value is empty. */
     public ConfigRevision next(Map<String, Optional<String>> changes) {
-        return new ConfigRevision(number + 1, chainDigest(), applied(fields, changes));
+        return new ConfigRevision(number + 1, chainDigest(), withChanges(fields, changes));
     }
 
-    static SortedMap<String, String> applied(
+    static SortedMap<String, String> withChanges(
             SortedMap<String, String> fields, Map<String, Optional<String>> changes) {
         SortedMap<String, String> changed = new TreeMap<>(fields);
         changes.forEach(
                 (name, value) ->
                         value.ifPresentOrElse(
-                                set -> changed.put(name, set), () -> changed.remove(name)));
+                                newValue -> changed.put(name, newValue),
+                                () -> changed.remove(name)));
         return changed;
     }
 
@@ -111,7 +112,7 @@
     /** Encodes this revision as the stored text: a head, and a line for each field. */
     public String encode() {
         StringBuilder out = new StringBuilder();
-        String previous = previousChain.isEmpty() ? NO_DIGEST : previousChain;
+        String previous = previousChain.isEmpty() ? EMPTY_DIGEST : previousChain;
         out.append(
                 String.join(
                         " ", MAGIC, VERSION, String.valueOf(number), previous, contentDigest()));
@@ -123,13 +124,13 @@
     /** Decodes the stored text; empty if it is none, or does not fit its digest. */
     public static Optional<ConfigRevision> decode(String text) {
         String[] lines = text.split("\n");
-        String[] head = lines[0].split(" ");
-        boolean isHead =
-                head.length == HEAD_WORDS
-                        && head[0].equals(MAGIC)
-                        && head[1].equals(VERSION)
-                        && head[2].matches("\\d{1,18}");
-        if (!isHead) {
+        String[] header = lines[0].split(" ");
+        boolean isHeaderValid =
+                header.length == HEADER_FIELDS
+                        && header[0].equals(MAGIC)
+                        && header[1].equals(VERSION)
+                        && header[2].matches("\\d{1,18}");
+        if (!isHeaderValid) {
             return Optional.empty();
         }
         SortedMap<String, String> fields = new TreeMap<>();
@@ -140,9 +141,9 @@
             }
             fields.put(lines[i].substring(0, equals), lines[i].substring(equals + 1));
         }
-        String previous = head[3].equals(NO_DIGEST) ? "" : head[3];
-        return Optional.of(new ConfigRevision(Long.parseLong(head[2]), previous, fields))
-                .filter(revision -> revision.contentDigest().equals(head[4]));
+        String previous = header[3].equals(EMPTY_DIGEST) ? "" : header[3];
+        return Optional.of(new ConfigRevision(Long.parseLong(header[2]), previous, fields))
+                .filter(revision -> revision.contentDigest().equals(header[4]));
     }
 
     /** Returns the key of a revision in the store; keys are in the order of the numbers. */
--- a/fleet/src/main/java/embershift/fleet/rollout/ConfigRollout.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ConfigRollout.java
@@ -54,13 +54,13 @@
 
     private long floor;
     private RolloutProgress progress = RolloutProgress.INITIAL;
-    private double stageSince;
+    private double stageEnteredAt;
 
     /**
      * Progress that the store may not have yet. What follows from it is not ordered before it has:
      * the holder after this one goes on from there.
      */
-    private int unrecordedProgress;
+    private int pendingProgressWrites;
 
     private boolean isLimitReported;
     private double now;
@@ -84,7 +84,7 @@
 
     /** Goes on from the progress that the store has; empty for none. */
     public void restore(double time, Optional<String> text) {
-        stageSince = time;
+        stageEnteredAt = time;
         text.flatMap(RolloutProgress::decode).ifPresent(stored -> progress = stored);
     }
 
@@ -115,22 +115,23 @@
 
     /** The store has the progress that was recorded longest ago. */
     public void progressRecorded() {
-        unrecordedProgress--;
+        pendingProgressWrites--;
     }
 
     /** A node has reported. */
-    public void reported(double time, NodeReport report) {
-        nodes.computeIfAbsent(report.node(), none -> new ManagedNode()).reported(time, report);
+    public void reportReceived(double time, NodeReport report) {
+        nodes.computeIfAbsent(report.node(), none -> new ManagedNode())
+                .reportReceived(time, report);
     }
 
     /** How a node answered an order. */
     public enum OrderAnswer {
         /** It acts on the revision. */
-        TAKEN,
+        APPLIED,
         /** It needs the whole revision. */
         FULL_REVISION_NEEDED,
         /** It does not act on it. */
-        NOT_TAKEN
+        NOT_APPLIED
     }
 
     /** A node has answered an order. */
@@ -139,11 +140,11 @@
         if (node == null) {
             return;
         }
-        node.orderAnswered();
+        node.orderCompleted();
         switch (answer) {
-            case TAKEN -> node.awaitReport(time + settings.retrySeconds());
+            case APPLIED -> node.delayNextOrderUntil(time + settings.retrySeconds());
             case FULL_REVISION_NEEDED -> node.requireFullRevision(time);
-            case NOT_TAKEN -> {
+            case NOT_APPLIED -> {
                 // It gets the order again when it is time.
             }
         }
@@ -184,24 +185,28 @@
         if (report.isEmpty()) {
             return "not heard by this owner";
         }
-        long revision = report.get().revision();
+        long reportedRevision = report.get().revision();
         return switch (state) {
             case SILENT ->
                     "went by "
-                            + revision
+                            + reportedRevision
                             + " when it was heard last: what it goes by now is not known";
             case DIVERGED ->
                     hasUnknownRevision(report.get())
-                            ? "goes by " + revision + ", which the record never had"
-                            : "goes by something else than revision " + revision + " says";
-            case COMING_BACK -> "goes by " + revision + ", under the floor " + floor;
+                            ? "goes by " + reportedRevision + ", which the record never had"
+                            : "goes by something else than revision " + reportedRevision + " says";
+            case COMING_BACK -> "goes by " + reportedRevision + ", under the floor " + floor;
             case BEHIND ->
-                    "goes by " + revision + " of " + targetOf(name) + rejection(name, report.get());
+                    "goes by "
+                            + reportedRevision
+                            + " of "
+                            + targetOf(name)
+                            + rejectionSuffix(name, report.get());
             default -> "";
         };
     }
 
-    private String rejection(String name, NodeReport report) {
+    private String rejectionSuffix(String name, NodeReport report) {
         return report.rejectedRevision() >= targetOf(name)
                 ? ", refused it: " + report.rejectionReason()
                 : "";
@@ -225,7 +230,7 @@
                 progress.stage() == RolloutStage.ALL
                         || (progress.stage() == RolloutStage.FIRST
                                 && progress.canaries().contains(name));
-        return isForNode ? progress.revision() : progress.goodRevision();
+        return isForNode ? progress.revision() : progress.lastGoodRevision();
     }
 
     /** Returns the names of all nodes. */
@@ -251,52 +256,53 @@
     /** Time has passed. To be called several times a second. */
     public void tick(double time) {
         now = time;
-        if (unrecordedProgress > 0) {
+        if (pendingProgressWrites > 0) {
             return;
         }
-        beginIfDue();
-        if (progress.stage() == RolloutStage.FIRST && unrecordedProgress == 0) {
+        startRolloutIfDue();
+        if (progress.stage() == RolloutStage.FIRST && pendingProgressWrites == 0) {
             checkCanaries();
         }
-        if (unrecordedProgress == 0) {
+        if (pendingProgressWrites == 0) {
             orderNodes();
             raiseFloor();
         }
     }
 
-    private void beginIfDue() {
+    private void startRolloutIfDue() {
         long latest = revisions.lastKey();
         if (latest <= progress.revision()) {
             return;
         }
-        List<String> able = nodes.keySet().stream().filter(name -> stateOf(name).isAble()).toList();
-        if (able.isEmpty()) {
+        List<String> eligible =
+                nodes.keySet().stream().filter(name -> stateOf(name).isEligible()).toList();
+        if (eligible.isEmpty()) {
             return;
         }
-        stageSince = now;
-        long good = progress.goodRevision();
+        stageEnteredAt = now;
+        long lastGoodRevision = progress.lastGoodRevision();
         if (latest <= latestImmediateRevision) {
             enter(new RolloutProgress(latest, RolloutStage.ALL, latest, List.of(), ""));
             return;
         }
-        List<String> canaries = chooseCanaries(latest, able);
+        List<String> canaries = chooseCanaries(latest, eligible);
         nodes.values().forEach(ManagedNode::resetCanary);
-        enter(new RolloutProgress(latest, RolloutStage.FIRST, good, canaries, ""));
+        enter(new RolloutProgress(latest, RolloutStage.FIRST, lastGoodRevision, canaries, ""));
     }
 
     /** Each revision is tried on other nodes. */
-    private List<String> chooseCanaries(long revision, List<String> able) {
-        int count = Math.max(1, (int) Math.ceil(settings.canaryShare() * able.size()));
+    private List<String> chooseCanaries(long revision, List<String> eligible) {
+        int count = Math.max(1, (int) Math.ceil(settings.canaryShare() * eligible.size()));
         List<String> canaries = new ArrayList<>();
-        for (int i = 0; i < Math.min(count, able.size()); i++) {
-            canaries.add(able.get((int) ((revision * count + i) % able.size())));
+        for (int i = 0; i < Math.min(count, eligible.size()); i++) {
+            canaries.add(eligible.get((int) ((revision * count + i) % eligible.size())));
         }
         return canaries;
     }
 
     private void enter(RolloutProgress next) {
         progress = next;
-        unrecordedProgress++;
+        pendingProgressWrites++;
         environment.recordProgress(next.encode());
         String event =
                 switch (next.stage()) {
@@ -313,18 +319,18 @@
         if (2 * silentNodes > nodes.size()) {
             // Rather a cut, maybe of this instance alone, than so many nodes that the revision
             // ended.
-            stageSince = now;
+            stageEnteredAt = now;
         }
-        boolean haveAllSettled = true;
+        boolean allSettled = true;
         for (String name : progress.canaries()) {
             Optional<String> failure = findCanaryFailure(name);
             if (failure.isPresent()) {
                 enter(progress.halted(name + " " + failure.get()));
                 return;
             }
-            haveAllSettled &= hasCanarySettled(name);
+            allSettled &= hasCanarySettled(name);
         }
-        if (haveAllSettled) {
+        if (allSettled) {
             enter(progress.withStage(RolloutStage.ALL));
         }
     }
@@ -340,24 +346,24 @@
         if (report.filter(each -> each.rejectedRevision() == progress.revision()).isPresent()) {
             return Optional.of("refused it: " + report.get().rejectionReason());
         }
-        if (node != null && node.wasRestartedAsCanary()) {
+        if (node != null && node.wasRestartedSinceCanaryOrder()) {
             return Optional.of("was started anew while it took it");
         }
-        double stageSeconds = now - stageSince;
+        double stageSeconds = now - stageEnteredAt;
         if (isSilent(node) && stageSeconds > settings.silentSeconds()) {
             return Optional.of("is silent");
         }
-        if (stageSeconds > settings.patienceSeconds() + settings.settleSeconds()) {
+        if (stageSeconds > settings.canaryTimeoutSeconds() + settings.settleSeconds()) {
             return Optional.of(isSilent(node) ? "is silent" : "did not take it in time");
         }
-        if (actsAsCanary(node)) {
+        if (isRunningCanaryRevision(node)) {
             node.startCanary(now);
             return findServiceFailure(node);
         }
         return Optional.empty();
     }
 
-    private boolean actsAsCanary(ManagedNode node) {
+    private boolean isRunningCanaryRevision(ManagedNode node) {
         return !isSilent(node)
                 && node.report()
                         .filter(each -> each.revision() == progress.revision() && each.ready())
@@ -365,8 +371,8 @@
     }
 
     private Optional<String> findServiceFailure(ManagedNode node) {
-        long opened = node.openedAsCanary();
-        long failed = node.failedAsCanary();
+        long opened = node.openedSinceCanaryStart();
+        long failed = node.failedSinceCanaryStart();
         long total = opened + failed;
         return failed > 2 && opened < settings.minServiceRate() * total
                 ? Optional.of("closed " + failed + " of " + total + " tunnels with error by it")
@@ -375,7 +381,8 @@
 
     private boolean hasCanarySettled(String name) {
         ManagedNode node = nodes.get(name);
-        return actsAsCanary(node) && now - node.canarySince() >= settings.settleSeconds();
+        return isRunningCanaryRevision(node)
+                && now - node.canarySince() >= settings.settleSeconds();
     }
 
     private void orderNodes() {
@@ -389,15 +396,15 @@
                     || state == NodeState.CURRENT) {
                 continue;
             }
-            if (mayOrder(name, node) && inFlight < settings.maxInFlight()) {
+            if (checkOrderDue(name, node) && inFlight < settings.maxInFlight()) {
                 inFlight++;
-                order(name, node, state);
+                sendOrder(name, node, state);
             }
         }
     }
 
     /** Whether a node is to be ordered now; escalates where orders have not helped. */
-    private boolean mayOrder(String name, ManagedNode node) {
+    private boolean checkOrderDue(String name, ManagedNode node) {
         NodeReport report = node.report().orElseThrow();
         if (hasUnknownRevision(report)) {
             shutOut(name, report);
@@ -421,7 +428,7 @@
         return node.attempts() < 2 * settings.maxAttempts() || !shutOut(name, report);
     }
 
-    private void order(String name, ManagedNode node, NodeState state) {
+    private void sendOrder(String name, ManagedNode node, NodeState state) {
         NodeReport report = node.report().orElseThrow();
         long number = Math.max(targetOf(name), report.revision());
         ConfigRevision revision = revisions.get(number);
--- a/fleet/src/main/java/embershift/fleet/rollout/ManagedNode.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ManagedNode.java
@@ -5,7 +5,7 @@
 /** What a rollout knows of one node, and what it has ordered it. */
 final class ManagedNode {
 
-    private static final long NOT_ORDERED = 0;
+    private static final long NO_INCARNATION = 0;
 
     private NodeReport report;
     private boolean isConnected;
@@ -18,12 +18,12 @@
     private double inFlightUntil;
 
     /** The incarnation that the canary revision was ordered first, or 0. */
-    private long canaryIncarnation = NOT_ORDERED;
+    private long canaryIncarnation = NO_INCARNATION;
 
     private boolean isCanaryStarted;
     private double canarySince;
-    private long openedBefore;
-    private long failedBefore;
+    private long openedAtCanaryStart;
+    private long failedAtCanaryStart;
 
     Optional<NodeReport> report() {
         return Optional.ofNullable(report);
@@ -33,17 +33,17 @@
         return report == null || !isConnected || now - reportedAt > silentSeconds;
     }
 
-    void reported(double time, NodeReport newReport) {
+    void reportReceived(double time, NodeReport newReport) {
         if (report != null && newReport.incarnation() < report.incarnation()) {
             return;
         }
-        boolean isOtherIncarnation =
+        boolean isNewIncarnation =
                 report == null || report.incarnation() != newReport.incarnation();
-        if (isOtherIncarnation || report.revision() != newReport.revision()) {
+        if (isNewIncarnation || report.revision() != newReport.revision()) {
             attempts = 0;
             nextOrderAt = Double.NEGATIVE_INFINITY;
         }
-        if (isOtherIncarnation) {
+        if (isNewIncarnation) {
             isRestartRequested = false;
         }
         report = newReport;
@@ -59,7 +59,7 @@
         isInFlight = false;
     }
 
-    void orderAnswered() {
+    void orderCompleted() {
         isInFlight = false;
     }
 
@@ -70,7 +70,7 @@
     }
 
     /** What it acts on is told by its own report. */
-    void awaitReport(double until) {
+    void delayNextOrderUntil(double until) {
         nextOrderAt = Math.max(nextOrderAt, until);
     }
 
@@ -91,7 +91,7 @@
         isInFlight = true;
         inFlightUntil = now + settings.silentSeconds();
         double pause = settings.retrySeconds() * Math.pow(2, attempts);
-        nextOrderAt = now + Math.min(settings.patienceSeconds(), pause);
+        nextOrderAt = now + Math.min(settings.canaryTimeoutSeconds(), pause);
         attempts++;
     }
 
@@ -105,7 +105,7 @@
 
     /** A new revision is to be tried on canaries. */
     void resetCanary() {
-        canaryIncarnation = NOT_ORDERED;
+        canaryIncarnation = NO_INCARNATION;
         isCanaryStarted = false;
     }
 
@@ -114,9 +114,9 @@
     }
 
     /** Whether it was restarted since the canary revision was ordered. */
-    boolean wasRestartedAsCanary() {
+    boolean wasRestartedSinceCanaryOrder() {
         return report != null
-                && canaryIncarnation != NOT_ORDERED
+                && canaryIncarnation != NO_INCARNATION
                 && report.incarnation() != canaryIncarnation;
     }
 
@@ -125,8 +125,8 @@
         if (!isCanaryStarted) {
             isCanaryStarted = true;
             canarySince = now;
-            openedBefore = report.opened();
-            failedBefore = report.failed();
+            openedAtCanaryStart = report.opened();
+            failedAtCanaryStart = report.failed();
         }
     }
 
@@ -134,11 +134,11 @@
         return canarySince;
     }
 
-    long openedAsCanary() {
-        return report.opened() - openedBefore;
+    long openedSinceCanaryStart() {
+        return report.opened() - openedAtCanaryStart;
     }
 
-    long failedAsCanary() {
-        return report.failed() - failedBefore;
+    long failedSinceCanaryStart() {
+        return report.failed() - failedAtCanaryStart;
     }
 }
--- a/fleet/src/main/java/embershift/fleet/rollout/NodeState.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/NodeState.java
@@ -16,7 +16,7 @@
     COMING_BACK;
 
     /** Whether the node can be part of a rollout. */
-    boolean isAble() {
+    boolean isEligible() {
         return this == CURRENT || this == BEHIND || this == COMING_BACK;
     }
 }
--- a/fleet/src/main/java/embershift/fleet/rollout/RolloutProgress.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/RolloutProgress.java
@@ -7,14 +7,14 @@
  * How far a rollout is, as the store has it.
  *
  * @param revision that is rolled out
- * @param goodRevision the last one that went to all nodes
+ * @param lastGoodRevision the last one that went to all nodes
  * @param canaries nodes that go first
  * @param haltReason empty unless the rollout is halted
  */
 record RolloutProgress(
         long revision,
         RolloutStage stage,
-        long goodRevision,
+        long lastGoodRevision,
         List<String> canaries,
         String haltReason) {
 
@@ -22,46 +22,49 @@
     static final RolloutProgress INITIAL =
             new RolloutProgress(0, RolloutStage.ALL, 0, List.of(), "");
 
-    private static final String NO_CANARIES = "-";
-    private static final int MIN_WORDS = 4;
+    private static final String EMPTY_CANARY_LIST = "-";
+    private static final int MIN_FIELDS = 4;
 
     RolloutProgress withStage(RolloutStage newStage) {
-        long good = newStage == RolloutStage.ALL ? revision : goodRevision;
-        return new RolloutProgress(revision, newStage, good, canaries, haltReason);
+        long newLastGoodRevision = newStage == RolloutStage.ALL ? revision : lastGoodRevision;
+        return new RolloutProgress(revision, newStage, newLastGoodRevision, canaries, haltReason);
     }
 
     RolloutProgress halted(String reason) {
-        return new RolloutProgress(revision, RolloutStage.HALTED, goodRevision, canaries, reason);
+        return new RolloutProgress(
+                revision, RolloutStage.HALTED, lastGoodRevision, canaries, reason);
     }
 
     String encode() {
-        String names = canaries.isEmpty() ? NO_CANARIES : String.join(",", canaries);
-        String text = revision + " " + stage + " " + goodRevision + " " + names;
+        String names = canaries.isEmpty() ? EMPTY_CANARY_LIST : String.join(",", canaries);
+        String text = revision + " " + stage + " " + lastGoodRevision + " " + names;
         return haltReason.isEmpty() ? text : text + " " + haltReason;
     }
 
     /** Decodes the stored text; empty if it is none. */
     static Optional<RolloutProgress> decode(String text) {
-        String[] words = text.split(" ", MIN_WORDS + 1);
+        String[] fields = text.split(" ", MIN_FIELDS + 1);
         boolean isValid =
-                words.length >= MIN_WORDS
-                        && words[0].matches("\\d{1,18}")
-                        && words[2].matches("\\d{1,18}");
+                fields.length >= MIN_FIELDS
+                        && fields[0].matches("\\d{1,18}")
+                        && fields[2].matches("\\d{1,18}");
         if (!isValid) {
             return Optional.empty();
         }
         RolloutStage stage = RolloutStage.ALL;
         for (RolloutStage each : RolloutStage.values()) {
-            if (each.name().equals(words[1])) {
+            if (each.name().equals(fields[1])) {
                 stage = each;
             }
         }
         return Optional.of(
                 new RolloutProgress(
-                        Long.parseLong(words[0]),
+                        Long.parseLong(fields[0]),
                         stage,
-                        Long.parseLong(words[2]),
-                        words[3].equals(NO_CANARIES) ? List.of() : List.of(words[3].split(",")),
-                        words.length > MIN_WORDS ? words[MIN_WORDS] : ""));
+                        Long.parseLong(fields[2]),
+                        fields[3].equals(EMPTY_CANARY_LIST)
+                                ? List.of()
+                                : List.of(fields[3].split(",")),
+                        fields.length > MIN_FIELDS ? fields[MIN_FIELDS] : ""));
     }
 }
--- a/fleet/src/main/java/embershift/fleet/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/RolloutSettings.java
@@ -4,7 +4,7 @@
  * How a {@link ConfigRollout} behaves.
  *
  * @param settleSeconds that the canaries act on a revision before all nodes do
- * @param patienceSeconds that the canaries may take for it
+ * @param canaryTimeoutSeconds that the canaries may take for it
  * @param retrySeconds until a node that has not taken an order gets it again, doubled each time up
  *     to the patience
  * @param maxInFlight nodes that have an order without an answer
@@ -16,7 +16,7 @@
  */
 public record RolloutSettings(
         double settleSeconds,
-        double patienceSeconds,
+        double canaryTimeoutSeconds,
         double retrySeconds,
         int maxInFlight,
         int maxAttempts,
--- a/fleet/src/main/java/embershift/fleet/store/KeyValueStore.java
+++ b/fleet/src/main/java/embershift/fleet/store/KeyValueStore.java
@@ -58,7 +58,7 @@
     }
 
     /** Notes an index of the log that holds no command. */
-    public void skip(long index) {
+    public void skipEntry(long index) {
         appliedIndex = index;
     }
 
@@ -104,9 +104,9 @@
         if (session == null) {
             return unknownSession(transaction.session());
         }
-        CommandResult before = session.results().get(transaction.sequenceNumber());
-        if (before != null) {
-            return before;
+        CommandResult previous = session.results().get(transaction.sequenceNumber());
+        if (previous != null) {
+            return previous;
         }
         if (transaction.sequenceNumber() < session.oldestOpenNumber()) {
             return new CommandResult.Rejected(
@@ -206,9 +206,9 @@
         long total = totalChars;
         boolean grows = false;
         for (Map.Entry<String, Integer> sizeAfter : sizesAfter.entrySet()) {
-            int before = find(sizeAfter.getKey()).map(KeyValueStore::size).orElse(0);
-            total += sizeAfter.getValue() - before;
-            grows |= sizeAfter.getValue() > before;
+            int previous = find(sizeAfter.getKey()).map(KeyValueStore::size).orElse(0);
+            total += sizeAfter.getValue() - previous;
+            grows |= sizeAfter.getValue() > previous;
         }
         return grows && total > MAX_TOTAL_CHARS
                 ? Optional.of(
@@ -228,17 +228,17 @@
 
     private void execute(Mutation mutation, SessionId session) {
         String key = mutation.key();
-        KeyValue before = keyValues.remove(key);
-        if (before != null) {
-            totalChars -= size(before);
+        KeyValue previous = keyValues.remove(key);
+        if (previous != null) {
+            totalChars -= size(previous);
         }
         if (mutation.value().isPresent()) {
             String value = mutation.value().get();
             totalChars += size(key, value);
-            long createRevision = before == null ? revision : before.createRevision();
+            long createRevision = previous == null ? revision : previous.createRevision();
             SessionId boundTo = mutation.sessionBound() ? session : SessionId.NONE;
             keyValues.put(key, new KeyValue(key, value, createRevision, revision, boundTo));
-        } else if (before == null) {
+        } else if (previous == null) {
             return;
         }
         history.add(new WatchEvent(revision, key, mutation.value()));
--- a/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
+++ b/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
@@ -217,7 +217,7 @@
             }
             result = apply(entry.index(), command);
         } else {
-            store.skip(entry.index());
+            store.skipEntry(entry.index());
         }
         if (entry.index() % snapshotPolicy.checksumInterval() == 0) {
             int checksum = Snapshot.checksum(store.encode());
@@ -268,10 +268,10 @@
     }
 
     /** Feeds the protocol; then does whatever has become possible. */
-    private void step(double time, Runnable feed) {
+    private void run(double time, Runnable input) {
         now = time;
         if (!isHalted) {
-            feed.run();
+            input.run();
         }
         if (!isHalted) {
             reads.answerReady(store);
@@ -280,14 +280,14 @@
                 watches.answer(store, environment::complete);
             }
             if (isLeader()) {
-                sessionExpiry.endExpired(now, this::proposeEndOfSession);
+                sessionExpiry.endExpired(now, this::proposeSessionEnd);
             }
             checksums.sendNew(raft);
             takeSnapshotIfDue();
         }
     }
 
-    private boolean proposeEndOfSession(SessionId session) {
+    private boolean proposeSessionEnd(SessionId session) {
         byte[] command = StoreCodec.encode(new StoreCommand.EndSession(session));
         return raft.propose(command) instanceof ProposeResult.Accepted;
     }
@@ -309,7 +309,7 @@
 
     /** Ticks of the protocol have passed. */
     public void tick(double time, int ticks) {
-        step(
+        run(
                 time,
                 () -> {
                     for (int i = 0; i < ticks && !isHalted; i++) {
@@ -320,20 +320,20 @@
 
     /** Takes a message of another member. */
     public void receive(double time, MemberId from, RaftMessage message) {
-        step(time, () -> raft.receive(from, message));
+        run(time, () -> raft.receive(from, message));
     }
 
     /** All writes up to that number are durable. */
     public void writesCompleted(double time, long number) {
-        step(time, () -> raft.writesCompleted(number));
+        run(time, () -> raft.writesCompleted(number));
     }
 
     /** Submits a command. */
     public void submit(double time, long call, StoreCommand command) {
-        step(time, () -> track(call, raft.propose(StoreCodec.encode(command))));
+        run(time, () -> completeOnCommit(call, raft.propose(StoreCodec.encode(command))));
     }
 
-    private void track(long call, ProposeResult result) {
+    private void completeOnCommit(long call, ProposeResult result) {
         if (result instanceof ProposeResult.Accepted accepted) {
             pendingByIndex.put(accepted.index(), new PendingCall(call, accepted.term()));
         } else if (result instanceof ProposeResult.Rejected rejected) {
@@ -390,7 +390,7 @@
     }
 
     private void beginRead(double time, long call, Consumer<KeyValueStore> action) {
-        step(time, () -> reads.begin(raft, call, action));
+        run(time, () -> reads.begin(raft, call, action));
     }
 
     /**
@@ -423,7 +423,7 @@
      * as soon as it knows.
      */
     public void watch(double time, long call, String prefix, long fromRevision) {
-        step(
+        run(
                 time,
                 () -> {
                     watches.add(call, prefix, fromRevision)
@@ -433,24 +433,24 @@
     }
 
     /** Nobody waits for the result of this call any more. */
-    public void abandon(long call) {
+    public void cancelCall(long call) {
         watches.remove(call);
         pendingByIndex.values().removeIf(each -> each.call == call);
     }
 
     /** Adds a member to the group. */
     public void addMember(double time, long call, Member member) {
-        step(time, () -> track(call, raft.addMember(member)));
+        run(time, () -> completeOnCommit(call, raft.addMember(member)));
     }
 
     /** Removes a member from the group. */
     public void removeMember(double time, long call, MemberId id) {
-        step(time, () -> track(call, raft.removeMember(id)));
+        run(time, () -> completeOnCommit(call, raft.removeMember(id)));
     }
 
     /** Begins to hand over leadership; done says only that it has begun. */
     public void transferLeadership(double time, long call, MemberId target) {
-        step(
+        run(
                 time,
                 () -> {
                     Optional<RejectionReason> rejection = raft.transferLeadership(target);
@@ -468,6 +468,6 @@
      * @throws IllegalStateException if its directory is not empty
      */
     public void bootstrap(double time, Member first) {
-        step(time, () -> raft.bootstrap(first));
+        run(time, () -> raft.bootstrap(first));
     }
 }
--- a/fleet/src/main/java/embershift/fleet/store/SessionExpiry.java
+++ b/fleet/src/main/java/embershift/fleet/store/SessionExpiry.java
@@ -12,7 +12,7 @@
 final class SessionExpiry {
 
     /** In place of a time: the command that ends the session is in the log. */
-    private static final double IS_ENDING = Double.POSITIVE_INFINITY;
+    private static final double END_PROPOSED = Double.POSITIVE_INFINITY;
 
     private final Map<SessionId, Double> expiryTimes = new HashMap<>();
 
@@ -31,7 +31,7 @@
 
     boolean isEnding(SessionId session) {
         Double expiry = expiryTimes.get(session);
-        return expiry != null && expiry == IS_ENDING;
+        return expiry != null && expiry == END_PROPOSED;
     }
 
     /** The session's client was heard of; a session that is ending stays so. */
@@ -46,7 +46,7 @@
     void endExpired(double now, Predicate<SessionId> end) {
         for (Map.Entry<SessionId, Double> each : List.copyOf(expiryTimes.entrySet())) {
             if (now > each.getValue() && end.test(each.getKey())) {
-                expiryTimes.put(each.getKey(), IS_ENDING);
+                expiryTimes.put(each.getKey(), END_PROPOSED);
             }
         }
     }
--- a/fleet/src/test/java/embershift/fleet/StoredFormatTest.java
+++ b/fleet/src/test/java/embershift/fleet/StoredFormatTest.java
@@ -101,7 +101,7 @@
                 "begin of a trail",
                 new AuditCheckpoint(4, 200, "sum", 3, new HybridLogicalClock(12, 1)).encode());
         KeyValue stored = new KeyValue(segment().key(), segment().encode(), 1, 1, SessionId.NONE);
-        for (Mutation mutation : AuditRetention.compact(List.of(stored), Map.of(), 1, 1)) {
+        for (Mutation mutation : AuditRetention.deleteExcess(List.of(stored), Map.of(), 1, 1)) {
             samples.text("folded " + mutation.key(), mutation.value().orElse("null"));
         }
         samples.text("stages and floor of a rollout", String.join("; ", rollout()));
@@ -170,7 +170,7 @@
             long rejectedByNow = i > 4 ? rejected : 0;
             names.forEach(
                     name ->
-                            rollout.reported(
+                            rollout.reportReceived(
                                     now,
                                     new NodeReport(
                                             name,
--- a/fleet/src/test/java/embershift/fleet/lease/LeaseHolderTest.java
+++ b/fleet/src/test/java/embershift/fleet/lease/LeaseHolderTest.java
@@ -110,7 +110,7 @@
         LeaseHolder holder = holding(environment, LeaseSettings.DEFAULTS);
         holder.progressRead(0, Optional.empty());
         holder.commandCompleted(0, environment.inFlight, new CallResult.Done(10));
-        holder.stepCompleted(0.1, 0, new FencingToken(9), LeaseHolder.StepOutcome.STALE_TOKEN);
+        holder.stepEnded(0.1, 0, new FencingToken(9), LeaseHolder.StepOutcome.STALE_TOKEN);
         assertTrue(!holder.isHeld(0.1));
         assertEquals(environment.all, List.of("p INTENDED 0 1", "run step 0"));
     }
--- a/fleet/src/test/java/embershift/fleet/rollout/ConfigRolloutTest.java
+++ b/fleet/src/test/java/embershift/fleet/rollout/ConfigRolloutTest.java
@@ -71,7 +71,7 @@
                         report("n1", 5, 2, "other", second.contentDigest()))) {
             Recorder environment = new Recorder();
             ConfigRollout rollout = rollout(environment);
-            rollout.reported(1, foreign);
+            rollout.reportReceived(1, foreign);
             rollout.tick(1);
             assertEquals(rollout.stateOf("n1"), NodeState.SHUT_OUT);
             assertTrue(
@@ -85,7 +85,7 @@
     public void nodeThatSaysOneThingAndDoesAnotherIsToldTheWhole() {
         Recorder environment = new Recorder();
         ConfigRollout rollout = rollout(environment);
-        rollout.reported(1, report("n1", 5, 2, second.chainDigest(), first.contentDigest()));
+        rollout.reportReceived(1, report("n1", 5, 2, second.chainDigest(), first.contentDigest()));
         rollout.tick(1);
         assertEquals(rollout.stateOf("n1"), NodeState.DIVERGED);
         assertEquals(environment.all, List.of("order n1 2 on 0"));
@@ -96,7 +96,8 @@
         Recorder environment = new Recorder();
         ConfigRollout rollout = rollout(environment);
         for (String node : List.of("n1", "n2", "n3", "n4")) {
-            rollout.reported(1, report(node, 5, 1, first.chainDigest(), first.contentDigest()));
+            rollout.reportReceived(
+                    1, report(node, 5, 1, first.chainDigest(), first.contentDigest()));
         }
         for (double time = 60; time < 200; time += 0.1) {
             rollout.tick(time);
--- a/fleet/src/test/java/embershift/fleet/store/StoreFormatTest.java
+++ b/fleet/src/test/java/embershift/fleet/store/StoreFormatTest.java
@@ -56,7 +56,7 @@
     private static KeyValueStore store() {
         KeyValueStore store = new KeyValueStore();
         store.apply(1, new StoreCommand.OpenSession("client one", 3));
-        store.skip(2);
+        store.skipEntry(2);
         SessionId first = new SessionId(1);
         SessionId second = new SessionId(6);
         store.apply(3, transaction(first, 1, List.of(), Mutation.putSessionBound("bound", "x")));
--- a/hosted/src/main/java/embershift/hosted/AuditCommand.java
+++ b/hosted/src/main/java/embershift/hosted/AuditCommand.java
@@ -115,7 +115,7 @@
             trail.answer().path("items").forEach(item -> texts.add(item.path("value").asText()));
         }
         AuditReport audit = new AuditReport(texts, registered, begins);
-        ObjectNode answer = JsonMessages.node();
+        ObjectNode answer = JsonMessages.newObject();
         ArrayNode rows = answer.putArray("rows");
         if (verify) {
             heads = List.of("PROBLEM");
--- a/hosted/src/main/java/embershift/hosted/Calls.java
+++ b/hosted/src/main/java/embershift/hosted/Calls.java
@@ -36,7 +36,7 @@
     /** Answers a call, now or later. */
     static void take(Instance instance, Instance.Entrance entrance, byte[] piece)
             throws FrameCodec.MalformedFrameException {
-        ObjectNode call = JsonMessages.read(piece);
+        ObjectNode call = JsonMessages.decodeFrame(piece);
         long id = call.path("id").asLong();
         Waiter waiter =
                 (number, answer) -> {
@@ -123,7 +123,7 @@
 
     private static void add(
             Instance instance, Instance.Entrance entrance, Waiter waiter, ObjectNode call) {
-        if (!TomlSettings.isAddress(call.path("address").asText())) {
+        if (!TomlSettings.isValidAddress(call.path("address").asText())) {
             waiter.hears(
                     0,
                     new CallResult.Rejected(
@@ -166,7 +166,7 @@
     }
 
     private static ObjectNode written(long id, CallResult answer) {
-        ObjectNode node = JsonMessages.node().put("id", id);
+        ObjectNode node = JsonMessages.newObject().put("id", id);
         if (answer instanceof CallResult.Done done) {
             node.put("end", "done").put("number", done.number());
         } else if (answer instanceof CallResult.Found found) {
@@ -213,7 +213,7 @@
         Raft raft = instance.replica().raft();
         String leader = raft.leader().flatMap(raft.membership()::find).map(Member::name).orElse("");
         ObjectNode node =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("id", id)
                         .put("end", "done")
                         .put("name", instance.name())
--- a/hosted/src/main/java/embershift/hosted/Duties.java
+++ b/hosted/src/main/java/embershift/hosted/Duties.java
@@ -85,7 +85,7 @@
         for (Duty duty : duties) {
             if (duty.owner() != null) {
                 if (!leaving) {
-                    duty.owner().setLeaving(now(), true);
+                    duty.owner().setShuttingDown(now(), true);
                 }
                 any |= duty.owner().isHeldOrReleasing();
             }
--- a/hosted/src/main/java/embershift/hosted/Duty.java
+++ b/hosted/src/main/java/embershift/hosted/Duty.java
@@ -169,7 +169,7 @@
                                 writes.poll().done.run();
                                 writeNext();
                             } else if (outcome.reason().equals("condition")) {
-                                owner.learnedToken(now(), new FencingToken(by.number() + 1));
+                                owner.tokenObserved(now(), new FencingToken(by.number() + 1));
                             } else {
                                 all.after(AGAIN, this::writeNext);
                             }
@@ -187,7 +187,8 @@
                 verdict -> {
                     if (verdict != null && verdict.path("verdict").asText().equals("OLD")) {
                         all.counted("orders refused as old");
-                        owner.learnedToken(now(), new FencingToken(verdict.path("known").asLong()));
+                        owner.tokenObserved(
+                                now(), new FencingToken(verdict.path("known").asLong()));
                     }
                     heard.accept(verdict);
                 });
--- a/hosted/src/main/java/embershift/hosted/FleetCommands.java
+++ b/hosted/src/main/java/embershift/hosted/FleetCommands.java
@@ -42,10 +42,10 @@
         List<InetSocketAddress> addresses() {
             List<InetSocketAddress> all = new ArrayList<>();
             for (String each : at.split(",")) {
-                if (!TomlSettings.isAddress(each)) {
+                if (!TomlSettings.isValidAddress(each)) {
                     throw new ParameterException("--at takes HOST:PORT, not " + each);
                 }
-                all.add(TomlSettings.socket(each));
+                all.add(TomlSettings.parseAddress(each));
             }
             return all;
         }
@@ -70,7 +70,7 @@
             if (json) {
                 System.out.println(
                         outcome.answer() == null
-                                ? JsonMessages.node().put("end", outcome.end())
+                                ? JsonMessages.newObject().put("end", outcome.end())
                                 : outcome.answer().put("end", outcome.end()));
             } else if (outcome.done()) {
                 print(outcome.answer());
@@ -121,7 +121,7 @@
                 if (json) {
                     System.out.println(
                             answer == null
-                                    ? JsonMessages.node()
+                                    ? JsonMessages.newObject()
                                             .put("address", where)
                                             .put("end", "unknown")
                                     : answer);
@@ -165,7 +165,7 @@
             return told(
                     best == null
                             ? new RecordClient.Outcome(
-                                    "refused", JsonMessages.node().put("reason", "no-answer"))
+                                    "refused", JsonMessages.newObject().put("reason", "no-answer"))
                             : new RecordClient.Outcome("done", best));
         }
 
@@ -301,7 +301,8 @@
                 if (status == null) {
                     return told(
                             new RecordClient.Outcome(
-                                    "refused", JsonMessages.node().put("reason", "no-answer")));
+                                    "refused",
+                                    JsonMessages.newObject().put("reason", "no-answer")));
                 }
                 call.put("from", status.path("revision").asLong() + 1);
             }
@@ -310,7 +311,7 @@
                     new RecordClient.Outcome(
                             answer == null ? "refused" : answer.path("end").asText(),
                             answer == null
-                                    ? JsonMessages.node().put("reason", "nothing-changed")
+                                    ? JsonMessages.newObject().put("reason", "nothing-changed")
                                     : answer));
         }
 
@@ -401,7 +402,7 @@
 
         static RecordClient.Outcome refused(String reason, String text) {
             return new RecordClient.Outcome(
-                    "refused", JsonMessages.node().put("reason", reason).put("text", text));
+                    "refused", JsonMessages.newObject().put("reason", reason).put("text", text));
         }
     }
 
--- a/hosted/src/main/java/embershift/hosted/Installation.java
+++ b/hosted/src/main/java/embershift/hosted/Installation.java
@@ -50,7 +50,7 @@
             RolloutSettings usual = RolloutSettings.DEFAULTS;
             session = session == null ? LeaseSettings.DEFAULTS.sessionSeconds() : session;
             settle = settle == null ? usual.settleSeconds() : settle;
-            patience = patience == null ? usual.patienceSeconds() : patience;
+            patience = patience == null ? usual.canaryTimeoutSeconds() : patience;
             silent = silent == null ? usual.silentSeconds() : silent;
             share = share == null ? usual.canaryShare() : share;
             tries = tries == null ? usual.maxAttempts() : tries;
@@ -150,7 +150,7 @@
     }
 
     public static Installation read(Path file) throws TomlSettings.InvalidSettingsException {
-        return read(TomlSettings.text(file), file.toString());
+        return read(TomlSettings.readText(file), file.toString());
     }
 
     static Installation read(String text, String file)
@@ -188,7 +188,7 @@
                     .forEach(addresses::add);
         }
         for (String each : addresses) {
-            if (!TomlSettings.isAddress(each)) {
+            if (!TomlSettings.isValidAddress(each)) {
                 throw new TomlSettings.InvalidSettingsException(
                         file + ": " + each + ": a port is 65535 at the most");
             }
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -142,7 +142,7 @@
             Instance instance = new Instance(installation, loop, folder);
             InetSocketAddress address =
                     loop.listen(
-                                    TomlSettings.socket(installation.listen()),
+                                    TomlSettings.parseAddress(installation.listen()),
                                     instance::room,
                                     link -> loop.execute(() -> instance.new Entrance(link)))
                             .localAddress();
@@ -215,7 +215,7 @@
             InetSocketAddress address =
                     member.id().equals(identity.id())
                             ? listens
-                            : TomlSettings.socket(
+                            : TomlSettings.parseAddress(
                                     installation
                                             .ways()
                                             .getOrDefault(member.name(), member.address()));
@@ -318,7 +318,7 @@
         }
         if (member != null) {
             String address = installation.ways().getOrDefault(member.name(), member.address());
-            if (TomlSettings.isAddress(address)) {
+            if (TomlSettings.isValidAddress(address)) {
                 ways.computeIfAbsent(to, none -> new Way(to)).send(address, message);
             }
         }
@@ -387,7 +387,7 @@
             waiting = 0;
             backedUpSince = now;
             notBefore = now + gap;
-            link = loop.connect(TomlSettings.socket(address), this);
+            link = loop.connect(TomlSettings.parseAddress(address), this);
             TcpConnection dialled = link;
             loop.schedule(
                     STUCK,
@@ -430,7 +430,7 @@
         @Override
         public void received(ByteBuffer bytes) {
             try {
-                frames.take(
+                frames.decode(
                         bytes,
                         piece -> {
                             if (piece[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
@@ -493,7 +493,7 @@
         public void received(ByteBuffer bytes) {
             guarded(Instance.this::catchUp);
             try {
-                frames.take(bytes, piece -> guarded(() -> piece(piece)));
+                frames.decode(bytes, piece -> guarded(() -> piece(piece)));
             } catch (FrameCodec.MalformedFrameException e) {
                 count("connections with unreadable bytes");
                 close();
@@ -509,7 +509,7 @@
                     case FrameCodec.HANDSHAKE -> greeted(Greeting.read(piece));
                     case FrameCodec.MESSAGE -> message(piece);
                     case FrameCodec.CALL -> Calls.take(Instance.this, this, piece);
-                    case FrameCodec.NODE -> node(JsonMessages.read(piece));
+                    case FrameCodec.NODE -> node(JsonMessages.decodeFrame(piece));
                     default ->
                             throw new FrameCodec.MalformedFrameException(
                                     "a piece of kind " + piece[0]);
@@ -537,7 +537,7 @@
                 return;
             }
             if (link.hasPendingWrites()
-                    || !link.write(JsonMessages.frame(FrameCodec.ORDER, words))) {
+                    || !link.write(JsonMessages.encodeFrame(FrameCodec.ORDER, words))) {
                 count("words to nodes dropped");
                 // What it misses it is told again, or it comes again.
                 backedUp++;
@@ -638,7 +638,7 @@
 
         void answer(ObjectNode answer) {
             if (!link.isClosed()) {
-                link.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.bytes(answer)));
+                link.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.encode(answer)));
             }
         }
 
@@ -664,7 +664,7 @@
             waiting.forEach(
                     call -> {
                         calls.remove(call);
-                        replica.abandon(call);
+                        replica.cancelCall(call);
                     });
             waiting.clear();
             link.close();
@@ -757,7 +757,7 @@
         timer[0] = loop.schedule(2, () -> no.accept("nobody answers at " + address));
         link[0] =
                 loop.connect(
-                        TomlSettings.socket(address),
+                        TomlSettings.parseAddress(address),
                         new TcpConnection.Listener() {
                             @Override
                             public void connected() {
@@ -781,7 +781,7 @@
                             @Override
                             public void received(ByteBuffer bytes) {
                                 try {
-                                    frames.take(
+                                    frames.decode(
                                             bytes,
                                             piece -> {
                                                 try {
--- a/hosted/src/main/java/embershift/hosted/ListsDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ListsDuty.java
@@ -53,7 +53,7 @@
         discovery =
                 new Discovery(
                         all.loop(),
-                        TomlSettings.socket(all.fleet().discovery()),
+                        TomlSettings.parseAddress(all.fleet().discovery()),
                         (generation, whole, anew) -> {
                             all.counted("discovery answers");
                             if (anew) {
@@ -80,7 +80,7 @@
         if (now - discovery.heardAt() < DEAF
                 && (all.nodes().linked().size() > 0
                         || all.record().findByPrefix(Nodes.NODE).isEmpty())) {
-            owner().madeProgress(now);
+            owner().progressMade(now);
         }
         if (told.number() == 0) {
             return;
@@ -103,12 +103,12 @@
     private void tell(Nodes.NodeLink link, Told node) {
         EndpointUpdate change = told.updateSince(node.has);
         ObjectNode order =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("number", change.number())
                         .put("base", change.baseNumber())
                         .put("generation", change.generation());
-        JsonMessages.texts(order.putObject("changed"), change.changed());
-        JsonMessages.list(order.putArray("gone"), change.removed());
+        JsonMessages.putTexts(order.putObject("changed"), change.changed());
+        JsonMessages.addTexts(order.putArray("gone"), change.removed());
         node.out = true;
         all.counted(change.baseNumber() == 0 ? "lists told whole" : "lists told by difference");
         long incarnation = node.incarnation;
--- a/hosted/src/main/java/embershift/hosted/Nodes.java
+++ b/hosted/src/main/java/embershift/hosted/Nodes.java
@@ -66,7 +66,7 @@
         private final Instance.Entrance entrance;
         private double clock;
         private double heardAt;
-        private JsonNode report = JsonMessages.node();
+        private JsonNode report = JsonMessages.newObject();
         private boolean welcome;
         private final Map<Long, Waiting> waiting = new HashMap<>();
 
@@ -120,7 +120,7 @@
                     kv("node", name),
                     kv("incarnation", incarnation),
                     kv("why", why));
-            say(JsonMessages.node("out").put("why", why));
+            say(JsonMessages.newMessage("out").put("why", why));
             entrance.finish();
             gone(this);
         }
@@ -205,7 +205,7 @@
                 || !boot.matches("[0-9a-f]{1,16}")
                 || here.path("version").asInt() != VERSION) {
             entrance.tell(
-                    JsonMessages.node("out")
+                    JsonMessages.newMessage("out")
                             .put(
                                     "why",
                                     "a node has a name of its own, and speaks version " + VERSION));
@@ -276,7 +276,7 @@
         }
         links.put(link.name, link);
         link.welcome = true;
-        link.say(JsonMessages.node("welcome").put("incarnation", incarnation));
+        link.say(JsonMessages.newMessage("welcome").put("incarnation", incarnation));
     }
 
     void heard(NodeLink link, ObjectNode words) {
@@ -292,7 +292,7 @@
             case "report" -> {
                 link.clock = words.path("clock").asDouble();
                 link.report = words;
-                link.say(JsonMessages.node("heard"));
+                link.say(JsonMessages.newMessage("heard"));
                 listener.reported(link);
             }
             case "verdict" -> {
@@ -325,7 +325,7 @@
                 CALL,
                 outcome -> {
                     if (outcome.done() || outcome.reason().equals("condition")) {
-                        link.say(JsonMessages.node("kept").put("number", segment.number()));
+                        link.say(JsonMessages.newMessage("kept").put("number", segment.number()));
                     }
                 });
     }
--- a/hosted/src/main/java/embershift/hosted/OrderCommands.java
+++ b/hosted/src/main/java/embershift/hosted/OrderCommands.java
@@ -62,7 +62,7 @@
             if (!outs.done()) {
                 return outs;
             }
-            ObjectNode answer = JsonMessages.node();
+            ObjectNode answer = JsonMessages.newObject();
             Map<String, ObjectNode> rows = new TreeMap<>();
             names.answer()
                     .path("items")
@@ -72,7 +72,7 @@
                                             item.path("key")
                                                     .asText()
                                                     .substring(Nodes.NODE.length()),
-                                            JsonMessages.node()
+                                            JsonMessages.newObject()
                                                     .put(
                                                             "incarnation",
                                                             item.path("revision").asLong())));
@@ -286,7 +286,7 @@
             if (!stage.done()) {
                 return stage;
             }
-            ObjectNode answer = JsonMessages.node();
+            ObjectNode answer = JsonMessages.newObject();
             for (JsonNode item : all.answer().path("items")) {
                 ConfigRevision revision =
                         ConfigRevision.decode(item.path("value").asText()).orElse(null);
@@ -296,7 +296,7 @@
                                     .addObject()
                                     .put("number", revision.number())
                                     .put("chain", revision.chainDigest());
-                    JsonMessages.texts(row.putObject("fields"), revision.fields());
+                    JsonMessages.putTexts(row.putObject("fields"), revision.fields());
                 }
             }
             stage.answer()
--- a/hosted/src/main/java/embershift/hosted/RecordClient.java
+++ b/hosted/src/main/java/embershift/hosted/RecordClient.java
@@ -68,7 +68,7 @@
     }
 
     public static ObjectNode call(String name) {
-        return JsonMessages.node().put("call", name);
+        return JsonMessages.newObject().put("call", name);
     }
 
     /**
@@ -98,7 +98,7 @@
                 if (!opened.done()) {
                     return new Outcome(
                             "refused",
-                            JsonMessages.node()
+                            JsonMessages.newObject()
                                     .put("reason", "no-leader")
                                     .put(
                                             "text",
@@ -121,7 +121,9 @@
     private Outcome send(ObjectNode call, long until) {
         boolean mayHaveBeen = false;
         ObjectNode last =
-                JsonMessages.node().put("reason", "no-answer").put("text", "no instance answered");
+                JsonMessages.newObject()
+                        .put("reason", "no-answer")
+                        .put("text", "no instance answered");
         while (System.nanoTime() < until) {
             try {
                 ObjectNode answer =
@@ -209,7 +211,7 @@
         long id = ++calls;
         call.put("id", id).put("version", 1);
         socket.getOutputStream()
-                .write(FrameCodec.encodeToArray(FrameCodec.CALL, JsonMessages.bytes(call)));
+                .write(FrameCodec.encodeToArray(FrameCodec.CALL, JsonMessages.encode(call)));
         InputStream in = socket.getInputStream();
         List<byte[]> pieces = new ArrayList<>();
         byte[] buffer = new byte[16 << 10];
@@ -227,7 +229,7 @@
                 throw new IOException("the connection ended");
             }
             try {
-                frames.take(ByteBuffer.wrap(buffer, 0, many), pieces::add);
+                frames.decode(ByteBuffer.wrap(buffer, 0, many), pieces::add);
             } catch (FrameCodec.MalformedFrameException e) {
                 throw new IOException(e.getMessage());
             }
@@ -236,7 +238,7 @@
 
     private static ObjectNode answer(byte[] piece) throws IOException {
         try {
-            return JsonMessages.read(piece);
+            return JsonMessages.decodeFrame(piece);
         } catch (FrameCodec.MalformedFrameException e) {
             throw new IOException(e.getMessage());
         }
--- a/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
+++ b/hosted/src/main/java/embershift/hosted/ReleaseDuty.java
@@ -77,11 +77,11 @@
 
     @Override
     void begin() {
-        manager = new Manager(all.loop(), TomlSettings.socket(all.fleet().manager()));
+        manager = new Manager(all.loop(), TomlSettings.parseAddress(all.fleet().manager()));
         discovery =
                 new Discovery(
                         all.loop(),
-                        TomlSettings.socket(all.fleet().discovery()),
+                        TomlSettings.parseAddress(all.fleet().discovery()),
                         (generation, whole, anew) -> {});
         counts.clear();
         toldAt.clear();
@@ -98,8 +98,7 @@
             step = null;
             // Its time may only have lapsed: should it come back under the same grant, the step is
             // begun again.
-            owner().stepCompleted(
-                            now(), stepNumber, owner().token(), LeaseHolder.StepOutcome.UNKNOWN);
+            owner().stepEnded(now(), stepNumber, owner().token(), LeaseHolder.StepOutcome.UNKNOWN);
         }
     }
 
@@ -147,12 +146,12 @@
      */
     private void tellOut(double now) {
         for (Nodes.NodeLink link : all.nodes().linked()) {
-            boolean knows = JsonMessages.list(link.report().path("out")).equals(out);
+            boolean knows = JsonMessages.readList(link.report().path("out")).equals(out);
             double last = toldAt.getOrDefault(link.name, Double.NEGATIVE_INFINITY);
             if (link.report().has("clock") && now - last >= (knows ? 5 * TELL : TELL)) {
                 toldAt.put(link.name, now);
-                ObjectNode order = JsonMessages.node();
-                JsonMessages.list(order.putArray("hosts"), out);
+                ObjectNode order = JsonMessages.newObject();
+                JsonMessages.addTexts(order.putArray("hosts"), out);
                 order(
                         link,
                         "out",
@@ -187,7 +186,7 @@
                             : new RollingRestart.NodeView(
                                     now - link.heardAt() < SILENT,
                                     link.report().path("ready").asBoolean(),
-                                    JsonMessages.list(link.report().path("out"))));
+                                    JsonMessages.readList(link.report().path("out"))));
         }
         return views;
     }
@@ -253,7 +252,7 @@
     }
 
     private void call(String line, String partId) {
-        if (owner().mayAct(now())) {
+        if (owner().canCompleteStep(now())) {
             RollingRestart mine = step;
             manager.call(
                     line,
@@ -275,7 +274,7 @@
                         : stepNumber + 1 == plan.steps()
                                 ? "done"
                                 : "step " + (stepNumber + 1) + " is done");
-        owner().stepCompleted(now(), stepNumber, fence(), LeaseHolder.StepOutcome.DONE);
+        owner().stepEnded(now(), stepNumber, fence(), LeaseHolder.StepOutcome.DONE);
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/RolloutDuty.java
+++ b/hosted/src/main/java/embershift/hosted/RolloutDuty.java
@@ -177,7 +177,7 @@
         if (!nodesThere
                 || all.nodes().linked().stream()
                         .anyMatch(link -> now - link.heardAt() < READ_WITHIN)) {
-            owner().madeProgress(now);
+            owner().progressMade(now);
         }
         if (rollout == null) {
             return;
@@ -229,7 +229,7 @@
                 .findByPrefix(AuditCheckpoint.KEY_PREFIX)
                 .forEach(item -> begins.put(item.key(), item.value()));
         List<Mutation> writes =
-                AuditRetention.compact(
+                AuditRetention.deleteExcess(
                         all.record().findByPrefix("trail/"),
                         begins,
                         KeyValueStore.MAX_TOTAL_CHARS / 2,
@@ -245,7 +245,7 @@
         if (rollout != null) {
             JsonNode report = link.report();
             if (report.has("clock")) {
-                rollout.reported(
+                rollout.reportReceived(
                         link.heardAt(),
                         new NodeReport(
                                 link.name,
@@ -278,7 +278,7 @@
             return;
         }
         ObjectNode order =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("number", revision.number())
                         .put("base", base)
                         .put("chain", revision.chainDigest())
@@ -292,9 +292,9 @@
                                 .orElse(null);
         if (from == null) {
             order.put("base", 0);
-            JsonMessages.texts(order.putObject("fields"), revision.fields());
+            JsonMessages.putTexts(order.putObject("fields"), revision.fields());
         } else {
-            JsonMessages.changes(order.putObject("fields"), revision.differenceFrom(from));
+            JsonMessages.putChanges(order.putObject("fields"), revision.differenceFrom(from));
         }
         all.counted(from == null ? "revisions told whole" : "revisions told by difference");
         ConfigRollout mine = rollout;
@@ -311,9 +311,9 @@
 
     private static ConfigRollout.OrderAnswer answer(ObjectNode verdict) {
         return switch (verdict.path("end").asText()) {
-            case "TAKEN" -> ConfigRollout.OrderAnswer.TAKEN;
+            case "TAKEN" -> ConfigRollout.OrderAnswer.APPLIED;
             case "WHOLE" -> ConfigRollout.OrderAnswer.FULL_REVISION_NEEDED;
-            default -> ConfigRollout.OrderAnswer.NOT_TAKEN;
+            default -> ConfigRollout.OrderAnswer.NOT_APPLIED;
         };
     }
 
--- a/hosted/src/test/java/embershift/hosted/InputTest.java
+++ b/hosted/src/test/java/embershift/hosted/InputTest.java
@@ -64,7 +64,7 @@
             List<Integer> lengths = new ArrayList<>();
             FrameCodec frames = new FrameCodec();
             for (int at = 0; at < all.length; at += split) {
-                frames.take(
+                frames.decode(
                         ByteBuffer.wrap(all, at, Math.min(split, all.length - at)),
                         piece -> lengths.add(piece.length));
             }
@@ -76,7 +76,8 @@
             List<Integer> lengths = new ArrayList<>();
             boolean refused = false;
             try {
-                new FrameCodec().take(ByteBuffer.wrap(changed), piece -> lengths.add(piece.length));
+                new FrameCodec()
+                        .decode(ByteBuffer.wrap(changed), piece -> lengths.add(piece.length));
             } catch (FrameCodec.MalformedFrameException e) {
                 refused = true;
             }
@@ -99,8 +100,8 @@
         assertEquals(Greeting.common(1, 3), 1);
         assertEquals(Greeting.common(2, 3), 0);
         assertFalse(
-                TomlSettings.isAddress("h:99999")
-                        || TomlSettings.isAddress("h")
-                        || !TomlSettings.isAddress("h:80"));
+                TomlSettings.isValidAddress("h:99999")
+                        || TomlSettings.isValidAddress("h")
+                        || !TomlSettings.isValidAddress("h:80"));
     }
 }
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -61,7 +61,7 @@
                 if (read < 0) {
                     return null;
                 }
-                frames.take(ByteBuffer.wrap(buffer, 0, read), pieces::add);
+                frames.decode(ByteBuffer.wrap(buffer, 0, read), pieces::add);
             }
             return pieces.remove();
         }
@@ -73,8 +73,10 @@
         }
 
         ObjectNode call(ObjectNode call) throws Exception {
-            say(JsonMessages.frame(FrameCodec.CALL, call.put("id", ++calls).put("version", 1)));
-            return JsonMessages.read(next());
+            say(
+                    JsonMessages.encodeFrame(
+                            FrameCodec.CALL, call.put("id", ++calls).put("version", 1)));
+            return JsonMessages.decodeFrame(next());
         }
 
         @Override
@@ -239,12 +241,12 @@
             call(samples, connection, "no such call", RecordClient.call("dance"));
             call(samples, connection, "status", RecordClient.call("status"));
             connection.say(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.CALL,
                             RecordClient.call("status").put("id", 7).put("version", 9)));
             samples.text(
                     "answer: version that is not known",
-                    JsonMessages.read(connection.next()).toString());
+                    JsonMessages.decodeFrame(connection.next()).toString());
         }
         samples.assertMatch(getClass(), "calls.txt");
     }
@@ -303,9 +305,9 @@
         GoldenSamples samples = new GoldenSamples();
         try (Connection node = new Connection(port)) {
             node.say(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.NODE,
-                            JsonMessages.node("here")
+                            JsonMessages.newMessage("here")
                                     .put("version", 1)
                                     .put("name", "n1")
                                     .put("boot", "ab12")
@@ -314,13 +316,15 @@
             byte[] piece = node.next();
             samples.text(
                     "welcome, of kind " + piece[0],
-                    stable(JsonMessages.read(piece).toString())
+                    stable(JsonMessages.decodeFrame(piece).toString())
                             .replaceAll("\"incarnation\":\\d+", "\"incarnation\":N"));
             node.say(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.NODE,
-                            JsonMessages.node("report").put("clock", 4.5).put("revision", 0)));
-            samples.text("heard", stable(JsonMessages.read(node.next()).toString()));
+                            JsonMessages.newMessage("report")
+                                    .put("clock", 4.5)
+                                    .put("revision", 0)));
+            samples.text("heard", stable(JsonMessages.decodeFrame(node.next()).toString()));
             try (Connection caller = new Connection(port)) {
                 long incarnation =
                         caller.call(RecordClient.call("get").put("key", "node/n1"))
@@ -338,19 +342,20 @@
                         RecordClient.put("out/n1", incarnation + " by-hand because of it", -1), 5);
                 client.close();
             }
-            samples.text("out", stable(JsonMessages.read(node.next()).toString()));
+            samples.text("out", stable(JsonMessages.decodeFrame(node.next()).toString()));
             assertEquals(node.next(), null);
         }
         try (Connection node = new Connection(port)) {
             node.say(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.NODE,
-                            JsonMessages.node("here")
+                            JsonMessages.newMessage("here")
                                     .put("version", 2)
                                     .put("name", "n2")
                                     .put("boot", "ab12")));
             samples.text(
-                    "out, of another version", stable(JsonMessages.read(node.next()).toString()));
+                    "out, of another version",
+                    stable(JsonMessages.decodeFrame(node.next()).toString()));
         }
         samples.assertMatch(getClass(), "nodes.txt");
     }
--- a/rig/src/main/java/embershift/rig/process/FleetMeasure.java
+++ b/rig/src/main/java/embershift/rig/process/FleetMeasure.java
@@ -134,8 +134,9 @@
             for (AuditEntry entry : AuditSegment.decode(text).orElseThrow().entries()) {
                 entries++;
                 if (entry.kind() == AuditEntry.Kind.TOOK
-                        && made.containsKey(entry.numberOf("revision"))) {
-                    took.add((entry.at().millis() - made.get(entry.numberOf("revision"))) / 1000.0);
+                        && made.containsKey(entry.longField("revision"))) {
+                    took.add(
+                            (entry.at().millis() - made.get(entry.longField("revision"))) / 1000.0);
                 }
             }
         }
--- a/rig/src/main/java/embershift/rig/process/FleetPlay.java
+++ b/rig/src/main/java/embershift/rig/process/FleetPlay.java
@@ -341,7 +341,7 @@
                     continue;
                 }
                 count("revisions taken");
-                long number = entry.numberOf("revision");
+                long number = entry.longField("revision");
                 if (before != null && number < before.revision) {
                     return key + " goes back from " + before.revision + " to " + number;
                 }
--- a/rig/src/main/java/embershift/rig/process/OwnerStand.java
+++ b/rig/src/main/java/embershift/rig/process/OwnerStand.java
@@ -136,7 +136,7 @@
                         // Nobody can tell.
                     }
                     LeaseHolder.StepOutcome end = effect;
-                    heard(() -> owner.stepCompleted(now(), step, fence, end));
+                    heard(() -> owner.stepEnded(now(), step, fence, end));
                 });
     }
 
--- a/rig/src/main/java/embershift/rig/scale/FleetCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/FleetCosts.java
@@ -356,7 +356,7 @@
                 for (AuditEntry entry : AuditSegment.decode(text).orElseThrow().entries()) {
                     Long from =
                             entry.kind() == AuditEntry.Kind.TOOK
-                                    ? made.get(entry.numberOf("revision"))
+                                    ? made.get(entry.longField("revision"))
                                     : null;
                     if (from != null) {
                         long took = Math.max(0, entry.at().millis() - from);
--- a/rig/src/main/java/embershift/rig/scale/ListCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/ListCosts.java
@@ -76,13 +76,13 @@
 
     private static byte[] order(EndpointUpdate change) {
         ObjectNode order =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("number", change.number())
                         .put("base", change.baseNumber())
                         .put("generation", change.generation());
-        JsonMessages.texts(order.putObject("changed"), change.changed());
-        JsonMessages.list(order.putArray("gone"), change.removed());
-        return JsonMessages.bytes(order);
+        JsonMessages.putTexts(order.putObject("changed"), change.changed());
+        JsonMessages.addTexts(order.putArray("gone"), change.removed());
+        return JsonMessages.encode(order);
     }
 
     static List<Curve> measure(ScaleFile file, ResourceLimits limits, Consumer<String> progress)
--- a/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
@@ -88,7 +88,7 @@
                             "",
                             0,
                             0);
-            timed(() -> rollout.reported(now, report));
+            timed(() -> rollout.reportReceived(now, report));
         }
 
         private void timed(Runnable what) {
@@ -116,7 +116,7 @@
                         timed(
                                 () ->
                                         rollout.orderCompleted(
-                                                now, node, ConfigRollout.OrderAnswer.TAKEN));
+                                                now, node, ConfigRollout.OrderAnswer.APPLIED));
                         heard(node);
                     });
         }
--- a/rig/src/main/java/embershift/rig/scale/ScaleFile.java
+++ b/rig/src/main/java/embershift/rig/scale/ScaleFile.java
@@ -92,7 +92,7 @@
     }
 
     public static ScaleFile read(Path file) throws TomlSettings.InvalidSettingsException {
-        return read(TomlSettings.text(file), file.toString());
+        return read(TomlSettings.readText(file), file.toString());
     }
 
     static ScaleFile read(String text, String file) throws TomlSettings.InvalidSettingsException {
--- a/rig/src/main/java/embershift/rig/scale/TrailCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/TrailCosts.java
@@ -90,7 +90,7 @@
         long size = items.stream().mapToLong(item -> item.value().length()).sum();
         long entries = 2L * items.size();
         long from = Cpu.now();
-        List<Mutation> writes = AuditRetention.compact(items, Map.of(), size - 1, size);
+        List<Mutation> writes = AuditRetention.deleteExcess(items, Map.of(), size - 1, size);
         double fold = Cpu.since(from);
         from = Cpu.now();
         AuditReport audit =
--- a/rig/src/main/java/embershift/rig/world/DutyWorld.java
+++ b/rig/src/main/java/embershift/rig/world/DutyWorld.java
@@ -306,7 +306,7 @@
                                                                 hear(
                                                                         mine,
                                                                         () ->
-                                                                                owner.stepCompleted(
+                                                                                owner.stepEnded(
                                                                                         clock(),
                                                                                         step, fence,
                                                                                         verdict)));
@@ -319,7 +319,7 @@
                             hear(
                                     mine,
                                     () ->
-                                            owner.stepCompleted(
+                                            owner.stepEnded(
                                                     clock(),
                                                     step,
                                                     fence,
--- a/rig/src/main/java/embershift/rig/world/FleetWorld.java
+++ b/rig/src/main/java/embershift/rig/world/FleetWorld.java
@@ -202,7 +202,7 @@
         private void enter(AuditEntry.Kind kind, long revision) {
             diary.append(wall(), kind, Map.of("revision", String.valueOf(revision)), "");
             truth.computeIfAbsent(incarnation, none -> new TreeMap<>())
-                    .put(diary.clock().millis() * 1000 + diary.clock().count(), revision);
+                    .put(diary.clock().millis() * 1000 + diary.clock().counter(), revision);
         }
 
         void restart() {
@@ -521,7 +521,7 @@
                 has.remove(node);
             }
             seen.put(node, clock);
-            rollout.reported(time.now(), report);
+            rollout.reportReceived(time.now(), report);
         }
 
         void discoverySaid(long generation) {
@@ -554,9 +554,9 @@
 
         private static ConfigRollout.OrderAnswer answer(AppliedRevision.Outcome outcome) {
             return switch (outcome) {
-                case APPLIED -> ConfigRollout.OrderAnswer.TAKEN;
+                case APPLIED -> ConfigRollout.OrderAnswer.APPLIED;
                 case FULL_REVISION_NEEDED -> ConfigRollout.OrderAnswer.FULL_REVISION_NEEDED;
-                default -> ConfigRollout.OrderAnswer.NOT_TAKEN;
+                default -> ConfigRollout.OrderAnswer.NOT_APPLIED;
             };
         }
 
@@ -887,7 +887,7 @@
                 // At the moment at which it ended the next revision holds.
                 long key =
                         at.millis() * 1000
-                                + at.count()
+                                + at.counter()
                                 - (Optional.of(at).equals(spell.to()) ? 1 : 0);
                 if (spell.isComplete() && truth.floorEntry(key).getValue() != spell.revision()) {
                     broken("the audit says that " + spell + ", in truth " + truth);
@@ -909,7 +909,8 @@
                 (key, text) ->
                         items.add(
                                 new KeyValue(key, text, created.get(key), created.get(key), null)));
-        for (Mutation write : AuditRetention.compact(items, begins, MOST_TRAILS, MOST_TRAILS / 4)) {
+        for (Mutation write :
+                AuditRetention.deleteExcess(items, begins, MOST_TRAILS, MOST_TRAILS / 4)) {
             count(write.value().isEmpty() ? "segments folded" : "begins noted");
             write.value()
                     .ifPresentOrElse(
--- a/rig/src/main/java/embershift/rig/world/ReleaseWorld.java
+++ b/rig/src/main/java/embershift/rig/world/ReleaseWorld.java
@@ -130,7 +130,7 @@
                         all.add("node " + name);
                     }
                 });
-        if (all.size() > plan.size()) {
+        if (all.size() > plan.batchSize()) {
             broken("away at once, with " + id + ": " + all);
         }
         states.forEach(
@@ -167,7 +167,7 @@
                     });
             // One that an owner has not heard lately counts as away to it, and may use the host
             // still.
-            if (!using.isEmpty() && using.size() + away.size() > plan.size()) {
+            if (!using.isEmpty() && using.size() + away.size() > plan.batchSize()) {
                 broken(part + " goes away while " + using + " use it");
             }
             serving.put(part.name(), false);
--- a/rig/src/test/java/embershift/rig/DutyWorldTest.java
+++ b/rig/src/test/java/embershift/rig/DutyWorldTest.java
@@ -48,15 +48,15 @@
             {
                 "LeaseHolder",
                 "recordProgress(now, TaskProgress.State.INTENDED, nextStep, 1);",
-                "progress = Optional.of(new TaskProgress(plan.name(), TaskProgress.State.INTENDED, nextStep, 1)); continuePlan(now);"
+                "progress = Optional.of(new TaskProgress(plan.name(), TaskProgress.State.INTENDED, nextStep, 1)); runNextStep(now);"
             },
-            {"LeaseHolder", "if (lease.mayBegin(now, plan.maxStepSeconds())) {", "if (true) {"},
+            {"LeaseHolder", "if (lease.canComplete(now, plan.maxStepSeconds())) {", "if (true) {"},
             {"LeaseHolder", "lease.acquired(token, submittedAt);", "lease.acquired(token, now);"},
             {"LeaseHolder", "lease.renewed(sentAt);", "lease.renewed(now);"},
             {
                 "LeaseHolder",
-                "recordProgress(now, TaskProgress.State.INTENDED, begun.step(), attempts);",
-                "recordProgress(now, TaskProgress.State.INTENDED, begun.step() + 1, attempts);"
+                "recordProgress(now, TaskProgress.State.INTENDED, recorded.step(), attempts);",
+                "recordProgress(now, TaskProgress.State.INTENDED, recorded.step() + 1, attempts);"
             },
             {
                 "LeaseCommands",
--- a/rig/src/test/java/embershift/rig/FenceModelTest.java
+++ b/rig/src/test/java/embershift/rig/FenceModelTest.java
@@ -143,12 +143,12 @@
         assertTrue(!tenure.isHeld(0));
         tenure.acquired(new FencingToken(5), 100);
         assertTrue(tenure.isHeld(109.5) && !tenure.isHeld(109.7));
-        assertTrue(tenure.mayBegin(105, 4) && !tenure.mayBegin(105, 5));
+        assertTrue(tenure.canComplete(105, 4) && !tenure.canComplete(105, 5));
         assertTrue(!tenure.isRenewalDue(102) && tenure.isRenewalDue(104));
         tenure.renewed(104);
         tenure.renewed(101);
         assertTrue(tenure.isHeld(113) && !tenure.isHeld(113.7));
-        tenure.end();
+        tenure.invalidate();
         assertTrue(!tenure.isHeld(105));
         assertEquals(tenure.token(), new FencingToken(5));
     }
--- a/rig/src/test/java/embershift/rig/FleetWorldTest.java
+++ b/rig/src/test/java/embershift/rig/FleetWorldTest.java
@@ -99,12 +99,12 @@
             },
             {
                 "rollout/ConfigRollout",
-                "if (unrecordedProgress == 0) { orderNodes();",
+                "if (pendingProgressWrites == 0) { orderNodes();",
                 "if (true) { orderNodes();"
             },
             {
                 "rollout/ConfigRollout",
-                "return isForNode ? progress.revision() : progress.goodRevision();",
+                "return isForNode ? progress.revision() : progress.lastGoodRevision();",
                 "return progress.revision();"
             },
             {
@@ -114,7 +114,7 @@
             },
             {
                 "rollout/ConfigRollout",
-                "if (node != null && node.wasRestartedAsCanary()) {",
+                "if (node != null && node.wasRestartedSinceCanaryOrder()) {",
                 "if (false) {"
             },
             {
--- a/rig/src/test/java/embershift/rig/ReleaseWorldTest.java
+++ b/rig/src/test/java/embershift/rig/ReleaseWorldTest.java
@@ -52,11 +52,14 @@
     @DataProvider
     public Object[][] mistakes() {
         return new Object[][] {
-            {"if (!progress.isRequested && away.size() > plan.size()) {", "if (false) {"},
+            {
+                "if (!progress.isRequested && unavailable.size() > plan.batchSize()) {",
+                "if (false) {"
+            },
             {"if (!node.isReachable() || !node.isReady()) {", "if (false) {"},
             {
-                "if (progress.isCancelled) { enter(now, progress, Phase.BACK);",
-                "if (true) { enter(now, progress, Phase.BACK);"
+                "if (progress.isCancelled) { enter(now, progress, Phase.DONE);",
+                "if (true) { enter(now, progress, Phase.DONE);"
             },
             {"if (target.isNode()) { return List.of();", "if (true) { return List.of();"},
             {
@@ -64,8 +67,8 @@
                 "if (progress.reported == RestartState.DONE || progress.reported == RestartState.IN_PROGRESS) {"
             },
             {
-                "targets.values().stream().allMatch(progress -> progress.phase == Phase.BACK)",
-                "targets.values().stream().anyMatch(progress -> progress.phase == Phase.BACK)"
+                "targets.values().stream().allMatch(progress -> progress.phase == Phase.DONE)",
+                "targets.values().stream().anyMatch(progress -> progress.phase == Phase.DONE)"
             },
             {
                 "return name + \"/\" + step + \"/\"",
--- a/rig/src/test/java/embershift/rig/WorldsTest.java
+++ b/rig/src/test/java/embershift/rig/WorldsTest.java
@@ -223,8 +223,8 @@
             {
                 "command carried out again",
                 "fleet/store/KeyValueStore",
-                "if (before != null) { return before;",
-                "if (false) { return before;"
+                "if (previous != null) { return previous;",
+                "if (false) { return previous;"
             },
             {"torn write not cut", "storage/LogRecovery", "hasTornEnd = true;", ""},
         };
