--- a/fleet/src/main/java/embershift/fleet/audit/AuditCheckpoint.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditCheckpoint.java
@@ -3,37 +3,38 @@
 import java.util.Optional;
 
 /**
- * Where the audit log of an incarnation begins, once its oldest segments are deleted: what the last
- * deleted one ended with.
+ * The point from which the audit log of an incarnation is stored, once its oldest segments are
+ * deleted: the state at the end of the last deleted one.
  *
- * @param segmentNumber of the last deleted segment
- * @param entryNumber of its last entry
- * @param digest of that segment
+ * @param segmentNumber number of the last deleted segment
+ * @param entryNumber number of its last entry
+ * @param digest digest of that segment
  * @param revision the config revision in force then, or {@link #NO_REVISION}
+ * @param at time of its last entry
  */
 public record AuditCheckpoint(
         long segmentNumber, long entryNumber, String digest, long revision, HybridLogicalClock at) {
 
-    /** In place of a config revision: none is known. */
+    /** Stands for an unknown config revision. */
     public static final long NO_REVISION = -1;
 
     /** The prefix of all keys of checkpoints in the store. */
     public static final String KEY_PREFIX = "folded/";
 
-    /** Before the first segment. */
+    /** The state before the first segment. */
     static final AuditCheckpoint INITIAL =
             new AuditCheckpoint(0, 0, "", NO_REVISION, HybridLogicalClock.START);
 
     private static final int FIELD_COUNT = 5;
 
-    /** Returns the key of the checkpoint for the log that a segment's key belongs to. */
+    /** Returns the key of the checkpoint of the log to which a segment's key belongs. */
     static String keyFor(String segmentKey) {
         return KEY_PREFIX
                 + segmentKey.substring(
                         AuditSegment.KEY_PREFIX.length(), segmentKey.lastIndexOf('/'));
     }
 
-    /** Returns the checkpoint once that segment is deleted too. */
+    /** Returns the checkpoint after this segment is deleted too. */
     AuditCheckpoint advancedPast(AuditSegment segment) {
         long latestRevision = revision;
         HybridLogicalClock latest = at;
@@ -52,7 +53,7 @@
         return segmentNumber + " " + entryNumber + " " + digest + " " + revision + " " + at;
     }
 
-    /** Decodes the stored text; empty if it is none. */
+    /** Decodes the stored text; empty if it is malformed. */
     public static Optional<AuditCheckpoint> decode(String text) {
         String[] fields = text.split(" ");
         boolean isValid =
--- a/fleet/src/main/java/embershift/fleet/audit/AuditEntry.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditEntry.java
@@ -7,40 +7,40 @@
 import java.util.TreeMap;
 
 /**
- * One thing that a node did, or that was done to it.
+ * An event at a node, or an action taken on it.
  *
- * @param number from 1 on, by incarnation of the node
- * @param fields names and values without spaces
- * @param text for people, in one line
+ * @param number counts from 1 within an incarnation of the node
+ * @param fields names and values; spaces in values are stored as underscores
+ * @param text for operators, in one line
  */
 public record AuditEntry(
         long number, HybridLogicalClock at, Kind kind, Map<String, String> fields, String text) {
 
-    /** The field that names a config revision. */
+    /** The field with the number of a config revision. */
     public static final String REVISION = "revision";
 
     /** What happened. The names are part of the stored text. */
     public enum Kind {
         /** The process was started. */
         STARTED,
-        /** A config revision is acted on from here on. */
+        /** A config revision is in effect from this entry on. */
         TOOK,
         /** A config revision was rejected. */
         REFUSED,
-        /** An order was taken or rejected. */
+        /** An order was accepted or rejected. */
         ORDER,
-        /** How many sessions were decided since the entry of this kind before. */
+        /** Number of sessions answered since the previous entry of this kind. */
         TUNNELS,
-        /** Whether clients may be sent here has changed. */
+        /** The node's readiness for clients has changed. */
         READY,
         /** The node was shut out. */
         OUT,
-        /** Who tells the endpoint list has changed. */
+        /** The source of the node's endpoint list has changed. */
         LED,
         /** The process ends. */
         ENDS;
 
-        /** Whether entries of this kind name the config revision that is acted on from then on. */
+        /** Whether entries of this kind name the config revision that is in effect from then on. */
         boolean startsRevisionPeriod() {
             return this == STARTED || this == TOOK;
         }
@@ -49,13 +49,13 @@
     private static final String TEXT_SEPARATOR = " : ";
     private static final int HEADER_FIELDS = 3;
 
-    /** Brings fields into their order, and the text into one line. */
+    /** Sorts the fields and reduces the text to one line. */
     public AuditEntry {
         fields = new TreeMap<>(fields);
         text = text.replaceAll("\\s+", " ").strip();
     }
 
-    /** Returns a field's value as a number; 0 where it is none. */
+    /** Returns a field's value as a number, or 0 if it is missing or not a number. */
     public long longField(String field) {
         String value = fields.get(field);
         return value != null && value.matches("-?\\d{1,18}") ? Long.parseLong(value) : 0;
@@ -76,7 +76,7 @@
                 : line.append(TEXT_SEPARATOR).append(text).toString();
     }
 
-    /** Decodes a line; empty if it is no entry. */
+    /** Decodes a line; empty if it is not an entry. */
     public static Optional<AuditEntry> decode(String line) {
         int separator = line.indexOf(TEXT_SEPARATOR);
         String text = separator < 0 ? "" : line.substring(separator + TEXT_SEPARATOR.length());
@@ -115,7 +115,7 @@
         return Optional.of(fields);
     }
 
-    /** Decodes lines; empty if one of them is no entry. */
+    /** Decodes lines; empty if one of them is not an entry. */
     static Optional<List<AuditEntry>> decodeAll(List<String> lines) {
         List<AuditEntry> entries = new ArrayList<>();
         for (String line : lines) {
--- a/fleet/src/main/java/embershift/fleet/audit/AuditLog.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditLog.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 
 /**
- * A node's audit log until the instances have stored it: entries that are pending, and at most one
- * segment that is not acknowledged. If there is no space the oldest pending entries are dropped;
- * the missing numbers tell of it. A segment keeps its content and number until it is acknowledged:
- * two instances that were sent it have the same.
+ * The part of a node's audit log that the instances have not stored yet: pending entries, and at
+ * most one unacknowledged segment. If there are too many pending entries, the oldest are dropped,
+ * which shows as a gap in the entry numbers. A segment keeps its content and number until it is
+ * acknowledged, so that instances that receive it more than once get the same.
  */
 public final class AuditLog {
 
@@ -26,7 +26,7 @@
     private String previousDigest = "";
     private Optional<AuditSegment> unacknowledged = Optional.empty();
 
-    /** Creates an empty log of up to {@code maxPending} pending entries. */
+    /** Creates an empty log that keeps up to {@code maxPending} pending entries. */
     public AuditLog(int maxPending) {
         this.maxPending = maxPending;
     }
@@ -34,7 +34,7 @@
     /**
      * Appends an entry.
      *
-     * @param wallClockMillis of this machine's clock, which may be set back
+     * @param wallClockMillis this machine's clock, which may be set back
      */
     public void append(
             long wallClockMillis, AuditEntry.Kind kind, Map<String, String> fields, String text) {
@@ -47,7 +47,7 @@
         pending.add(new AuditEntry(lastEntryNumber, clock, kind, fields, text));
     }
 
-    /** A message carried another clock's time. */
+    /** Advances the clock by the time that a message from another clock carried. */
     public void observe(HybridLogicalClock other, long wallClockMillis) {
         clock = clock.merge(other, wallClockMillis);
     }
@@ -57,12 +57,15 @@
         return clock;
     }
 
-    /** Returns how many entries were dropped for want of space. */
+    /** Returns how many entries were dropped for lack of space. */
     public long droppedEntries() {
         return droppedEntries;
     }
 
-    /** Returns the segment to send, maybe once more; empty while there is none. */
+    /**
+     * Returns the segment to send, which may have been sent before; empty if there is nothing to
+     * send.
+     */
     public Optional<AuditSegment> nextSegment(String node, long incarnation) {
         if (unacknowledged.isEmpty() && !pending.isEmpty()) {
             List<AuditEntry> entries = new ArrayList<>();
@@ -78,7 +81,7 @@
         return unacknowledged;
     }
 
-    /** The instances have stored the segment of that number. */
+    /** Called when the instances have stored the segment with this number. */
     public void acknowledged(long segmentNumber) {
         unacknowledged
                 .filter(segment -> segment.number() == segmentNumber)
@@ -89,7 +92,7 @@
                         });
     }
 
-    /** Whether everything is stored. */
+    /** Whether all entries are stored. */
     public boolean isEmpty() {
         return unacknowledged.isEmpty() && pending.isEmpty();
     }
--- a/fleet/src/main/java/embershift/fleet/audit/AuditReport.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditReport.java
@@ -10,28 +10,29 @@
 import java.util.TreeSet;
 
 /**
- * Which node acted on which config revision, as the stored audit logs tell, and what they can't
- * tell. The same segments give the same answers. Times are in milliseconds since 1970.
+ * Reports which node applied which config revision, as far as the stored audit logs show it, and
+ * what they cannot show. The result depends on the stored segments alone. Times are in milliseconds
+ * since 1970.
  */
 public final class AuditReport {
 
     /**
-     * What a node acted on at a time.
+     * The revision in force at a node at a time.
      *
-     * @param revision empty if that is not known
-     * @param evidence for people: how that is known, or why not
+     * @param revision empty if it is not known
+     * @param evidence for operators: how it is known, or why it is not
      */
     public record RevisionInForce(String node, Optional<Long> revision, String evidence) {}
 
     /**
-     * Who acted on a revision.
+     * The nodes that used a revision.
      *
-     * @param mayHaveUsed nodes of which that can't be ruled out, and why
+     * @param mayHaveUsed nodes for which that cannot be ruled out, and why
      */
     public record RevisionUsers(
             List<RevisionPeriod> used, Map<String, String> mayHaveUsed, List<String> neverUsed) {}
 
-    /** An entry and the node it is of. */
+    /** An entry and the node to whose log it belongs. */
     public record NodeEntry(String node, AuditEntry entry) {}
 
     private final List<IncarnationLog> logs = new ArrayList<>();
@@ -43,7 +44,7 @@
      * Creates a report.
      *
      * @param segments stored texts, in the order of their keys
-     * @param latestIncarnations of each name in the store
+     * @param latestIncarnations latest incarnation of each node that is registered in the store
      * @param checkpoints stored texts by key
      */
     public AuditReport(
@@ -73,7 +74,7 @@
                                             .add(segment),
                             () ->
                                     problems.add(
-                                            "a segment can't be read, or was changed: "
+                                            "a segment is malformed or does not match its digest: "
                                                     + text.lines().findFirst().orElse("")));
         }
         return segments;
@@ -123,7 +124,7 @@
         return entries;
     }
 
-    /** Returns what a node acted on at a time. */
+    /** Returns the revision in force at a node at a time. */
     public RevisionInForce revisionAt(String node, long millis) {
         Optional<RevisionPeriod> current =
                 periods.stream()
@@ -133,7 +134,7 @@
                                 (one, other) ->
                                         other.from().compareTo(one.from()) >= 0 ? other : one);
         if (current.isEmpty()) {
-            return unknown(node, "nothing is told of it so early");
+            return unknown(node, "its log has no entry so early");
         }
         RevisionPeriod period = current.get();
         if (period.to().isPresent() && millis >= period.to().get().millis()) {
@@ -152,7 +153,7 @@
         if (!isPastLastKnown) {
             return period.isComplete()
                     ? "by its trail"
-                    : "by its trail, entries are missing about then";
+                    : "by its trail, but entries of that period are missing";
         }
         long latest = latestIncarnations.getOrDefault(node, period.incarnation());
         return latest <= period.incarnation()
@@ -162,7 +163,7 @@
                         + "; a later one has its name";
     }
 
-    /** Returns who acted on a revision. */
+    /** Returns which nodes used a revision. */
     public RevisionUsers usersOf(long revision) {
         List<RevisionPeriod> used =
                 periods.stream().filter(each -> each.revision() == revision).toList();
@@ -182,7 +183,7 @@
         List<RevisionPeriod> nodePeriods =
                 periods.stream().filter(each -> each.node().equals(node)).toList();
         if (nodePeriods.isEmpty()) {
-            return Optional.of("nothing is told of it");
+            return Optional.of("it has no log");
         }
         if (nodePeriods.stream().anyMatch(each -> !each.isComplete())) {
             return Optional.of("entries are missing");
@@ -193,7 +194,10 @@
                 : Optional.empty();
     }
 
-    /** Returns the entries about a host: who was told when that it is out, and who used it then. */
+    /**
+     * Returns the entries about a host: when each node was told to stop using it, and which nodes
+     * used it afterwards.
+     */
     public List<NodeEntry> entriesAbout(String host) {
         return entriesBetween(0, Long.MAX_VALUE).stream()
                 .filter(
@@ -206,7 +210,7 @@
                 .toList();
     }
 
-    /** Returns what does not fit, each in one line: see {@link LogVerifier}. */
+    /** Returns the inconsistencies found, each in one line: see {@link LogVerifier}. */
     public List<String> problems() {
         return problems;
     }
--- a/fleet/src/main/java/embershift/fleet/audit/AuditRetention.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditRetention.java
@@ -12,15 +12,18 @@
 import java.util.TreeMap;
 
 /**
- * Keeps the stored audit logs within a size: the oldest segments are deleted, and a {@link
- * AuditCheckpoint} tells from where on a log is known.
+ * Limits the size of the stored audit logs: the oldest segments are deleted, and an {@link
+ * AuditCheckpoint} records where the remaining log begins.
  */
 public final class AuditRetention {
 
-    /** Mutations of one call: a transaction has a bound. */
+    /** Maximum number of mutations per call, as the size of a transaction is limited. */
     private static final int MAX_MUTATIONS = 400;
 
-    /** More is deleted than must be, by this share: so it is not due at each call. */
+    /**
+     * Deletion frees this fraction (1/8) of a limit beyond what is required, so that it is not due
+     * again at each call.
+     */
     private static final int HEADROOM_DIVISOR = 8;
 
     private final long maxTotalChars;
@@ -55,12 +58,12 @@
     }
 
     /**
-     * Returns what must be changed so that the logs keep to their limits; nothing while they do.
+     * Returns the mutations that bring the logs within their limits; none while they are.
      *
-     * @param segments all that are stored
-     * @param checkpoints those that are stored, by key
-     * @param maxTotalChars of all logs together
-     * @param maxNodeChars of the logs of one node
+     * @param segments all stored segments
+     * @param checkpoints the stored checkpoints, by key
+     * @param maxTotalChars limit for all logs together
+     * @param maxNodeChars limit for the logs of one node
      */
     public static List<Mutation> deleteExcess(
             Collection<KeyValue> segments,
@@ -75,7 +78,7 @@
 
     private List<Mutation> deleteOldest(
             Collection<KeyValue> segments, Map<String, String> checkpoints) {
-        // By when they were stored; those of one incarnation in their order.
+        // In the order in which they were stored; segments of one incarnation in their order.
         List<KeyValue> oldestFirst = new ArrayList<>(segments);
         oldestFirst.sort(
                 Comparator.comparingLong(KeyValue::createRevision).thenComparing(KeyValue::key));
--- a/fleet/src/main/java/embershift/fleet/audit/AuditSegment.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditSegment.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * A part of the audit log of one incarnation of a node, never changed once it is made. Each segment
- * carries the digest of the one before. If its first entry does not follow the last one of that,
- * what lay between was dropped for want of space.
+ * An immutable part of the audit log of one incarnation of a node. Each segment carries the digest
+ * of the previous one. If its first entry does not follow the last entry of that segment, the
+ * entries between them were dropped for lack of space.
  */
 public record AuditSegment(
         String node,
@@ -39,7 +39,7 @@
         return entries.get(entries.size() - 1);
     }
 
-    /** Returns the digest of this segment, which the next one carries. */
+    /** Returns the digest of this segment, which the next segment carries. */
     public String digest() {
         String digest =
                 Digest.of(
@@ -50,7 +50,7 @@
         return digest;
     }
 
-    /** Returns the key of this segment in the store: by node, incarnation and number, in order. */
+    /** Returns the key of this segment in the store; keys sort by node, incarnation and number. */
     public String key() {
         return keyPrefix(node) + String.format("%012d/%08d", incarnation, number);
     }
@@ -79,7 +79,7 @@
         return out.toString();
     }
 
-    /** Decodes the stored text; empty if it is none, or does not fit its digest. */
+    /** Decodes the stored text; empty if it is malformed or does not match its digest. */
     public static Optional<AuditSegment> decode(String text) {
         String[] lines = text.split("\n");
         String[] header = lines[0].split(" ");
--- a/fleet/src/main/java/embershift/fleet/audit/HybridLogicalClock.java
+++ b/fleet/src/main/java/embershift/fleet/audit/HybridLogicalClock.java
@@ -3,29 +3,35 @@
 import java.util.Optional;
 
 /**
- * A time of a hybrid logical clock. What was caused by something has a later time than that,
- * however far apart the clocks of the machines are, or are set back.
+ * A timestamp of a hybrid logical clock. An event has a later timestamp than the events that caused
+ * it, however far the clocks of the machines differ or are set back.
  *
- * @param millis since 1970, by the furthest clock heard of
- * @param counter distinguishes events within that millisecond
+ * @param millis milliseconds since 1970, by the most advanced clock observed
+ * @param counter orders the events within that millisecond
  */
 public record HybridLogicalClock(long millis, int counter)
         implements Comparable<HybridLogicalClock> {
 
-    /** Before all events. */
+    /** The time before all events. */
     public static final HybridLogicalClock START = new HybridLogicalClock(0, 0);
 
-    /** How far ahead another clock may be to be followed: one wrong clock must not move all. */
+    /**
+     * How far ahead another clock may be for its time to be adopted, so that one wrong clock does
+     * not advance all others.
+     */
     public static final long MAX_AHEAD_MILLIS = 60_000;
 
-    /** Returns the time of an event that happens now, by a clock that may have been set back. */
+    /**
+     * Returns the timestamp of an event that happens now, by a wall clock that may have been set
+     * back.
+     */
     public HybridLogicalClock next(long wallClockMillis) {
         return wallClockMillis > millis
                 ? new HybridLogicalClock(wallClockMillis, 0)
                 : new HybridLogicalClock(millis, counter + 1);
     }
 
-    /** Returns the time after a message that carried another clock's time. */
+    /** Returns the timestamp after a message that carried another clock's timestamp. */
     public HybridLogicalClock merge(HybridLogicalClock other, long wallClockMillis) {
         long furthest = Math.max(wallClockMillis, millis) + MAX_AHEAD_MILLIS;
         return other.compareTo(this) > 0 && other.millis <= furthest ? other : this;
@@ -43,7 +49,7 @@
         return millis + "." + counter;
     }
 
-    /** Reads what {@link #toString} wrote; empty if it is no such text. */
+    /** Parses the output of {@link #toString}; empty if the text is malformed. */
     public static Optional<HybridLogicalClock> decode(String text) {
         if (!text.matches("\\d{1,15}\\.\\d{1,9}")) {
             return Optional.empty();
--- a/fleet/src/main/java/embershift/fleet/audit/IncarnationLog.java
+++ b/fleet/src/main/java/embershift/fleet/audit/IncarnationLog.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * What is stored of the audit log of one incarnation of a node.
+ * The stored part of the audit log of one incarnation of a node.
  *
  * @param segments in the order of their numbers; at least one
- * @param checkpoint what the log had before the first of them
+ * @param checkpoint state of the log before the first of them
  */
 record IncarnationLog(
         String node, long incarnation, List<AuditSegment> segments, AuditCheckpoint checkpoint) {}
--- a/fleet/src/main/java/embershift/fleet/audit/LogVerifier.java
+++ b/fleet/src/main/java/embershift/fleet/audit/LogVerifier.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Finds what does not fit in an audit log: broken chains, missing or repeated entries, times that
- * go back.
+ * Finds inconsistencies in an audit log: broken chains, missing or repeated entries, timestamps
+ * that decrease.
  */
 final class LogVerifier {
 
@@ -19,12 +19,12 @@
     /** Returns each problem in one line. */
     static List<String> verify(IncarnationLog log) {
         LogVerifier verifier = new LogVerifier(log);
-        AuditCheckpoint before = log.checkpoint();
+        AuditCheckpoint previous = log.checkpoint();
         for (AuditSegment segment : log.segments()) {
-            verifier.verifyNumbers(before.entryNumber() + 1, segment);
-            verifier.verifyChain(before, segment);
-            verifier.verifyEntries(before.at(), segment);
-            before = before.advancedPast(segment);
+            verifier.verifyNumbers(previous.entryNumber() + 1, segment);
+            verifier.verifyChain(previous, segment);
+            verifier.verifyEntries(previous.at(), segment);
+            previous = previous.advancedPast(segment);
         }
         return verifier.problems;
     }
@@ -35,32 +35,38 @@
             problems.add(location + "entries " + expected + " to " + (first - 1) + " are missing");
         } else if (first < expected) {
             problems.add(
-                    location + "entries " + first + " to " + (expected - 1) + " are told twice");
+                    location + "entries " + first + " to " + (expected - 1) + " are stored twice");
         }
     }
 
-    private void verifyChain(AuditCheckpoint before, AuditSegment segment) {
-        if (segment.number() != before.segmentNumber() + 1) {
+    private void verifyChain(AuditCheckpoint previous, AuditSegment segment) {
+        if (segment.number() != previous.segmentNumber() + 1) {
             problems.add(location + "segments before " + segment.number() + " are missing");
-        } else if (!segment.previousDigest().equals(before.digest())) {
+        } else if (!segment.previousDigest().equals(previous.digest())) {
             problems.add(
-                    location + "segment " + segment.number() + " is not chained to the one before");
+                    location
+                            + "segment "
+                            + segment.number()
+                            + " does not carry the digest of the previous one");
         }
     }
 
-    private void verifyEntries(HybridLogicalClock before, AuditSegment segment) {
-        HybridLogicalClock last = before;
+    private void verifyEntries(HybridLogicalClock previous, AuditSegment segment) {
+        HybridLogicalClock previousTime = previous;
         long expectedNumber = segment.firstNumber();
         for (AuditEntry entry : segment.entries()) {
-            if (entry.at().compareTo(last) <= 0) {
+            if (entry.at().compareTo(previousTime) <= 0) {
                 problems.add(
-                        location + "entry " + entry.number() + " is earlier than the one before");
+                        location
+                                + "entry "
+                                + entry.number()
+                                + " is not later than the previous one");
             }
             if (entry.number() != expectedNumber) {
-                problems.add(location + "entry " + entry.number() + " is not where it belongs");
+                problems.add(location + "entry " + entry.number() + " is out of sequence");
             }
             expectedNumber++;
-            last = entry.at();
+            previousTime = entry.at();
         }
     }
 }
--- a/fleet/src/main/java/embershift/fleet/audit/RevisionPeriod.java
+++ b/fleet/src/main/java/embershift/fleet/audit/RevisionPeriod.java
@@ -3,11 +3,13 @@
 import java.util.Optional;
 
 /**
- * A time over which a node acted on one config revision, and what it decided by it.
+ * A period during which a node had one config revision in effect, and the sessions it answered in
+ * that period.
  *
- * @param to when it ended; empty if nothing is told of that
- * @param lastKnown until when it is known to have gone on
- * @param isComplete whether no entry is missing within, nor between it and the period before
+ * @param to when the period ended; empty if no entry tells
+ * @param lastKnown time of the last entry that belongs to the period
+ * @param isComplete whether no entry is missing within the period, nor between it and the previous
+ *     one
  * @param opened sessions opened
  * @param declined sessions declined
  * @param failed sessions closed with an error
@@ -29,7 +31,7 @@
         return from.millis() <= millis && to.map(end -> millis < end.millis()).orElse(true);
     }
 
-    /** Returns when the period ended, or until when it is known to have gone on. */
+    /** Returns when the period ended, or the time of its last known entry. */
     public HybridLogicalClock end() {
         return to.orElse(lastKnown);
     }
--- a/fleet/src/main/java/embershift/fleet/audit/RevisionPeriods.java
+++ b/fleet/src/main/java/embershift/fleet/audit/RevisionPeriods.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Reads an audit log from its beginning, and divides it into the periods of config revisions. */
+/** Divides an audit log into the periods during which each config revision was in effect. */
 final class RevisionPeriods {
 
     private final IncarnationLog log;
@@ -30,7 +30,7 @@
 
     private void read() {
         long number = log.checkpoint().entryNumber();
-        HybridLogicalClock last = from;
+        HybridLogicalClock lastTime = from;
         boolean hasEnded = false;
         for (AuditSegment segment : log.segments()) {
             for (AuditEntry entry : segment.entries()) {
@@ -40,10 +40,10 @@
                 number = entry.number();
                 read(entry);
                 hasEnded = entry.kind() == AuditEntry.Kind.ENDS;
-                last = entry.at();
+                lastTime = entry.at();
             }
         }
-        endPeriod(hasEnded ? Optional.of(last) : Optional.empty(), last);
+        endPeriod(hasEnded ? Optional.of(lastTime) : Optional.empty(), lastTime);
     }
 
     private void read(AuditEntry entry) {
@@ -54,7 +54,8 @@
         long entryRevision = namesRevision ? entry.longField(AuditEntry.REVISION) : revision;
         if (entryRevision != revision) {
             endPeriod(Optional.of(entry.at()), entry.at());
-            // If only a count tells of it, the entry at which it began is missing.
+            // If the revision is known from a session count only, the entry that began the
+            // period is missing.
             isComplete = startsPeriod;
             revision = entryRevision;
             from = entry.at();
--- a/fleet/src/main/java/embershift/fleet/digest/Digest.java
+++ b/fleet/src/main/java/embershift/fleet/digest/Digest.java
@@ -8,7 +8,8 @@
 import java.util.SortedMap;
 
 /**
- * Digests by which two sides can tell that they hold the same: SHA-256, its first 16 bytes in hex.
+ * Digests for comparing whether two sides hold the same data: the first 16 bytes of SHA-256, in
+ * hex.
  */
 public final class Digest {
 
@@ -16,7 +17,7 @@
 
     private Digest() {}
 
-    /** Returns the digest of some texts; how they are divided counts too. */
+    /** Returns the digest of texts, including where one ends and the next begins. */
     public static String of(String... parts) {
         MessageDigest digest = sha256();
         for (String part : parts) {
@@ -27,7 +28,7 @@
         return HexFormat.of().formatHex(digest.digest(), 0, DIGEST_BYTES);
     }
 
-    /** Returns the digest of names and values. */
+    /** Returns the digest of fields, by name and value. */
     public static String of(SortedMap<String, String> fields) {
         String[] parts = new String[2 * fields.size()];
         int next = 0;
@@ -42,7 +43,7 @@
         try {
             return MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("each Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is required of every Java platform", e);
         }
     }
 }
--- a/fleet/src/main/java/embershift/fleet/endpoints/AppliedEndpoints.java
+++ b/fleet/src/main/java/embershift/fleet/endpoints/AppliedEndpoints.java
@@ -5,22 +5,22 @@
 import java.util.TreeMap;
 
 /**
- * The endpoint list as a node has it. Updates may come in any order, late or more than once: an
- * older list, by token, number and discovery's generation, never takes the place of a newer one.
+ * The endpoint list as a node has applied it. Updates may arrive in any order, late or repeatedly:
+ * a list that is older by token, number or discovery's generation never replaces a newer one.
  */
 public final class AppliedEndpoints {
 
-    /** What became of an update. The wire names are part of the protocol. */
+    /** Outcome of an update. The wire names are part of the protocol. */
     public enum Outcome {
-        /** The list is the update's from now on. */
+        /** The update was applied. */
         APPLIED("TAKEN"),
-        /** The list was the update's before. */
+        /** The list was the same already. */
         UNCHANGED("SAME"),
         /** The list is newer than the update's. */
         STALE("OLDER"),
-        /** Discovery itself told this node something newer. */
+        /** Discovery itself has reported a newer list to this node. */
         BEHIND_DISCOVERY("BEHIND"),
-        /** The update changes a list that is not held here. */
+        /** The update is based on a list that is not held here. */
         FULL_LIST_NEEDED("WHOLE");
 
         private final String wireName;
@@ -29,7 +29,7 @@
             this.wireName = wireName;
         }
 
-        /** Returns the name that the publisher is told. */
+        /** Returns the name in the protocol. */
         public String wireName() {
             return wireName;
         }
@@ -40,7 +40,10 @@
     private long number;
     private long generation = Long.MIN_VALUE;
 
-    /** Discovery told this node a list; its generations may have begun anew with lower numbers. */
+    /**
+     * Called when discovery has sent this node a list; after a restart of discovery its generations
+     * may be lower again.
+     */
     public void discoveryReported(long reportedGeneration) {
         generation = reportedGeneration;
     }
@@ -51,7 +54,8 @@
         if (order < 0 || (order == 0 && update.number() < number)) {
             return Outcome.STALE;
         }
-        // A host that drains by a newer list must not come back by an older one.
+        // A host that drains according to a newer list must not be put back in service by an
+        // older one.
         if (update.generation() < generation) {
             return Outcome.BEHIND_DISCOVERY;
         }
@@ -82,7 +86,7 @@
         return token;
     }
 
-    /** Returns the number of the list, or 0 before there is one. */
+    /** Returns the number of the list, or 0 if there is none yet. */
     public long number() {
         return number;
     }
--- a/fleet/src/main/java/embershift/fleet/endpoints/EndpointUpdate.java
+++ b/fleet/src/main/java/embershift/fleet/endpoints/EndpointUpdate.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * A change of the endpoint list, or the whole list.
+ * A change of the endpoint list, or the complete list.
  *
- * @param number of the list after it, by its publisher's count
- * @param baseNumber of the list that it changes, or 0 for a whole list
- * @param generation of discovery's list that it comes from
+ * @param number number of the resulting list, counted by its publisher
+ * @param baseNumber number of the list that is changed, or 0 for a complete list
+ * @param generation generation of the list from discovery on which this is based
  * @param changed entries by host, as discovery wrote them
- * @param removed hosts that are not listed any more
+ * @param removed hosts that are no longer listed
  */
 public record EndpointUpdate(
         long number,
@@ -19,7 +19,7 @@
         Map<String, String> changed,
         Set<String> removed) {
 
-    /** Whether this is a whole list. */
+    /** Whether this is a complete list. */
     public boolean isFullList() {
         return baseNumber == 0;
     }
--- a/fleet/src/main/java/embershift/fleet/endpoints/PublishedEndpoints.java
+++ b/fleet/src/main/java/embershift/fleet/endpoints/PublishedEndpoints.java
@@ -9,12 +9,12 @@
 import java.util.TreeMap;
 
 /**
- * The endpoint list as its publisher has it: numbered by its changes, and told as a whole or as the
- * difference to an earlier number.
+ * The endpoint list as its publisher has it. Each change gets a number; updates contain the
+ * complete list or the difference to an earlier number.
  */
 public final class PublishedEndpoints {
 
-    /** Changes that are remembered: who is further behind gets the whole list. */
+    /** Number of changes that are kept; a node that is further behind gets the complete list. */
     private static final int MAX_DELTAS = 256;
 
     private record Delta(long number, Set<String> hosts) {}
@@ -25,8 +25,8 @@
     private long generation;
 
     /**
-     * Takes discovery's whole list; returns whether that changes anything. A list of an earlier
-     * generation is ignored.
+     * Replaces the list by discovery's complete one; returns whether that changes anything. A list
+     * of an earlier generation is ignored.
      */
     public boolean update(long newGeneration, Map<String, String> fullList) {
         if (number > 0 && newGeneration < generation) {
@@ -48,8 +48,8 @@
     private Set<String> replaceEntries(Map<String, String> fullList) {
         Set<String> changedHosts = new LinkedHashSet<>();
         for (Map.Entry<String, String> entry : fullList.entrySet()) {
-            String before = entries.put(entry.getKey(), entry.getValue());
-            if (!entry.getValue().equals(before)) {
+            String previous = entries.put(entry.getKey(), entry.getValue());
+            if (!entry.getValue().equals(previous)) {
                 changedHosts.add(entry.getKey());
             }
         }
@@ -62,12 +62,12 @@
         return changedHosts;
     }
 
-    /** Discovery was restarted: its next list counts, whatever its generation. */
+    /** Called when discovery was restarted: its next list is accepted whatever its generation. */
     public void discoveryRestarted() {
         generation = Long.MIN_VALUE;
     }
 
-    /** Returns the number of the list, or 0 before discovery was heard. */
+    /** Returns the number of the list, or 0 before discovery's first list. */
     public long number() {
         return number;
     }
@@ -77,7 +77,10 @@
         return entries;
     }
 
-    /** Returns what a node that has the list of that number lacks; the whole list if in doubt. */
+    /**
+     * Returns the update for a node that has the list with this number; the complete list if the
+     * difference is not known.
+     */
     public EndpointUpdate updateSince(long baseNumber) {
         boolean isKnown =
                 baseNumber > 0
--- a/fleet/src/main/java/embershift/fleet/lease/FencingGuard.java
+++ b/fleet/src/main/java/embershift/fleet/lease/FencingGuard.java
@@ -5,30 +5,32 @@
 import java.util.Optional;
 
 /**
- * What a receiver of orders checks fencing tokens by: for each task the highest token it knows,
- * below which it admits nothing. A receiver that was just started has forgotten them: it admits no
- * order of a task before it has read the latest token from the store, by a read that began after
- * this guard was made. Every token admitted here before was granted before that.
+ * Rejects orders with stale fencing tokens: keeps the highest token known for each task and admits
+ * nothing below it. The tokens are kept in memory only, so a receiver that was just started admits
+ * no order of a task before it has read the task's latest token from the store, by a read that
+ * began after this guard was created. Every token admitted by an earlier process was granted before
+ * that read.
  */
 public final class FencingGuard {
 
-    /** What is said of a token. */
+    /** Result of checking a token. */
     public enum Verdict {
-        /** It is the highest known. */
+        /** No higher token of the task is known. */
         ADMITTED,
-        /** A later grant is known. */
+        /** A higher token of the task is known. */
         STALE,
-        /** Nothing is known of the task yet. */
+        /** No token of the task is known yet. */
         UNKNOWN
     }
 
-    /** The most tasks that are remembered; orders of further ones are never admitted. */
+    /** Maximum number of tasks that are remembered; orders of further tasks are never admitted. */
     public static final int MAX_TASKS = 256;
 
     private final Map<TaskId, FencingToken> highestByTask = new HashMap<>();
 
     /**
-     * Learns a task's latest token from the store: {@link FencingToken#NONE} if there was no grant.
+     * Records a task's latest token as read from the store, or {@link FencingToken#NONE} if the
+     * lease was never granted.
      */
     public void learnLatest(TaskId task, FencingToken latest) {
         if (highestByTask.size() < MAX_TASKS || highestByTask.containsKey(task)) {
@@ -40,7 +42,7 @@
         return first.compareTo(second) >= 0 ? first : second;
     }
 
-    /** Checks the token of an order; once one is admitted, no lower one is. */
+    /** Checks the token of an order. Once a token is admitted, no lower token of that task is. */
     public Verdict admit(TaskId task, FencingToken token) {
         FencingToken known = highestByTask.get(task);
         if (known == null) {
@@ -53,7 +55,7 @@
         return Verdict.ADMITTED;
     }
 
-    /** Returns the highest token known of a task; empty before one was learned. */
+    /** Returns the highest known token of a task, or empty if none is known. */
     public Optional<FencingToken> highestKnown(TaskId task) {
         return Optional.ofNullable(highestByTask.get(task));
     }
--- a/fleet/src/main/java/embershift/fleet/lease/FencingToken.java
+++ b/fleet/src/main/java/embershift/fleet/lease/FencingToken.java
@@ -1,12 +1,12 @@
 package embershift.fleet.lease;
 
 /**
- * Tells which grant of a task's lease an order stands on: of the grants of one task, a later one
- * has a greater number.
+ * Identifies the grant of a task's lease under which an order was issued. Of the grants of one
+ * task, a later one has a greater number.
  */
 public record FencingToken(long number) implements Comparable<FencingToken> {
 
-    /** Less than that of any grant. */
+    /** Lower than the token of any grant. */
     public static final FencingToken NONE = new FencingToken(0);
 
     @Override
--- a/fleet/src/main/java/embershift/fleet/lease/Lease.java
+++ b/fleet/src/main/java/embershift/fleet/lease/Lease.java
@@ -1,13 +1,13 @@
 package embershift.fleet.lease;
 
 /**
- * How long a holder may act, by its own clock alone. The lease counts from before the holder asked
- * for it, and ends earlier than the store's session by what two clocks may differ in rate. Times in
- * seconds, never decreasing.
+ * Tracks how long a holder may act, by its own clock alone. The lease is counted from before the
+ * holder requested it, and expires earlier than the store's session by a margin for the drift
+ * between two clocks. Times are monotonic, in seconds.
  */
 public final class Lease {
 
-    /** How far the rates of two clocks may be apart, as a share. */
+    /** Maximum difference between the rates of two clocks, as a fraction. */
     public static final double MAX_CLOCK_DRIFT = 0.02;
 
     private static final double RENEWAL_FRACTION = 1.0 / 3;
@@ -27,9 +27,9 @@
     }
 
     /**
-     * The lease was granted.
+     * Called when the lease was granted.
      *
-     * @param requestedAt when it was asked for, or the session was opened if that was earlier
+     * @param requestedAt when it was requested, or when the session was opened if that was earlier
      */
     public void acquired(FencingToken grantedToken, double requestedAt) {
         token = grantedToken;
@@ -37,7 +37,7 @@
         renewed(requestedAt);
     }
 
-    /** The session was renewed by a call that was sent at that time. */
+    /** Called when the session was renewed by a call sent at {@code requestedAt}. */
     public void renewed(double requestedAt) {
         if (requestedAt + durationSeconds > expiresAt) {
             expiresAt = requestedAt + durationSeconds;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** The lease is released, or another is known to hold it. */
+    /** Called when the lease is released, or known to be held by another candidate. */
     public void invalidate() {
         expiresAt = Double.NEGATIVE_INFINITY;
     }
@@ -60,7 +60,7 @@
         return now < expiresAt;
     }
 
-    /** Whether something that takes up to {@code maxSeconds} would end while the lease is held. */
+    /** Whether an action that takes up to {@code maxSeconds} would end while the lease is held. */
     public boolean canComplete(double now, double maxSeconds) {
         return now + maxSeconds < expiresAt;
     }
--- a/fleet/src/main/java/embershift/fleet/lease/LeaseCommands.java
+++ b/fleet/src/main/java/embershift/fleet/lease/LeaseCommands.java
@@ -6,12 +6,15 @@
 import embershift.fleet.store.StoreCommand;
 import java.util.List;
 
-/** The transactions by which leases are granted and released; their preconditions decide. */
+/**
+ * Transactions that grant and release leases. Their preconditions ensure that a lease has one
+ * holder.
+ */
 public final class LeaseCommands {
 
     private LeaseCommands() {}
 
-    /** Acquires a lease that nobody holds. The revision after it is the fencing token. */
+    /** Acquires a lease that nobody holds. The resulting store revision is the fencing token. */
     public static StoreCommand.Transaction acquire(
             SessionId session, long sequenceNumber, TaskId task, String holder) {
         return transaction(
@@ -21,7 +24,7 @@
                 grant(task, holder));
     }
 
-    /** Releases a lease; rejected if it was lost meanwhile. */
+    /** Releases a lease; rejected if the lease was lost in the meantime. */
     public static StoreCommand.Transaction release(
             SessionId session, long sequenceNumber, TaskId task, FencingToken token) {
         return transaction(
@@ -32,8 +35,8 @@
     }
 
     /**
-     * Passes a lease on from the holder of {@code from} to another session at once. The revision
-     * after it is the fencing token.
+     * Transfers a lease from the holder with the token {@code from} to another session in one
+     * transaction. The resulting store revision is the fencing token.
      */
     public static StoreCommand.Transaction takeOver(
             SessionId session, long sequenceNumber, TaskId task, String holder, FencingToken from) {
@@ -44,7 +47,7 @@
                 grant(task, holder));
     }
 
-    /** Records progress; rejected to whoever has an earlier token than the latest. */
+    /** Records progress; rejected if the token is not the latest. */
     public static StoreCommand.Transaction recordProgress(
             SessionId session,
             long sequenceNumber,
--- a/fleet/src/main/java/embershift/fleet/lease/LeaseHolder.java
+++ b/fleet/src/main/java/embershift/fleet/lease/LeaseHolder.java
@@ -6,43 +6,52 @@
 import java.util.Optional;
 
 /**
- * A candidate for a task's lease: acquires it when nobody holds it, renews it, and does the steps
+ * A candidate for a task's lease: acquires it when nobody holds it, renews it, and runs the steps
  * of the task's plan in order. Each step is recorded as intended before its effect and as done
- * after it: whoever takes over finishes what was intended, under the same step, before the next. A
- * state machine without I/O, clock or threads; times in seconds, never decreasing.
+ * after it, so that the next holder first completes an intended step, under the same step number,
+ * before it begins another. A state machine without I/O, clock or threads; times are monotonic, in
+ * seconds.
  */
 public final class LeaseHolder {
 
-    /** How the effect of a step ended. */
+    /** Outcome of the effect of a step. */
     public enum StepOutcome {
-        /** All receivers took it. */
+        /** All receivers accepted it. */
         DONE,
         /** A receiver knows a later fencing token. */
         STALE_TOKEN,
-        /** Nobody can tell. */
+        /** It is unknown whether the effect took place. */
         UNKNOWN
     }
 
-    /** What a candidate needs done for it. It must not call back from within. */
+    /**
+     * The actions that a candidate delegates to its owner. An implementation must not call back
+     * into the candidate from within them.
+     */
     public interface Environment {
 
-        /** Submits a command; {@link #commandCompleted} is owed, as unknown after some time. */
+        /**
+         * Submits a command. {@link #commandCompleted} must follow, with an unknown result after a
+         * timeout.
+         */
         void submit(StoreCommand command);
 
         /**
-         * Renews the session; {@link #sessionRenewed} or {@link #sessionEnded} follows, or nothing.
+         * Renews the session. {@link #sessionRenewed} or {@link #sessionEnded} follows, unless the
+         * call is lost.
          */
         void renewSession(SessionId session, double sentAt);
 
         /**
-         * Reads the task's progress; {@link #progressRead} follows, or nothing and a further try.
+         * Reads the task's progress. {@link #progressRead} follows; if the answer is lost, the read
+         * is retried.
          */
         void readProgress(TaskId task);
 
-        /** Does a step, by this fencing token; {@link #stepEnded} is owed, however late. */
+        /** Runs a step under this fencing token. {@link #stepEnded} must follow, however late. */
         void runStep(TaskId task, TaskPlan plan, int step, FencingToken token);
 
-        /** Tells an operator something. */
+        /** Reports a message to the operators. */
         void notifyOperator(String message);
     }
 
@@ -96,14 +105,17 @@
     private double lastProgressAt;
     private double acquiredAt;
 
-    /** How often the lease was lost; forgotten once it has been held for long. */
+    /**
+     * Number of times the lease was lost; reset once the lease has been held for {@link
+     * LeaseSettings#maxBackoffSeconds}.
+     */
     private int lossCount;
 
     private double acquireDelay;
     private boolean isShuttingDown;
     private boolean isHeldByAnother;
 
-    /** Creates a candidate of that name. */
+    /** Creates a candidate with this name. */
     public LeaseHolder(
             String name,
             TaskId task,
@@ -123,14 +135,12 @@
         return state.isHolding() && lease.isHeld(now);
     }
 
-    /** Whether it has the lease, or is about to release it. */
+    /** Whether this candidate holds the lease or is releasing it. */
     public boolean isHeldOrReleasing() {
         return state.isHolding() || state == State.RELEASING;
     }
 
-    /**
-     * Whether an effect that takes as long as any of the plan would end while the lease is held.
-     */
+    /** Whether the longest step of the plan would end while the lease is held. */
     public boolean canCompleteStep(double now) {
         return state.isHolding() && lease.canComplete(now, plan.maxStepSeconds());
     }
@@ -140,18 +150,21 @@
         return lease.token();
     }
 
-    /** Whether there is nothing more to do: the plan is done or given up. */
+    /** Whether the plan is completed or was given up. */
     public boolean isFinished() {
         return state == State.FINISHED;
     }
 
-    /** Time has passed. To be called several times within {@link LeaseSettings#retrySeconds}. */
+    /**
+     * Performs the actions that are due. Must be called several times within {@link
+     * LeaseSettings#retrySeconds}.
+     */
     public void tick(double now) {
         renewSessionIfDue(now);
         if (state.isHolding() && now - lastProgressAt > settings.stuckSeconds()) {
             environment.notifyOperator(
                     task.name()
-                            + " gets nothing done here, at step "
+                            + " made no progress on this instance, at step "
                             + progress.map(TaskProgress::step).orElse(0));
             lossCount++;
             release(now);
@@ -205,7 +218,7 @@
         environment.submit(command);
     }
 
-    /** Under the same number, so that it is executed once. */
+    /** Resubmits under the same sequence number, so that the command is executed once. */
     private void resubmit() {
         if (inFlight != null) {
             nextActionAt = Double.POSITIVE_INFINITY;
@@ -213,7 +226,10 @@
         }
     }
 
-    /** A command was completed; one that is not in flight any more is ignored. */
+    /**
+     * Handles the result of a command; results of commands that are no longer in flight are
+     * ignored.
+     */
     public void commandCompleted(double now, StoreCommand command, CallResult result) {
         if (command != inFlight) {
             return;
@@ -301,25 +317,34 @@
         return Math.min(settings.maxBackoffSeconds(), settings.retrySeconds() * doublings);
     }
 
-    /** The task has made progress: it is not stuck. */
+    /**
+     * Called when the task has made progress; restarts the timeout after which it counts as stuck.
+     */
     public void progressMade(double now) {
         lastProgressAt = now;
     }
 
-    /** A receiver or the store knows a token: if it is later than this one's, the lease is lost. */
+    /**
+     * Called with a token that a receiver or the store knows; if it is later than this candidate's,
+     * the lease is lost.
+     */
     public void tokenObserved(double now, FencingToken known) {
         if (state.isHolding() && known.compareTo(lease.token()) > 0) {
             leaseLost(now);
         }
     }
 
-    /** How much slower than others this candidate acquires: so leases spread over instances. */
+    /**
+     * Sets by how much this candidate delays acquiring a free lease, so that leases spread over the
+     * instances.
+     */
     public void setAcquireDelay(double seconds) {
         acquireDelay = seconds;
     }
 
     /**
-     * Whether another is known to hold the lease: then asking would only cost the store an entry.
+     * Sets whether another candidate is known to hold the lease. While one does, a request for the
+     * lease would only add an entry to the store's log.
      */
     public void setHeldByAnother(double now, boolean isHeld) {
         if (isHeldByAnother && !isHeld) {
@@ -328,14 +353,14 @@
         isHeldByAnother = isHeld;
     }
 
-    /** This candidate is wanted as the holder: it acquires the lease as soon as nobody holds it. */
+    /** Makes this candidate, as the wanted holder, acquire the lease as soon as nobody holds it. */
     public void acquireSoon(double now) {
         if (state == State.IDLE) {
             nextActionAt = Math.min(nextActionAt, now);
         }
     }
 
-    /** Releases the lease, and acquires none while it is leaving. */
+    /** Releases the lease, and acquires none while this candidate is shutting down. */
     public void setShuttingDown(double now, boolean shuttingDown) {
         isShuttingDown = shuttingDown;
         if (shuttingDown) {
@@ -343,15 +368,18 @@
         }
     }
 
-    /** The session was renewed at {@code now}, by a call that was sent at {@code sentAt}. */
+    /**
+     * Called when the session was renewed at {@code now}, by a call that was sent at {@code
+     * sentAt}.
+     */
     public void sessionRenewed(double now, double sentAt) {
         if (state.isHolding()) {
-            // Nobody else can have been granted the lease while its holder's session stands.
+            // While the holder's session is open, nobody else can have been granted the lease.
             lease.renewed(sentAt);
         }
     }
 
-    /** The store does not know the session any more. */
+    /** Called when the store no longer knows the session. */
     public void sessionEnded(double now) {
         if (state.isHolding()) {
             lossCount++;
@@ -365,7 +393,7 @@
         }
     }
 
-    /** The store's record of the task's progress was read; empty where there is none. */
+    /** Called with the task's progress as stored, or empty if there is none. */
     public void progressRead(double now, Optional<String> text) {
         if (state != State.READING_PROGRESS) {
             return;
@@ -374,7 +402,7 @@
                 text.flatMap(TaskProgress::decode).filter(read -> read.plan().equals(plan.name()));
         TaskProgress.State stepState = progress.map(TaskProgress::state).orElse(null);
         if (stepState == TaskProgress.State.POISONED) {
-            finish(task.name() + " stays stopped at step " + progress.orElseThrow().step());
+            finish(task.name() + " remains stopped at step " + progress.orElseThrow().step());
         } else if (stepState == TaskProgress.State.INTENDED) {
             resumeStep(now, progress.orElseThrow());
         } else {
@@ -382,7 +410,7 @@
         }
     }
 
-    /** A holder before this one has begun a step and not ended it. */
+    /** Retries a step that an earlier holder began and did not complete. */
     private void resumeStep(double now, TaskProgress recorded) {
         int attempts = recorded.attempts() + 1;
         if (attempts > settings.maxStepAttempts()) {
@@ -390,9 +418,9 @@
                     task.name()
                             + " stops: step "
                             + recorded.step()
-                            + " was begun by "
+                            + " was started by "
                             + recorded.attempts()
-                            + " owners and not ended");
+                            + " holders and not completed");
             recordProgress(now, TaskProgress.State.POISONED, recorded.step(), recorded.attempts());
         } else {
             recordProgress(now, TaskProgress.State.INTENDED, recorded.step(), attempts);
@@ -408,7 +436,7 @@
                         session, ++lastSequenceNumber, task, lease.token(), recording.encode()));
     }
 
-    /** Goes on from where progress is known to be. */
+    /** Continues the plan from the known progress. */
     private void runNextStep(double now) {
         TaskProgress.State stepState = progress.map(TaskProgress::state).orElse(null);
         if (stepState == TaskProgress.State.POISONED) {
@@ -449,7 +477,7 @@
         state = State.FINISHED;
     }
 
-    /** Releases the lease: another may acquire it at once. */
+    /** Releases the lease, so that another candidate can acquire it at once. */
     public void release(double now) {
         if (state.isHolding()) {
             state = State.RELEASING;
@@ -458,7 +486,7 @@
         }
     }
 
-    /** The effect of a step has ended; of any but the current one that is ignored. */
+    /** Handles the outcome of a step; outcomes of other than the current step are ignored. */
     public void stepEnded(double now, int step, FencingToken token, StepOutcome outcome) {
         boolean isCurrent =
                 state == State.RUNNING_STEP
--- a/fleet/src/main/java/embershift/fleet/lease/LeaseSettings.java
+++ b/fleet/src/main/java/embershift/fleet/lease/LeaseSettings.java
@@ -1,14 +1,15 @@
 package embershift.fleet.lease;
 
 /**
- * How a {@link LeaseHolder} behaves; times in seconds.
+ * Settings of a {@link LeaseHolder}; times in seconds.
  *
- * @param sessionSeconds without word of the holder after which the store ends its session, and the
- *     lease with it
- * @param retrySeconds between two tries of a command
- * @param stuckSeconds without progress after which the lease is released
- * @param maxStepAttempts holders that may begin the same step before it is given up
- * @param maxBackoffSeconds the longest wait of one that loses the lease again and again
+ * @param sessionSeconds time without a renewal after which the store ends the holder's session, and
+ *     the lease with it
+ * @param retrySeconds delay between two attempts of a command
+ * @param stuckSeconds time without progress after which the lease is released
+ * @param maxStepAttempts maximum number of holders that may begin the same step before it is given
+ *     up
+ * @param maxBackoffSeconds longest delay of a candidate that loses the lease repeatedly
  */
 public record LeaseSettings(
         double sessionSeconds,
@@ -17,6 +18,6 @@
         int maxStepAttempts,
         double maxBackoffSeconds) {
 
-    /** The settings where nothing else is said. */
+    /** The default settings. */
     public static final LeaseSettings DEFAULTS = new LeaseSettings(3, 0.2, 20, 3, 30);
 }
--- a/fleet/src/main/java/embershift/fleet/lease/OrderAdmission.java
+++ b/fleet/src/main/java/embershift/fleet/lease/OrderAdmission.java
@@ -3,24 +3,24 @@
 import java.util.Optional;
 
 /**
- * Decides whether a node takes an order, before it looks at what is ordered: by the order's fencing
- * token and by its age. The age is told by this node's clock alone: each order returns what that
- * clock showed in the latest report that had reached the sender. So an order that was delayed on
- * its way, in a queue or in a stopped process is known for what it is. Times in seconds.
+ * Decides whether a node accepts an order, before the content of the order is examined: by its
+ * fencing token and its age. The age is measured by this node's clock alone: each order carries
+ * what that clock showed in the latest report that had reached the sender. This detects orders that
+ * were delayed on the network, in a queue or in a suspended process. Times in seconds.
  */
 public final class OrderAdmission {
 
-    /** What is decided. The wire names are part of the protocol. */
+    /** Result of the check. The wire names are part of the protocol. */
     public enum Verdict {
-        /** The order is taken. */
+        /** The order is accepted. */
         ADMITTED("TAKEN"),
-        /** A later grant of the task's lease is known here. */
+        /** A later grant of the task's lease is known to this node. */
         STALE_TOKEN("OLD"),
         /** The task's latest token has not been read yet. */
         TOKEN_UNKNOWN("UNSURE"),
         /** The order is too old. */
         EXPIRED("VOID"),
-        /** This node is shut out, and takes no orders. */
+        /** This node is shut out and accepts no orders. */
         SHUT_OUT("OUT");
 
         private final String wireName;
@@ -29,7 +29,7 @@
             this.wireName = wireName;
         }
 
-        /** Returns the name that the sender is told. */
+        /** Returns the name in the protocol. */
         public String wireName() {
             return wireName;
         }
@@ -38,8 +38,8 @@
     /**
      * A decision.
      *
-     * @param knownToken the highest token known of the task; empty before one was learned
-     * @param reason for people; empty if the order is taken
+     * @param knownToken the highest known token of the task, or empty if none is known
+     * @param reason for operators; empty if the order is accepted
      */
     public record Decision(Verdict verdict, Optional<FencingToken> knownToken, String reason) {}
 
@@ -47,18 +47,18 @@
     private final double maxAgeSeconds;
     private Optional<String> shutOutReason = Optional.empty();
 
-    /** Creates an admission whose orders expire after {@code maxAgeSeconds}. */
+    /** Creates an admission check under which orders expire after {@code maxAgeSeconds}. */
     public OrderAdmission(FencingGuard guard, double maxAgeSeconds) {
         this.guard = guard;
         this.maxAgeSeconds = maxAgeSeconds;
     }
 
-    /** From now on no order is taken. */
+    /** Rejects all orders from now on. */
     public void shutOut(String reason) {
         shutOutReason = Optional.of(reason);
     }
 
-    /** Returns why no order is taken any more; empty while orders are. */
+    /** Returns why all orders are rejected, or empty while orders can be accepted. */
     public Optional<String> shutOutReason() {
         return shutOutReason;
     }
@@ -66,14 +66,15 @@
     /**
      * Decides on an order.
      *
-     * @param reportClock this node's clock in the latest report that the sender had
+     * @param reportClock what this node's clock showed in its latest report that had reached the
+     *     sender
      */
     public Decision decide(double now, TaskId task, FencingToken token, double reportClock) {
         if (shutOutReason.isPresent()) {
             return decision(Verdict.SHUT_OUT, task, shutOutReason.get());
         }
         double age = now - reportClock;
-        // A time ahead of this clock is none that it ever showed.
+        // A time ahead of this clock was never shown by it.
         if (!(age >= 0 && age <= maxAgeSeconds)) {
             return decision(
                     Verdict.EXPIRED, task, "given on a word of " + (long) (1000 * age) + " ms ago");
--- a/fleet/src/main/java/embershift/fleet/lease/TaskProgress.java
+++ b/fleet/src/main/java/embershift/fleet/lease/TaskProgress.java
@@ -3,25 +3,25 @@
 import java.util.Optional;
 
 /**
- * How far a plan is, as the store has it.
+ * Progress of a plan, as recorded in the store.
  *
- * @param attempts how many holders have begun this step
+ * @param attempts number of holders that have begun this step
  */
 public record TaskProgress(String plan, State state, int step, int attempts) {
 
     /** The state of a step. The names are part of the stored text. */
     public enum State {
-        /** Begun: its effect may have happened. */
+        /** The step was begun; its effect may have taken place. */
         INTENDED,
-        /** Its effect has happened. */
+        /** The effect of the step has taken place. */
         DONE,
-        /** Given up, as too many holders began it and none ended it. */
+        /** The step was given up because too many holders began it and none completed it. */
         POISONED
     }
 
     private static final int FIELD_COUNT = 4;
 
-    /** Decodes the stored text; empty if it is none that this program knows. */
+    /** Decodes the stored text; empty if it is not valid. */
     public static Optional<TaskProgress> decode(String text) {
         String[] fields = text.split(" ");
         if (fields.length != FIELD_COUNT || !isNumber(fields[2]) || !isNumber(fields[3])) {
--- a/fleet/src/main/java/embershift/fleet/restart/RollingRestart.java
+++ b/fleet/src/main/java/embershift/fleet/restart/RollingRestart.java
@@ -10,23 +10,27 @@
 import java.util.TreeSet;
 
 /**
- * One step of a rolling restart: its targets are taken out of service, restarted and brought back,
- * with never more of them away than the plan says. The process manager, which restarts things,
- * knows no fencing token: it is called by an id that it remembers. So an earlier lease holder can't
- * have anything restarted twice, and what an abort leaves undone is cancelled there first. A state
- * machine without I/O, clock or threads; times in seconds, never decreasing.
+ * One step of a rolling restart: its targets are taken out of service, restarted and returned to
+ * service, while no more of them are unavailable than the plan allows. The process manager that
+ * performs the restarts does not check fencing tokens; it is called with an id for each restart,
+ * which it remembers. So an earlier lease holder cannot cause a second restart, and restarts that
+ * an abort leaves undone are cancelled there first. A state machine without I/O, clock or threads;
+ * times are monotonic, in seconds.
  */
 public final class RollingRestart {
 
-    /** What the process manager says of an id. */
+    /** The state of a restart id at the process manager. */
     public enum RestartState {
-        /** It was not called by that id yet. */
+        /** The process manager has not been called with that id. */
         NOT_REQUESTED,
-        /** The restart is under way. */
+        /** The restart is in progress. */
         IN_PROGRESS,
         /** The restart is done. */
         DONE,
-        /** It was never called by that id, and will not act on it. */
+        /**
+         * The process manager was not called with that id before the cancellation, and will not act
+         * on it.
+         */
         CANCELLED,
         /** No answer came. */
         UNKNOWN
@@ -35,11 +39,11 @@
     /**
      * A registered node that is not shut out.
      *
-     * @param ejectedHosts hosts that it was told not to use, and does not
+     * @param ejectedHosts hosts that the node was told to stop using, and has stopped using
      */
     public record NodeView(boolean isReachable, boolean isReady, Collection<String> ejectedHosts) {}
 
-    /** What is seen of the fleet. */
+    /** The observed state of the fleet. */
     public interface FleetView {
 
         /** Returns the nodes by name. */
@@ -49,27 +53,40 @@
         boolean isInService(String host);
 
         /**
-         * Returns the share of sessions opened of those opened or failed lately; empty for none.
+         * Returns the fraction of recent sessions that were opened, of those opened or failed;
+         * empty if there were none.
          */
         OptionalDouble serviceRate();
     }
 
-    /** What a restart needs done for it. It must not call back from within. */
+    /**
+     * The actions that a restart delegates to its owner. An implementation must not call back into
+     * the restart from within them.
+     */
     public interface Environment {
 
-        /** From now on no node may use these hosts, and this restart keeps nodes off no others. */
+        /**
+         * Ejects exactly these hosts on all nodes; hosts that this restart ejected before are
+         * returned to service.
+         */
         void ejectHosts(Set<String> hosts);
 
-        /** Requests a restart; {@link #restartReported} follows, or nothing and a further try. */
+        /**
+         * Requests a restart. {@link #restartReported} follows; if the answer is lost, the request
+         * is retried.
+         */
         void restart(RollingRestartPlan.Target target, String id);
 
-        /** Cancels an id at the process manager; {@link #restartReported} follows, or nothing. */
+        /**
+         * Cancels an id at the process manager; {@link #restartReported} follows, unless the answer
+         * is lost.
+         */
         void cancel(String id);
 
-        /** The step is done, or was brought to a sound end. */
+        /** Called when the step is completed, or was aborted in a consistent state. */
         void completed(boolean isAborted);
 
-        /** The step waits until an operator lets it go on. */
+        /** Called when the step has halted until an operator resumes it. */
         void halted(String reason);
     }
 
@@ -119,9 +136,9 @@
     /**
      * Begins a step.
      *
-     * @param mayHaveStarted whether an earlier lease holder may have begun it, and calls of that
-     *     one may still arrive: then each target is out of service, and counts as away, until the
-     *     process manager has said what became of it
+     * @param mayHaveStarted whether an earlier lease holder may have begun it, so that its calls
+     *     may still arrive. Each target is then kept out of service, and counts as unavailable,
+     *     until the process manager has reported its state
      */
     public RollingRestart(
             double now,
@@ -139,7 +156,7 @@
                 .forEach(target -> targets.put(target, new TargetProgress(mayHaveStarted)));
     }
 
-    /** Takes what operators want: {@code go}, {@code pause} or {@code abort}, which is final. */
+    /** Sets what operators want: {@code go}, {@code pause} or {@code abort}, which is final. */
     public void setOperatorIntent(double now, String intent) {
         boolean wantsPause = intent.equals("pause");
         if (isPaused && !wantsPause) {
@@ -150,7 +167,7 @@
         isAborting |= intent.equals("abort");
     }
 
-    /** Takes what the process manager says of an id. */
+    /** Handles the state of an id as reported by the process manager. */
     public void restartReported(double now, String id, RestartState restartState) {
         if (restartState == RestartState.UNKNOWN) {
             return;
@@ -173,12 +190,12 @@
         progress.isCancelled |= restartState == RestartState.CANCELLED;
     }
 
-    /** Returns what the step waits for, in one line, or "". */
+    /** Returns what the step is waiting for, in one line, or "". */
     public String waitReason() {
         return waitReason;
     }
 
-    /** Time has passed. To be called several times a second. */
+    /** Performs the actions that are due. Must be called several times a second. */
     public void tick(double now) {
         if (isCompleted) {
             return;
@@ -216,7 +233,7 @@
             isHalted = true;
             environment.halted(
                     waitReason.isEmpty()
-                            ? "nothing got on for " + plan.stallTimeoutSeconds() + " s"
+                            ? "no progress for " + plan.stallTimeoutSeconds() + " s"
                             : waitReason);
         }
     }
@@ -234,7 +251,7 @@
             case RESTARTING -> restart(now, target, progress);
             case WARMING_UP -> warmUp(now, target, progress);
             case DONE -> {
-                // Nothing is left to do for it.
+                // The target is done.
             }
         }
     }
@@ -245,7 +262,10 @@
         lastProgressAt = now;
     }
 
-    /** An earlier lease holder may have requested a restart: only the process manager can tell. */
+    /**
+     * Finishes an aborted target. As an earlier lease holder may have requested its restart, only
+     * the process manager can tell its state.
+     */
     private void abortTarget(
             double now, RollingRestartPlan.Target target, TargetProgress progress) {
         if (progress.isCancelled) {
@@ -260,12 +280,12 @@
     private void startIfAllowed(
             double now, RollingRestartPlan.Target target, TargetProgress progress) {
         if (isPaused) {
-            waitReason = "it is paused";
+            waitReason = "the restart is paused";
             return;
         }
         OptionalDouble serviceRate = view.serviceRate();
         if (serviceRate.isPresent() && serviceRate.getAsDouble() < plan.minServiceRate()) {
-            waitReason = String.format("service is %.3f", serviceRate.getAsDouble());
+            waitReason = String.format("the service rate is %.3f", serviceRate.getAsDouble());
             return;
         }
         Set<String> unavailable = unavailableTargets();
@@ -277,7 +297,7 @@
     }
 
     private void waitForOthers(Set<String> unavailable) {
-        waitReason = "away already: " + String.join(", ", unavailable);
+        waitReason = "already unavailable: " + String.join(", ", unavailable);
     }
 
     private void cancel(double now, RollingRestartPlan.Target target, TargetProgress progress) {
@@ -285,10 +305,13 @@
             progress.requestedAt = now;
             environment.cancel(plan.id(step, target));
         }
-        waitReason = target + " is to be left alone";
+        waitReason = target + ": its restart is being cancelled";
     }
 
-    /** What is away: targets under way, and nodes that can't be reached or are not ready. */
+    /**
+     * Returns the unavailable targets: those in progress, and nodes that cannot be reached or are
+     * not ready.
+     */
     private Set<String> unavailableTargets() {
         Set<String> unavailable = new LinkedHashSet<>();
         targets.forEach(
@@ -321,7 +344,7 @@
         }
     }
 
-    /** Nodes that can be reached and may still use a host. */
+    /** Returns the reachable nodes that may still use a host. */
     private List<String> nodesThatMayUse(RollingRestartPlan.Target target) {
         if (target.isNode()) {
             return List.of();
@@ -348,12 +371,12 @@
         }
         Set<String> unavailable = unavailableTargets();
         if (!progress.isRequested && unavailable.size() > plan.batchSize()) {
-            // Something else went away since this was begun.
+            // Something else became unavailable since this target was started.
             waitForOthers(unavailable);
             return;
         }
         if (!progress.isRequested && !nodesThatMayUse(target).isEmpty()) {
-            // A node that could not be reached is back, and knows nothing of it.
+            // A node that could not be reached is back, and does not know of the ejection.
             enter(now, progress, Phase.EJECTING);
             return;
         }
@@ -361,20 +384,20 @@
             progress.requestedAt = now;
             environment.restart(target, plan.id(step, target));
         }
-        waitReason = target + " is being started anew";
+        waitReason = target + " is being restarted";
     }
 
     private void warmUp(double now, RollingRestartPlan.Target target, TargetProgress progress) {
         if (!isServing(target)) {
             progress.servingSince = OptionalDouble.empty();
-            waitReason = target + " is not back";
+            waitReason = target + " is not back in service";
         } else if (progress.servingSince.isEmpty()) {
             progress.servingSince = OptionalDouble.of(now);
             lastProgressAt = now;
         } else if (now - progress.servingSince.getAsDouble() >= plan.warmUpSeconds()) {
             enter(now, progress, Phase.DONE);
         } else {
-            waitReason = target + " is warming";
+            waitReason = target + " is warming up";
         }
     }
 
--- a/fleet/src/main/java/embershift/fleet/restart/RollingRestartPlan.java
+++ b/fleet/src/main/java/embershift/fleet/restart/RollingRestartPlan.java
@@ -6,13 +6,14 @@
 import java.util.Optional;
 
 /**
- * What a rolling restart is to do: restart hosts and nodes in steps.
+ * The plan of a rolling restart of hosts and nodes, in steps.
  *
- * @param name tells this restart from all others
- * @param batchSize targets of one step, and targets that may be away at a time
- * @param minServiceRate share of sessions that must be opened of those opened or failed
- * @param warmUpSeconds that a target serves before it counts as back
- * @param stallTimeoutSeconds without any progress after which the restart pauses by itself
+ * @param name distinguishes this restart from all others
+ * @param batchSize number of targets of a step, and maximum number of targets that may be
+ *     unavailable at a time
+ * @param minServiceRate minimum fraction of sessions opened, of those opened or failed
+ * @param warmUpSeconds how long a target must serve before it counts as back in service
+ * @param stallTimeoutSeconds time without any progress after which the restart halts
  */
 public record RollingRestartPlan(
         String name,
@@ -25,10 +26,10 @@
     /** The key of the plan in the store. */
     public static final String KEY = "release/plan";
 
-    /** The key of what operators want: {@code go}, {@code pause} or {@code abort}. */
+    /** The key of the operators' intent: {@code go}, {@code pause} or {@code abort}. */
     public static final String INTENT_KEY = "release/wish";
 
-    /** The key of how far it is, for operators. */
+    /** The key of the restart's state, for operators. */
     public static final String STATE_KEY = "release/state";
 
     private static final String MAGIC = "release";
@@ -56,7 +57,7 @@
         return (targets.size() + batchSize - 1) / batchSize;
     }
 
-    /** Returns the targets of a step, which counts from 0. */
+    /** Returns the targets of a step; steps count from 0. */
     public List<Target> targetsOf(int step) {
         int from = Math.min(targets.size(), step * batchSize);
         int to = Math.min(targets.size(), (step + 1) * batchSize);
@@ -68,16 +69,17 @@
         return name + "/" + step + "/" + (target.isNode() ? "n/" : "h/") + target.name();
     }
 
-    /** Returns why this plan can't be carried out, or empty. */
+    /** Returns why this plan cannot be carried out, or empty. */
     public Optional<String> findError() {
         if (!name.matches("[A-Za-z0-9._-]{1,64}")) {
-            return Optional.of("a release has a plain name");
+            return Optional.of(
+                    "a release needs a name of 1 to 64 letters, digits, '.', '_' or '-'");
         }
         if (targets.isEmpty()) {
-            return Optional.of("nothing is to be released");
+            return Optional.of("the release has no hosts or nodes");
         }
         if (new LinkedHashSet<>(targets).size() < targets.size()) {
-            return Optional.of("a part is named twice");
+            return Optional.of("a host or node is named twice");
         }
         boolean isServiceRate = minServiceRate >= 0 && minServiceRate <= 1;
         if (batchSize < 1
@@ -85,14 +87,15 @@
                 || !(warmUpSeconds >= 0)
                 || !(stallTimeoutSeconds > 0)) {
             return Optional.of(
-                    "a step has one part at least, service is 0 to 1, times are not negative");
+                    "the step size must be at least 1, the service rate 0 to 1, and times not negative");
         }
         return targets.stream().allMatch(target -> target.name().matches("[^\\s/]{1,200}"))
                 ? Optional.empty()
-                : Optional.of("names have no spaces");
+                : Optional.of(
+                        "names of hosts and nodes are up to 200 characters without spaces or slashes");
     }
 
-    /** Encodes this plan as the stored text: a head, and a line for each target. */
+    /** Encodes this plan as the stored text: a header, and a line for each target. */
     public String encode() {
         StringBuilder out = new StringBuilder();
         out.append(
@@ -110,7 +113,7 @@
         return out.toString();
     }
 
-    /** Decodes the stored text; empty if it is none, or no plan that can be carried out. */
+    /** Decodes the stored text; empty if it is malformed, or not a plan that can be carried out. */
     public static Optional<RollingRestartPlan> decode(String text) {
         String[] lines = text.split("\n");
         String[] header = lines[0].split(" ");
--- a/fleet/src/main/java/embershift/fleet/rollout/AppliedRevision.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/AppliedRevision.java
@@ -5,20 +5,26 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The config revision that a node acts on: as a whole or not at all, and never an earlier one. */
+/**
+ * The configuration revision that a node has applied. A revision is applied completely or not at
+ * all, and never replaced by an earlier one.
+ */
 public final class AppliedRevision {
 
-    /** What became of an order. The wire names are part of the protocol. */
+    /** Outcome of an order. The wire names are part of the protocol. */
     public enum Outcome {
-        /** The revision is acted on from now on. */
+        /** The revision is applied now. */
         APPLIED("TAKEN"),
-        /** It was acted on before. */
+        /** The revision was applied before. */
         UNCHANGED("SAME"),
-        /** A later one is acted on. */
+        /** A later revision is applied. */
         STALE("OLDER"),
-        /** The order changes a revision that is not held here, or does not make what it says. */
+        /**
+         * The order's changes are based on a revision that is not applied here, or do not result in
+         * the revision that the order describes.
+         */
         FULL_REVISION_NEEDED("WHOLE"),
-        /** The revision can't be acted on here. */
+        /** The revision cannot be applied here. */
         REJECTED("REFUSED");
 
         private final String wireName;
@@ -27,21 +33,23 @@
             this.wireName = wireName;
         }
 
-        /** Returns the name that the sender is told. */
+        /** Returns the name in the protocol. */
         public String wireName() {
             return wireName;
         }
     }
 
-    /** An outcome; {@code reason} is for people. */
+    /** An outcome; {@code reason} is for operators. */
     public record Result(Outcome outcome, String reason) {}
 
     /**
      * A revision to apply.
      *
-     * @param baseNumber of the revision that {@code changes} are to, or 0 if they are the whole
-     * @param chainDigest that the store has of it
-     * @param contentDigest that the store has of it: without it nothing is believed
+     * @param baseNumber number of the revision that {@code changes} apply to, or 0 if they are the
+     *     complete revision
+     * @param chainDigest the revision's chain digest in the store
+     * @param contentDigest the revision's content digest in the store; a revision whose fields do
+     *     not match it is not applied
      * @param changes fields that are set, or removed where the value is empty
      */
     public record Order(
@@ -51,16 +59,16 @@
             String contentDigest,
             Map<String, Optional<String>> changes) {}
 
-    /** Has all fields acted on at once, or none. */
+    /** Applies all fields at once, or none. */
     public interface Applier {
 
-        /** Returns why they can't be acted on, or empty. */
+        /** Returns why the fields cannot be applied, or empty. */
         Optional<String> apply(SortedMap<String, String> fields);
     }
 
     private ConfigRevision applied = ConfigRevision.NONE;
 
-    /** The chain digest that was told: what it rests on is not known here. */
+    /** The chain digest from the order; the earlier revisions that it covers are not known here. */
     private String chainDigest = "";
 
     private long rejectedNumber;
@@ -73,8 +81,8 @@
         }
         boolean isHeld = order.number == applied.number() && order.chainDigest.equals(chainDigest);
         if (isHeld && order.baseNumber != 0) {
-            // Sent as a whole it is applied anew: that heals a node that does not act on what it
-            // holds.
+            // A complete revision is applied again even if it is held already: that repairs a
+            // node whose effective configuration differs from it.
             return new Result(Outcome.UNCHANGED, "");
         }
         if (order.baseNumber != 0 && order.baseNumber != applied.number()) {
@@ -87,7 +95,7 @@
         if (!ConfigRevision.contentDigest(fields).equals(order.contentDigest)) {
             return new Result(
                     Outcome.FULL_REVISION_NEEDED,
-                    "what was told does not make the revision that was meant");
+                    "the resulting fields do not match the digest of the revision");
         }
         Optional<String> error = applier.apply(fields);
         if (error.isPresent()) {
@@ -100,17 +108,17 @@
         return new Result(Outcome.APPLIED, "");
     }
 
-    /** Returns the number of the revision that is acted on, or 0. */
+    /** Returns the number of the applied revision, or 0. */
     public long number() {
         return applied.number();
     }
 
-    /** Returns the chain digest of the revision that is acted on, or "". */
+    /** Returns the chain digest of the applied revision, or "". */
     public String chainDigest() {
         return chainDigest;
     }
 
-    /** Returns the fields of the revision that is acted on. */
+    /** Returns the fields of the applied revision. */
     public SortedMap<String, String> fields() {
         return applied.fields();
     }
@@ -120,7 +128,7 @@
         return rejectedNumber;
     }
 
-    /** Returns why that one was rejected. */
+    /** Returns why that revision was rejected. */
     public String rejectionReason() {
         return rejectionReason;
     }
--- a/fleet/src/main/java/embershift/fleet/rollout/ConfigRevision.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ConfigRevision.java
@@ -8,12 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * A version of the configuration that all nodes share, as a whole. Never changed, only followed by
- * the next.
+ * A complete version of the configuration that all nodes share. It is never changed, only followed
+ * by the next revision.
  *
- * @param previousChain the chain digest of the revision before, or "" for the first: so a revision
- *     stands for all that led to it
- * @param fields by name
+ * @param previousChain the chain digest of the previous revision, or "" for the first; through it
+ *     the chain digest covers all earlier revisions
+ * @param fields values by name
  */
 public record ConfigRevision(long number, String previousChain, SortedMap<String, String> fields) {
 
@@ -32,7 +32,7 @@
     /** The prefix of the keys of revisions in the store. */
     public static final String KEY_PREFIX = "revision/";
 
-    /** Before the first revision. */
+    /** The state before the first revision. */
     public static final ConfigRevision NONE = new ConfigRevision(0, "", new TreeMap<>());
 
     private static final int MAX_FIELDS = 5_000;
@@ -62,7 +62,8 @@
     }
 
     /**
-     * Returns what a node that has the other revision lacks; empty values stand for removed fields.
+     * Returns the changes that lead from the other revision to this one; empty values stand for
+     * removed fields.
      */
     public SortedMap<String, Optional<String>> differenceFrom(ConfigRevision other) {
         SortedMap<String, Optional<String>> difference = new TreeMap<>();
@@ -93,23 +94,26 @@
         return changed;
     }
 
-    /** Returns why no node could take this revision; nodes check each value for themselves. */
+    /**
+     * Returns why no node could apply this revision, or empty; the nodes validate the values of the
+     * fields themselves.
+     */
     public Optional<String> findError() {
         if (fields.size() > MAX_FIELDS) {
-            return Optional.of("over " + MAX_FIELDS + " fields");
+            return Optional.of("more than " + MAX_FIELDS + " fields");
         }
         for (Map.Entry<String, String> field : fields.entrySet()) {
             if (!field.getKey().matches("[a-z]+(/[^\\s=/]{1,200})?")
                     || field.getValue().matches("(?s).*[\\r\\n].*")) {
                 return Optional.of(
                         field.getKey()
-                                + ": a name is letters, or letters/NAME, and a value is one line");
+                                + ": a field name is lower-case letters, or letters/NAME, and a value is a single line");
             }
         }
         return Optional.empty();
     }
 
-    /** Encodes this revision as the stored text: a head, and a line for each field. */
+    /** Encodes this revision as the stored text: a header, and a line for each field. */
     public String encode() {
         StringBuilder out = new StringBuilder();
         String previous = previousChain.isEmpty() ? EMPTY_DIGEST : previousChain;
@@ -121,7 +125,7 @@
         return out.toString();
     }
 
-    /** Decodes the stored text; empty if it is none, or does not fit its digest. */
+    /** Decodes the stored text; empty if it is malformed or does not match its digest. */
     public static Optional<ConfigRevision> decode(String text) {
         String[] lines = text.split("\n");
         String[] header = lines[0].split(" ");
@@ -146,7 +150,7 @@
                 .filter(revision -> revision.contentDigest().equals(header[4]));
     }
 
-    /** Returns the key of a revision in the store; keys are in the order of the numbers. */
+    /** Returns the key of a revision in the store; keys sort in the order of the numbers. */
     public static String key(long number) {
         return String.format("%s%012d", KEY_PREFIX, number);
     }
--- a/fleet/src/main/java/embershift/fleet/rollout/ConfigRollout.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ConfigRollout.java
@@ -9,36 +9,42 @@
 import java.util.stream.Collectors;
 
 /**
- * Brings each node to the config revision that it should act on: canaries first, then all, with a
- * halt if canaries reject it, are lost or serve badly. A node that does not follow gets the
- * difference, then the whole revision, then a restart is requested, then it is shut out; never many
- * of them without a person. A state machine without I/O, clock or threads; times in seconds, never
- * decreasing.
+ * Rolls out configuration revisions: first to canaries, then to all nodes, with a halt if canaries
+ * reject the revision, are lost or fail too many sessions. A node that does not follow is sent the
+ * difference, then the complete revision, then its restart is requested, then it is shut out;
+ * beyond a limited number of nodes that takes an operator. A state machine without I/O, clock or
+ * threads; times are monotonic, in seconds.
  */
 public final class ConfigRollout {
 
-    /** What a rollout needs done for it. It must not call back from within. */
+    /**
+     * The actions that a rollout delegates to its owner. An implementation must not call back into
+     * the rollout from within them.
+     */
     public interface Environment {
 
         /**
-         * Orders a node to act on a revision: as a whole if {@code baseNumber} is 0, else by
-         * difference.
+         * Orders a node to apply a revision: the complete one if {@code baseNumber} is 0, otherwise
+         * the difference to that revision.
          */
         void order(String node, ConfigRevision revision, long baseNumber);
 
-        /** Records progress in the store; {@link #progressRecorded} is owed once it is there. */
+        /**
+         * Records progress in the store; {@link #progressRecorded} must be called once it is
+         * stored.
+         */
         void recordProgress(String text);
 
-        /** No node below this revision may act for the fleet. */
+        /** Raises the floor: no node on an earlier revision may act for the fleet. */
         void raiseFloor(long revision);
 
-        /** Shuts a node out, up to that incarnation. */
+        /** Shuts out a node's incarnations up to this one. */
         void shutOut(String node, long incarnation, String reason);
 
-        /** Asks for a restart of a node. */
+        /** Requests a restart of a node. */
         void requestRestart(String node, String reason);
 
-        /** Tells an operator something. */
+        /** Reports a message to the operators. */
         void notifyOperator(String message);
     }
 
@@ -49,7 +55,7 @@
     private final TreeMap<String, ManagedNode> nodes = new TreeMap<>();
     private final ShutOutNodes shutOutNodes = new ShutOutNodes();
 
-    /** The latest revision that goes to all nodes at once. */
+    /** The latest revision that is sent to all nodes at once, without canaries. */
     private long latestImmediateRevision;
 
     private long floor;
@@ -57,8 +63,8 @@
     private double stageEnteredAt;
 
     /**
-     * Progress that the store may not have yet. What follows from it is not ordered before it has:
-     * the holder after this one goes on from there.
+     * Number of progress records that the store may not have yet. Orders that follow from them are
+     * held back until it has, as the next lease holder continues from the stored progress.
      */
     private int pendingProgressWrites;
 
@@ -72,7 +78,7 @@
         addRevision(ConfigRevision.NONE, false);
     }
 
-    /** The store has a revision; {@code isImmediate}: it goes to all nodes at once. */
+    /** Adds a revision from the store; if {@code isImmediate}, it is sent to all nodes at once. */
     public void addRevision(ConfigRevision revision, boolean isImmediate) {
         if (revisions.put(revision.number(), revision) == null) {
             digests.add(revision);
@@ -82,43 +88,43 @@
         }
     }
 
-    /** Goes on from the progress that the store has; empty for none. */
+    /** Continues from the stored progress; empty if there is none. */
     public void restore(double time, Optional<String> text) {
         stageEnteredAt = time;
         text.flatMap(RolloutProgress::decode).ifPresent(stored -> progress = stored);
     }
 
-    /** The store has a floor: see {@link Environment#raiseFloor}. */
+    /** Adopts the floor in the store: see {@link Environment#raiseFloor}. */
     public void raiseFloorTo(long revision) {
         floor = Math.max(floor, revision);
     }
 
-    /** The store has a name for a node. */
+    /** Adds a node that is registered in the store. */
     public void addNode(String name) {
         nodes.computeIfAbsent(name, none -> new ManagedNode());
     }
 
-    /** The store has no name for a node any more. */
+    /** Removes a node that is no longer registered in the store. */
     public void removeNode(String name) {
         nodes.remove(name);
     }
 
-    /** The store says that a node is shut out, up to that incarnation. */
+    /** Marks a node as shut out in the store, up to that incarnation. */
     public void setShutOut(String name, long incarnation, boolean isByRollout) {
         shutOutNodes.add(name, incarnation, isByRollout);
     }
 
-    /** The store says that a node is not shut out. */
+    /** Marks a node as not shut out in the store. */
     public void setAdmitted(String name) {
         shutOutNodes.remove(name);
     }
 
-    /** The store has the progress that was recorded longest ago. */
+    /** Called when the oldest pending progress record has been stored. */
     public void progressRecorded() {
         pendingProgressWrites--;
     }
 
-    /** A node has reported. */
+    /** Handles a node's report. */
     public void reportReceived(double time, NodeReport report) {
         nodes.computeIfAbsent(report.node(), none -> new ManagedNode())
                 .reportReceived(time, report);
@@ -126,15 +132,15 @@
 
     /** How a node answered an order. */
     public enum OrderAnswer {
-        /** It acts on the revision. */
+        /** The node has applied the revision. */
         APPLIED,
-        /** It needs the whole revision. */
+        /** The node needs the complete revision. */
         FULL_REVISION_NEEDED,
-        /** It does not act on it. */
+        /** The node has not applied the revision. */
         NOT_APPLIED
     }
 
-    /** A node has answered an order. */
+    /** Handles a node's answer to an order. */
     public void orderCompleted(double time, String name, OrderAnswer answer) {
         ManagedNode node = nodes.get(name);
         if (node == null) {
@@ -145,12 +151,12 @@
             case APPLIED -> node.delayNextOrderUntil(time + settings.retrySeconds());
             case FULL_REVISION_NEEDED -> node.requireFullRevision(time);
             case NOT_APPLIED -> {
-                // It gets the order again when it is time.
+                // The order is sent again when its retry is due.
             }
         }
     }
 
-    /** A node's connection has ended. */
+    /** Called when a node's connection has ended. */
     public void disconnected(String name) {
         Optional.ofNullable(nodes.get(name)).ifPresent(ManagedNode::disconnected);
     }
@@ -174,7 +180,7 @@
         return report.revision() < targetOf(name) ? NodeState.BEHIND : NodeState.CURRENT;
     }
 
-    /** Returns why a node is in its state, for people; "" if it is current. */
+    /** Returns why a node is in its state, for operators; "" if it is current. */
     public String reasonFor(String name) {
         NodeState state = stateOf(name);
         Optional<NodeReport> report =
@@ -183,23 +189,25 @@
             return "up to incarnation " + shutOutNodes.lastIncarnation(name).orElseThrow();
         }
         if (report.isEmpty()) {
-            return "not heard by this owner";
+            return "no report received by this lease holder";
         }
         long reportedRevision = report.get().revision();
         return switch (state) {
             case SILENT ->
-                    "went by "
+                    "was at revision "
                             + reportedRevision
-                            + " when it was heard last: what it goes by now is not known";
+                            + " in its last report; its current revision is unknown";
             case DIVERGED ->
                     hasUnknownRevision(report.get())
-                            ? "goes by " + reportedRevision + ", which the record never had"
-                            : "goes by something else than revision " + reportedRevision + " says";
-            case COMING_BACK -> "goes by " + reportedRevision + ", under the floor " + floor;
+                            ? "reports revision " + reportedRevision + ", which the store never had"
+                            : "reports revision "
+                                    + reportedRevision
+                                    + ", but its effective fields differ";
+            case COMING_BACK -> "is at revision " + reportedRevision + ", below the floor " + floor;
             case BEHIND ->
-                    "goes by "
+                    "is at revision "
                             + reportedRevision
-                            + " of "
+                            + ", target "
                             + targetOf(name)
                             + rejectionSuffix(name, report.get());
             default -> "";
@@ -208,7 +216,7 @@
 
     private String rejectionSuffix(String name, NodeReport report) {
         return report.rejectedRevision() >= targetOf(name)
-                ? ", refused it: " + report.rejectionReason()
+                ? ", rejected the target: " + report.rejectionReason()
                 : "";
     }
 
@@ -224,7 +232,7 @@
         return report.revision() > revisions.lastKey() || digests.hasOtherChain(report);
     }
 
-    /** Returns the number of the revision that a node should act on. */
+    /** Returns the number of the revision that a node should apply. */
     public long targetOf(String name) {
         boolean isForNode =
                 progress.stage() == RolloutStage.ALL
@@ -243,7 +251,7 @@
         return progress.stage();
     }
 
-    /** Returns the number of the revision that is rolled out. */
+    /** Returns the number of the revision that is being rolled out. */
     public long revision() {
         return progress.revision();
     }
@@ -253,7 +261,7 @@
         return floor;
     }
 
-    /** Time has passed. To be called several times a second. */
+    /** Performs the actions that are due. Must be called several times a second. */
     public void tick(double time) {
         now = time;
         if (pendingProgressWrites > 0) {
@@ -290,7 +298,7 @@
         enter(new RolloutProgress(latest, RolloutStage.FIRST, lastGoodRevision, canaries, ""));
     }
 
-    /** Each revision is tried on other nodes. */
+    /** Chooses other canaries for each revision. */
     private List<String> chooseCanaries(long revision, List<String> eligible) {
         int count = Math.max(1, (int) Math.ceil(settings.canaryShare() * eligible.size()));
         List<String> canaries = new ArrayList<>();
@@ -306,9 +314,9 @@
         environment.recordProgress(next.encode());
         String event =
                 switch (next.stage()) {
-                    case FIRST -> "first on " + String.join(", ", next.canaries());
-                    case ALL -> "for all";
-                    case HALTED -> "halted, " + next.haltReason();
+                    case FIRST -> "sent to the canaries " + String.join(", ", next.canaries());
+                    case ALL -> "sent to all nodes";
+                    case HALTED -> "halted: " + next.haltReason();
                 };
         environment.notifyOperator("revision " + next.revision() + ": " + event);
     }
@@ -317,8 +325,8 @@
         long silentNodes =
                 nodes.keySet().stream().filter(name -> stateOf(name) == NodeState.SILENT).count();
         if (2 * silentNodes > nodes.size()) {
-            // Rather a cut, maybe of this instance alone, than so many nodes that the revision
-            // ended.
+            // So many silent nodes rather indicate a network partition, maybe of this instance
+            // alone, than nodes that the revision made fail.
             stageEnteredAt = now;
         }
         boolean allSettled = true;
@@ -339,7 +347,10 @@
         return node == null || node.isSilent(now, settings.silentSeconds());
     }
 
-    /** Why a canary shows that the revision must not go further. */
+    /**
+     * Returns why the revision must not be rolled out further, judged by this canary; empty if
+     * nothing is wrong.
+     */
     private Optional<String> findCanaryFailure(String name) {
         ManagedNode node = nodes.get(name);
         Optional<NodeReport> report = Optional.ofNullable(node).flatMap(ManagedNode::report);
@@ -347,14 +358,14 @@
             return Optional.of("refused it: " + report.get().rejectionReason());
         }
         if (node != null && node.wasRestartedSinceCanaryOrder()) {
-            return Optional.of("was started anew while it took it");
+            return Optional.of("was restarted while it applied it");
         }
         double stageSeconds = now - stageEnteredAt;
         if (isSilent(node) && stageSeconds > settings.silentSeconds()) {
             return Optional.of("is silent");
         }
         if (stageSeconds > settings.canaryTimeoutSeconds() + settings.settleSeconds()) {
-            return Optional.of(isSilent(node) ? "is silent" : "did not take it in time");
+            return Optional.of(isSilent(node) ? "is silent" : "did not apply it in time");
         }
         if (isRunningCanaryRevision(node)) {
             node.startCanary(now);
@@ -375,7 +386,12 @@
         long failed = node.failedSinceCanaryStart();
         long total = opened + failed;
         return failed > 2 && opened < settings.minServiceRate() * total
-                ? Optional.of("closed " + failed + " of " + total + " tunnels with error by it")
+                ? Optional.of(
+                        "closed "
+                                + failed
+                                + " of "
+                                + total
+                                + " tunnels with error since it applied it")
                 : Optional.empty();
     }
 
@@ -403,7 +419,10 @@
         }
     }
 
-    /** Whether a node is to be ordered now; escalates where orders have not helped. */
+    /**
+     * Whether an order should be sent to a node now; escalates to a restart and to shutting out
+     * where orders have not helped.
+     */
     private boolean checkOrderDue(String name, ManagedNode node) {
         NodeReport report = node.report().orElseThrow();
         if (hasUnknownRevision(report)) {
@@ -424,7 +443,7 @@
             node.markRestartRequested();
             environment.requestRestart(name, reasonFor(name));
         }
-        // One that may not be shut out is ordered on, however long it takes.
+        // A node that may not be shut out is sent further orders, however long it takes.
         return node.attempts() < 2 * settings.maxAttempts() || !shutOut(name, report);
     }
 
@@ -447,7 +466,10 @@
         environment.order(name, revision, isByDifference ? report.revision() : 0);
     }
 
-    /** Returns whether the node is shut out: not if so many are that a person has to decide. */
+    /**
+     * Shuts a node out; returns false if so many nodes are shut out already that an operator has to
+     * decide.
+     */
     private boolean shutOut(String name, NodeReport report) {
         int limit = Math.max(1, (int) (settings.canaryShare() * nodes.size()));
         if (shutOutNodes.countByRollout() >= limit) {
@@ -467,7 +489,7 @@
                     name
                             + " would be shut out, but "
                             + shutOutNodes.countByRollout()
-                            + " are already: that is for a person");
+                            + " nodes are already: an operator has to decide");
         }
     }
 
--- a/fleet/src/main/java/embershift/fleet/rollout/ManagedNode.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ManagedNode.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** What a rollout knows of one node, and what it has ordered it. */
+/** State that a rollout keeps for one node: its reports and the orders sent to it. */
 final class ManagedNode {
 
     private static final long NO_INCARNATION = 0;
@@ -17,7 +17,7 @@
     private boolean isInFlight;
     private double inFlightUntil;
 
-    /** The incarnation that the canary revision was ordered first, or 0. */
+    /** The incarnation that was sent the canary revision, or 0. */
     private long canaryIncarnation = NO_INCARNATION;
 
     private boolean isCanaryStarted;
@@ -63,13 +63,13 @@
         isInFlight = false;
     }
 
-    /** The next order has to be a whole revision, at once. */
+    /** Makes the next order a complete revision that is due at once. */
     void requireFullRevision(double time) {
         attempts = Math.max(attempts, 1);
         nextOrderAt = time;
     }
 
-    /** What it acts on is told by its own report. */
+    /** Delays the next order, as the node's own report tells what it has applied. */
     void delayNextOrderUntil(double until) {
         nextOrderAt = Math.max(nextOrderAt, until);
     }
@@ -103,7 +103,7 @@
         isRestartRequested = true;
     }
 
-    /** A new revision is to be tried on canaries. */
+    /** Resets the canary state for a new revision. */
     void resetCanary() {
         canaryIncarnation = NO_INCARNATION;
         isCanaryStarted = false;
@@ -113,14 +113,14 @@
         canaryIncarnation = report.incarnation();
     }
 
-    /** Whether it was restarted since the canary revision was ordered. */
+    /** Whether the node was restarted since the canary revision was ordered. */
     boolean wasRestartedSinceCanaryOrder() {
         return report != null
                 && canaryIncarnation != NO_INCARNATION
                 && report.incarnation() != canaryIncarnation;
     }
 
-    /** It acts on the canary revision: what it serves counts from now on. */
+    /** Starts counting the node's sessions under the canary revision. */
     void startCanary(double now) {
         if (!isCanaryStarted) {
             isCanaryStarted = true;
--- a/fleet/src/main/java/embershift/fleet/rollout/NodeReport.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/NodeReport.java
@@ -1,15 +1,16 @@
 package embershift.fleet.rollout;
 
 /**
- * What a node says that it acts on.
+ * A node's report of the configuration that it has applied.
  *
- * @param revision the config revision, or 0 for none
- * @param chainDigest of that revision, as the node was told
- * @param contentDigest of what its parts really act on, read back from them
- * @param rejectedRevision the one that it rejected last, or 0
- * @param rejectionReason of that one
- * @param opened sessions since its start
- * @param failed sessions closed with an error since its start
+ * @param revision the applied revision, or 0 for none
+ * @param chainDigest digest of that revision's chain, as the node received it
+ * @param contentDigest digest of the fields that are in effect, read back from the node's
+ *     components
+ * @param rejectedRevision the revision that the node rejected last, or 0
+ * @param rejectionReason why that revision was rejected
+ * @param opened sessions opened since the node's start
+ * @param failed sessions closed with an error since the node's start
  */
 public record NodeReport(
         String node,
--- a/fleet/src/main/java/embershift/fleet/rollout/NodeState.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/NodeState.java
@@ -2,17 +2,20 @@
 
 /** The state of a node as a rollout sees it. The names are part of the stored text. */
 public enum NodeState {
-    /** It acts on the revision that it should. */
+    /** The node has applied the revision that it should. */
     CURRENT,
-    /** It acts on an earlier revision. */
+    /** The node has applied an earlier revision. */
     BEHIND,
-    /** Nothing is heard of it: what it acts on is not known. */
+    /** The node does not report: which revision it has applied is unknown. */
     SILENT,
-    /** It acts on something that the store never had, or that its revision does not say. */
+    /**
+     * The node has applied a revision that the store never had, or its effective fields differ from
+     * its revision.
+     */
     DIVERGED,
-    /** It may not act for the fleet any more. */
+    /** The node may no longer act for the fleet. */
     SHUT_OUT,
-    /** It acts on a revision below the floor, and is brought up before it serves. */
+    /** The node's revision is below the floor; it is updated before it serves. */
     COMING_BACK;
 
     /** Whether the node can be part of a rollout. */
--- a/fleet/src/main/java/embershift/fleet/rollout/RevisionDigests.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/RevisionDigests.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The digests of all known revisions, computed once: nodes are compared with them many times a
+ * Digests of all known revisions, computed once because nodes are compared with them many times a
  * second.
  */
 final class RevisionDigests {
@@ -18,13 +18,13 @@
                 revision.number(), new Digests(revision.chainDigest(), revision.contentDigest()));
     }
 
-    /** Whether a node says that it has another revision of that number than the store has. */
+    /** Whether a node reports another chain for its revision number than the store has. */
     boolean hasOtherChain(NodeReport report) {
         Digests known = byNumber.get(report.revision());
         return known != null && !known.chain.equals(report.chainDigest());
     }
 
-    /** Whether what a node acts on is not what its revision says. */
+    /** Whether the fields in effect at a node differ from those of its revision. */
     boolean hasOtherContent(NodeReport report) {
         Digests known = byNumber.get(report.revision());
         return report.revision() > 0
--- a/fleet/src/main/java/embershift/fleet/rollout/RolloutProgress.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/RolloutProgress.java
@@ -4,11 +4,11 @@
 import java.util.Optional;
 
 /**
- * How far a rollout is, as the store has it.
+ * Progress of a rollout, as recorded in the store.
  *
- * @param revision that is rolled out
- * @param lastGoodRevision the last one that went to all nodes
- * @param canaries nodes that go first
+ * @param revision the revision that is being rolled out
+ * @param lastGoodRevision the last revision that was sent to all nodes
+ * @param canaries nodes that are updated first
  * @param haltReason empty unless the rollout is halted
  */
 record RolloutProgress(
@@ -18,7 +18,7 @@
         List<String> canaries,
         String haltReason) {
 
-    /** Before the first revision. */
+    /** The state before the first revision. */
     static final RolloutProgress INITIAL =
             new RolloutProgress(0, RolloutStage.ALL, 0, List.of(), "");
 
@@ -41,7 +41,7 @@
         return haltReason.isEmpty() ? text : text + " " + haltReason;
     }
 
-    /** Decodes the stored text; empty if it is none. */
+    /** Decodes the stored text; empty if it is malformed. */
     static Optional<RolloutProgress> decode(String text) {
         String[] fields = text.split(" ", MIN_FIELDS + 1);
         boolean isValid =
--- a/fleet/src/main/java/embershift/fleet/rollout/RolloutSettings.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/RolloutSettings.java
@@ -1,18 +1,20 @@
 package embershift.fleet.rollout;
 
 /**
- * How a {@link ConfigRollout} behaves.
+ * Settings of a {@link ConfigRollout}; times in seconds.
  *
- * @param settleSeconds that the canaries act on a revision before all nodes do
- * @param canaryTimeoutSeconds that the canaries may take for it
- * @param retrySeconds until a node that has not taken an order gets it again, doubled each time up
- *     to the patience
- * @param maxInFlight nodes that have an order without an answer
- * @param maxAttempts until a restart of a node is requested, and as many again until it is shut out
- * @param silentSeconds without a report after which a connected node counts as silent
- * @param canaryShare of all nodes that go first; also the share that may be shut out without a
- *     person
- * @param minServiceRate share of sessions that must be opened of those opened or failed
+ * @param settleSeconds how long the canaries run a revision before it is sent to all nodes
+ * @param canaryTimeoutSeconds how long the canaries may take to apply it; also the longest delay
+ *     between two orders to a node
+ * @param retrySeconds delay before an order that a node has not followed is sent again, doubled
+ *     each time up to the canary timeout
+ * @param maxInFlight maximum number of nodes with an unanswered order
+ * @param maxAttempts orders until a restart of the node is requested, and as many again until it is
+ *     shut out
+ * @param silentSeconds time without a report after which a connected node counts as silent
+ * @param canaryShare fraction of all nodes that are canaries; also the fraction that may be shut
+ *     out without an operator
+ * @param minServiceRate minimum fraction of sessions opened, of those opened or failed
  */
 public record RolloutSettings(
         double settleSeconds,
@@ -24,7 +26,7 @@
         double canaryShare,
         double minServiceRate) {
 
-    /** The settings where nothing else is said. */
+    /** The default settings. */
     public static final RolloutSettings DEFAULTS =
             new RolloutSettings(2, 10, 0.5, 16, 4, 3, 0.1, 0.8);
 }
--- a/fleet/src/main/java/embershift/fleet/rollout/RolloutStage.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/RolloutStage.java
@@ -1,11 +1,11 @@
 package embershift.fleet.rollout;
 
-/** How far a rollout is. The names are part of the stored text. */
+/** Stage of a rollout. The names are part of the stored text. */
 public enum RolloutStage {
-    /** The canaries act on the revision first. */
+    /** The canaries apply the revision before all other nodes. */
     FIRST,
-    /** All nodes are to act on it. */
+    /** All nodes should apply the revision. */
     ALL,
-    /** The canaries showed that it must not go further. */
+    /** The revision is not rolled out further because of what the canaries showed. */
     HALTED
 }
--- a/fleet/src/main/java/embershift/fleet/rollout/ShutOutNodes.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ShutOutNodes.java
@@ -6,12 +6,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The nodes that may not act for the fleet any more, up to an incarnation of each. */
+/** Nodes that may no longer act for the fleet, up to an incarnation of each. */
 final class ShutOutNodes {
 
     private final Map<String, Long> lastIncarnations = new HashMap<>();
 
-    /** Those that the rollout has shut out itself: only so many may be without a person. */
+    /**
+     * Nodes that the rollout itself has shut out; beyond a limited number that takes an operator.
+     */
     private final Set<String> byRollout = new TreeSet<>();
 
     void add(String name, long incarnation, boolean isByRollout) {
--- a/fleet/src/main/java/embershift/fleet/store/CallResult.java
+++ b/fleet/src/main/java/embershift/fleet/store/CallResult.java
@@ -3,33 +3,33 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The result of a call to the replicated store: done, rejected or unknown. */
+/** The result of a call to the replicated store. */
 public sealed interface CallResult {
 
     /**
-     * The call took effect, and that will last.
+     * The call took effect durably.
      *
      * @param number as of {@link CommandResult.Done}
      */
     record Done(long number) implements CallResult {}
 
     /**
-     * The answer to a read.
+     * The result of a read.
      *
      * @param revision of the store when it was read
      */
     record Found(long revision, Collection<KeyValue> keyValues) implements CallResult {}
 
-    /** The call had, and will have, no effect. */
+    /** The call has had no effect, and will have none. */
     record Rejected(Reason reason, String message) implements CallResult {}
 
     /** The call may have had an effect, or may have one later. */
     record Unknown(String message) implements CallResult {}
 
     /**
-     * The answer to a watch: all changes in their order, without a gap.
+     * The result of a watch: all changes in order, without a gap.
      *
-     * @param nextRevision the revision to watch from next
+     * @param nextRevision the revision from which to watch next
      */
     record Changed(List<WatchEvent> events, long nextRevision) implements CallResult {}
 
@@ -43,9 +43,9 @@
 
     /** Why a call was rejected. */
     enum Reason {
-        /** Another member leads, or none is known to. */
+        /** Another member is the leader, or the leader is not known. */
         NOT_LEADER("not-leader"),
-        /** Too much is in progress; a later try may succeed. */
+        /** Too many calls are in progress; a later attempt may succeed. */
         BUSY("busy"),
         /** See {@link CommandResult.Reason#PRECONDITION_FAILED}. */
         PRECONDITION_FAILED("condition"),
@@ -57,11 +57,11 @@
         TOO_LARGE("too-large"),
         /** See {@link CommandResult.Reason#STORE_FULL}. */
         STORE_FULL("full"),
-        /** A watch asks for changes that are not kept any more. */
+        /** A watch asks for changes that are no longer kept. */
         COMPACTED("gap"),
-        /** The change of the membership is not possible. */
+        /** The membership change is not possible. */
         MEMBERSHIP("members"),
-        /** The call can't be read. */
+        /** The call is malformed. */
         MALFORMED("unreadable");
 
         private final String wireName;
@@ -70,7 +70,7 @@
             this.wireName = wireName;
         }
 
-        /** Returns the name that callers are told. */
+        /** Returns the name in the protocol. */
         public String wireName() {
             return wireName;
         }
--- a/fleet/src/main/java/embershift/fleet/store/ChangeHistory.java
+++ b/fleet/src/main/java/embershift/fleet/store/ChangeHistory.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * The latest changes of the store, for watches. Not part of its state: it begins anew with a
- * snapshot.
+ * The latest changes of the store, for watches. The history is not part of the replicated state: it
+ * starts empty after a snapshot is loaded.
  */
 final class ChangeHistory {
 
@@ -37,7 +37,7 @@
         return KeyValueStore.size(event.key(), event.value().orElse(""));
     }
 
-    /** Returns changes from a revision on; empty if some of them are not known any more. */
+    /** Returns changes from a revision on; empty if some of them are no longer kept. */
     Optional<List<WatchEvent>> since(long revision, String prefix) {
         if (revision < oldestKnownRevision) {
             return Optional.empty();
--- a/fleet/src/main/java/embershift/fleet/store/ClientSession.java
+++ b/fleet/src/main/java/embershift/fleet/store/ClientSession.java
@@ -3,7 +3,10 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** A client's session and the results that it may still ask for again. */
+/**
+ * A client's session, with the results that the client may request again by resending a
+ * transaction.
+ */
 final class ClientSession {
 
     private final SessionId id;
@@ -11,7 +14,7 @@
     private final double timeoutSeconds;
     private final TreeMap<Long, CommandResult> results = new TreeMap<>();
 
-    /** The client will send no transaction with a lower number again. */
+    /** The lowest sequence number of a transaction that the client may still resend. */
     private long oldestOpenNumber;
 
     ClientSession(SessionId id, String client, double timeoutSeconds, long oldestOpenNumber) {
--- a/fleet/src/main/java/embershift/fleet/store/KeyValueStore.java
+++ b/fleet/src/main/java/embershift/fleet/store/KeyValueStore.java
@@ -9,31 +9,33 @@
 import java.util.TreeMap;
 
 /**
- * The state machine that the instances replicate: keys with values and revisions, and clients'
- * sessions. No I/O, clock or chance: the same commands in the same order make the same state, byte
- * for byte.
+ * The replicated state machine: keys with values and revisions, and clients' sessions. It uses no
+ * I/O, clock or randomness: the same commands in the same order produce the same state, byte for
+ * byte.
  */
 public final class KeyValueStore {
 
-    /** The longest key and the longest name of a client, in characters. */
+    /** Maximum length of a key and of a client's name, in characters. */
     public static final int MAX_KEY_CHARS = 512;
 
-    /** The longest value, in characters. */
+    /** Maximum length of a value, in characters. */
     public static final int MAX_VALUE_CHARS = 1 << 19;
 
-    /** The most that all keys and values may take up, in characters. */
+    /** Maximum size of all keys and values together, in characters. */
     public static final int MAX_TOTAL_CHARS = 16 << 20;
 
-    /** The most sessions at a time. */
+    /** Maximum number of open sessions. */
     public static final int MAX_SESSIONS = 10_000;
 
-    /** The most mutations, and the most preconditions, of one transaction. */
+    /** Maximum number of mutations, and of preconditions, in one transaction. */
     public static final int MAX_TRANSACTION_PARTS = 1_000;
 
-    /** The most results kept for one session: a client has no more transactions in flight. */
+    /**
+     * Maximum number of results kept for a session; a client has no more transactions in flight.
+     */
     public static final int MAX_RETAINED_RESULTS = 64;
 
-    /** What a key counts for beside its characters. */
+    /** Size that is counted for each key in addition to its characters. */
     private static final int KEY_OVERHEAD_CHARS = 64;
 
     private static final double MAX_SESSION_SECONDS = 3600;
@@ -57,7 +59,7 @@
         return apply((StoreCommand.Transaction) command);
     }
 
-    /** Notes an index of the log that holds no command. */
+    /** Advances past a log entry that holds no command. */
     public void skipEntry(long index) {
         appliedIndex = index;
     }
@@ -195,7 +197,8 @@
     }
 
     /**
-     * Of several mutations of one key the last one counts. What shrinks the store is always taken.
+     * Checks that the store does not become too large. Of several mutations of one key the last one
+     * counts; a transaction that does not enlarge any key is always accepted.
      */
     private Optional<CommandResult.Rejected> checkCapacity(List<Mutation> mutations) {
         Map<String, Integer> sizesAfter = new HashMap<>();
@@ -249,7 +252,7 @@
         return revision;
     }
 
-    /** Returns the last index of the log whose entry this state includes. */
+    /** Returns the index of the last log entry that this state includes. */
     public long appliedIndex() {
         return appliedIndex;
     }
@@ -259,7 +262,7 @@
         return Optional.ofNullable(keyValues.get(key));
     }
 
-    /** Returns all keys that begin with a prefix, in their order. */
+    /** Returns all keys that begin with a prefix, in key order. */
     public Collection<KeyValue> findByPrefix(String prefix) {
         List<KeyValue> found = new ArrayList<>();
         for (KeyValue keyValue : keyValues.tailMap(prefix, true).values()) {
@@ -273,7 +276,7 @@
 
     /**
      * Returns changes of keys that begin with a prefix, from a revision on; empty if some of them
-     * are not known any more.
+     * are no longer kept.
      */
     public Optional<List<WatchEvent>> eventsSince(long from, String prefix) {
         return history.since(from, prefix);
@@ -286,7 +289,7 @@
         return timeouts;
     }
 
-    /** Returns the timeout of a session, in seconds; empty where there is none. */
+    /** Returns the timeout of a session, in seconds; empty if there is no such session. */
     public Optional<Double> sessionTimeout(SessionId id) {
         return Optional.ofNullable(sessions.get(id.number())).map(ClientSession::timeoutSeconds);
     }
@@ -300,7 +303,7 @@
     /**
      * Decodes a snapshot.
      *
-     * @throws MalformedCommandException if these bytes are none
+     * @throws MalformedCommandException if the bytes are not a valid snapshot
      */
     public static KeyValueStore decode(byte[] bytes) {
         KeyValueStore store = new KeyValueStore();
--- a/fleet/src/main/java/embershift/fleet/store/LinearizableReads.java
+++ b/fleet/src/main/java/embershift/fleet/store/LinearizableReads.java
@@ -9,7 +9,7 @@
 import java.util.function.LongConsumer;
 
 /**
- * Reads that wait until the leader is confirmed, and until the state they are answered by is
+ * Reads that wait until the leader is confirmed and the state they are answered from has been
  * applied.
  */
 final class LinearizableReads {
@@ -22,14 +22,14 @@
     private final List<ReadyRead> ready = new ArrayList<>();
     private long lastTicket;
 
-    /** Begins a read: {@code action} gets a state that is no older than this call. */
+    /** Begins a read: {@code action} receives a state that is no older than this call. */
     void begin(Raft raft, long call, Consumer<KeyValueStore> action) {
         long ticket = ++lastTicket;
         pendingByTicket.put(ticket, new PendingRead(call, action));
         raft.read(ticket);
     }
 
-    /** The read may be answered once the entry at that index is applied. */
+    /** Called when the read may be answered once the entry at that index is applied. */
     void confirmed(long ticket, long index) {
         PendingRead read = pendingByTicket.remove(ticket);
         if (read != null) {
@@ -37,7 +37,7 @@
         }
     }
 
-    /** The read can't be answered here; {@code reject} gets its call. */
+    /** Called when the read cannot be answered by this member; {@code reject} receives its call. */
     void rejected(long ticket, LongConsumer reject) {
         PendingRead read = pendingByTicket.remove(ticket);
         if (read != null) {
--- a/fleet/src/main/java/embershift/fleet/store/MalformedCommandException.java
+++ b/fleet/src/main/java/embershift/fleet/store/MalformedCommandException.java
@@ -1,6 +1,8 @@
 package embershift.fleet.store;
 
-/** Bytes are no command or snapshot that this program knows. The message is one line. */
+/**
+ * Thrown when bytes are not a command or snapshot of a supported version. The message is one line.
+ */
 public final class MalformedCommandException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
--- a/fleet/src/main/java/embershift/fleet/store/Mutation.java
+++ b/fleet/src/main/java/embershift/fleet/store/Mutation.java
@@ -6,7 +6,7 @@
  * Writes or deletes one key.
  *
  * @param value empty to delete the key
- * @param sessionBound whether the key ends with the session of the transaction
+ * @param sessionBound whether the key is deleted when the transaction's session ends
  */
 public record Mutation(String key, Optional<String> value, boolean sessionBound) {
 
@@ -15,12 +15,12 @@
         return new Mutation(key, Optional.of(value), false);
     }
 
-    /** Writes a key that ends with the session of the transaction. */
+    /** Writes a key that is deleted when the transaction's session ends. */
     public static Mutation putSessionBound(String key, String value) {
         return new Mutation(key, Optional.of(value), true);
     }
 
-    /** Deletes a key; one that does not exist stays so. */
+    /** Deletes a key, if it exists. */
     public static Mutation delete(String key) {
         return new Mutation(key, Optional.empty(), false);
     }
--- a/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
+++ b/fleet/src/main/java/embershift/fleet/store/ReplicatedStore.java
@@ -20,36 +20,43 @@
 import java.util.function.Consumer;
 
 /**
- * A replica of the {@link KeyValueStore} on one member of a Raft group, with the calls that wait
- * for it. A state machine without I/O, clock or threads: it is fed time (in seconds, never
- * decreasing), messages, calls and completed writes, and acts through its {@link Environment}.
+ * A replica of the {@link KeyValueStore} on one member of a Raft group, with the pending calls to
+ * it. A state machine without I/O, clock or threads: its inputs are times (monotonic, in seconds),
+ * messages, calls and completed writes; it acts through its {@link Environment}.
  */
 public final class ReplicatedStore {
 
     /**
-     * What a replica needs done for it. It is called from within the replica's methods and must not
-     * call back.
+     * The actions that a replica delegates to its owner. They are called from within the replica's
+     * methods and must not call back.
      */
     public interface Environment {
 
         /** See {@link RaftEnvironment#sendRequest}. */
         void send(MemberId to, RaftMessage message);
 
-        /** Writes to disk; {@link ReplicatedStore#writesCompleted} is owed for each, in order. */
+        /**
+         * Writes to disk. {@link ReplicatedStore#writesCompleted} must be called for each write, in
+         * order.
+         */
         void persist(WriteRequest request);
 
         /** See {@link RaftEnvironment#stateTrusted}. */
         void stateTrusted();
 
-        /** Completes a call: each at most once; one not completed in time is unknown. */
+        /**
+         * Completes a call, at most once. The result of a call that is not completed in time is
+         * unknown.
+         */
         void complete(long call, CallResult result);
 
         /**
-         * This member leads or follows from now on; {@code leader} is empty while none is known.
+         * Called when this member becomes the leader or a follower; {@code leader} is empty while
+         * none is known.
          */
         void roleChanged(boolean isLeader, long term, Optional<MemberId> leader);
 
-        /** This replica must do nothing more; {@code reason} is one line. */
+        /** Called when this replica must stop for good; {@code reason} is one line. */
         void halt(String reason);
     }
 
@@ -71,10 +78,10 @@
     private boolean isHalted;
 
     /**
-     * Creates a replica from what is on its disk.
+     * Creates a replica from the state on its disk.
      *
-     * @param incarnation another number at each start
-     * @param seed of its election timeouts
+     * @param incarnation a number that differs at each start
+     * @param seed seed of the election timeouts
      */
     public ReplicatedStore(
             MemberId self,
@@ -105,17 +112,17 @@
                         new MemberEnvironment());
     }
 
-    /** Returns the Raft member, to look at: it must be fed through this replica alone. */
+    /** Returns the Raft member for inspection; all inputs must go through this replica. */
     public Raft raft() {
         return raft;
     }
 
-    /** Returns the state as this replica has it; it may be far behind the leader's. */
+    /** Returns this replica's state, which may be far behind the leader's. */
     public KeyValueStore store() {
         return store;
     }
 
-    /** Whether this member leads. */
+    /** Whether this member is the leader. */
     public boolean isLeader() {
         return raft.role() == Raft.Role.LEADER;
     }
@@ -194,7 +201,7 @@
                                 environment.complete(
                                         each.call,
                                         new CallResult.Unknown(
-                                                "the others went on without this instance")));
+                                                "this instance loaded a snapshot that covers the command")));
         pendingByIndex.headMap(snapshot.index(), true).clear();
         checksums.forgetThrough(snapshot.index());
         hasChanged = true;
@@ -211,7 +218,7 @@
                 halt(
                         "entry "
                                 + entry.index()
-                                + " can't be carried out by this program: "
+                                + " cannot be executed by this version: "
                                 + e.getMessage());
                 return;
             }
@@ -256,7 +263,7 @@
                             ? result
                             : new CallResult.Rejected(
                                     CallResult.Reason.NOT_LEADER,
-                                    "another leader came before it was agreed"));
+                                    "another leader was elected before the command was committed"));
         }
     }
 
@@ -267,7 +274,7 @@
         }
     }
 
-    /** Feeds the protocol; then does whatever has become possible. */
+    /** Applies an input to Raft, then performs the actions that it made possible. */
     private void run(double time, Runnable input) {
         now = time;
         if (!isHalted) {
@@ -307,7 +314,7 @@
         }
     }
 
-    /** Ticks of the protocol have passed. */
+    /** Advances the protocol by a number of ticks. */
     public void tick(double time, int ticks) {
         run(
                 time,
@@ -318,12 +325,12 @@
                 });
     }
 
-    /** Takes a message of another member. */
+    /** Handles a message from another member. */
     public void receive(double time, MemberId from, RaftMessage message) {
         run(time, () -> raft.receive(from, message));
     }
 
-    /** All writes up to that number are durable. */
+    /** Called when all writes up to that number are durable. */
     public void writesCompleted(double time, long number) {
         run(time, () -> raft.writesCompleted(number));
     }
@@ -345,18 +352,22 @@
         return switch (reason) {
             case NOT_LEADER, TRANSFERRING_LEADERSHIP -> notLeader();
             case OVERLOADED ->
-                    new CallResult.Rejected(CallResult.Reason.BUSY, "too much waits to be agreed");
+                    new CallResult.Rejected(
+                            CallResult.Reason.BUSY, "too many entries are not committed yet");
             case TOO_LARGE -> new CallResult.Rejected(CallResult.Reason.TOO_LARGE, "too large");
             case CHANGE_IN_PROGRESS ->
                     new CallResult.Rejected(
                             CallResult.Reason.BUSY,
-                            "another change of the members is not agreed yet");
+                            "another membership change is not committed yet");
             case ALREADY_DONE -> membershipRejected("it is so already");
             case NAME_TAKEN ->
-                    membershipRejected("another of that name belongs to the group: remove it");
-            case UNKNOWN_MEMBER -> membershipRejected("no such member, or not one that votes");
+                    membershipRejected(
+                            "another member of that name belongs to the group: remove it first");
+            case UNKNOWN_MEMBER ->
+                    membershipRejected("there is no such member, or it is not a voter");
             case QUORUM_AT_RISK ->
-                    membershipRejected("too few of those left are here and up to date");
+                    membershipRejected(
+                            "too few of the remaining voters are reachable and up to date");
             case LAST_VOTER -> membershipRejected("the last one that votes can't go");
         };
     }
@@ -365,12 +376,12 @@
         return new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, message);
     }
 
-    /** Reads one key, by a state that is no older than this call. */
+    /** Reads one key from a state that is no older than this call. */
     public void read(double time, long call, String key) {
         read(time, call, state -> state.find(key).map(List::of).orElseGet(List::of));
     }
 
-    /** Reads all keys with a prefix, by a state that is no older than this call. */
+    /** Reads all keys with a prefix from a state that is no older than this call. */
     public void readPrefix(double time, long call, String prefix) {
         read(time, call, state -> state.findByPrefix(prefix));
     }
@@ -394,8 +405,9 @@
     }
 
     /**
-     * Renews a session: done if it lasts its whole timeout from now on. That takes a confirmed
-     * leader: one of an earlier term must not promise what the next one does not keep.
+     * Renews a session; it succeeds if the session lasts its full timeout from now on. This
+     * requires a confirmed leader, as a deposed one cannot promise what the next leader does not
+     * know.
      */
     public void renewSession(double time, long call, SessionId session) {
         beginRead(
@@ -419,8 +431,8 @@
     }
 
     /**
-     * Waits for the next change of keys with a prefix, from a revision on. Any member answers that,
-     * as soon as it knows.
+     * Waits for the next change of keys with a prefix, from a revision on. Any member answers this
+     * from its own state.
      */
     public void watch(double time, long call, String prefix, long fromRevision) {
         run(
@@ -432,7 +444,7 @@
                 });
     }
 
-    /** Nobody waits for the result of this call any more. */
+    /** Called when the result of a call is no longer needed. */
     public void cancelCall(long call) {
         watches.remove(call);
         pendingByIndex.values().removeIf(each -> each.call == call);
@@ -448,7 +460,7 @@
         run(time, () -> completeOnCommit(call, raft.removeMember(id)));
     }
 
-    /** Begins to hand over leadership; done says only that it has begun. */
+    /** Starts a leadership transfer; the result tells only that it was started. */
     public void transferLeadership(double time, long call, MemberId target) {
         run(
                 time,
@@ -463,7 +475,7 @@
     }
 
     /**
-     * Begins a group with this member, whose directory is empty.
+     * Creates a group with this member, whose directory must be empty.
      *
      * @throws IllegalStateException if its directory is not empty
      */
--- a/fleet/src/main/java/embershift/fleet/store/SessionExpiry.java
+++ b/fleet/src/main/java/embershift/fleet/store/SessionExpiry.java
@@ -6,12 +6,12 @@
 import java.util.function.Predicate;
 
 /**
- * When each session ends, by the leader's time; kept in the leader's memory alone. A new leader
- * counts each from the start again, as it does not know when its client was last heard.
+ * Expiry times of the sessions, by the leader's clock and in its memory only. A new leader restarts
+ * all timeouts, as it does not know when each client last called.
  */
 final class SessionExpiry {
 
-    /** In place of a time: the command that ends the session is in the log. */
+    /** Stands for the expiry time of a session whose end has been proposed to the log. */
     private static final double END_PROPOSED = Double.POSITIVE_INFINITY;
 
     private final Map<SessionId, Double> expiryTimes = new HashMap<>();
@@ -34,7 +34,10 @@
         return expiry != null && expiry == END_PROPOSED;
     }
 
-    /** The session's client was heard of; a session that is ending stays so. */
+    /**
+     * Restarts a session's timeout after a call of its client; a session that is ending is not
+     * renewed.
+     */
     void renew(double now, SessionId session, KeyValueStore store) {
         if (!isEnding(session)) {
             store.sessionTimeout(session)
@@ -42,7 +45,9 @@
         }
     }
 
-    /** Has the sessions ended whose time is over; {@code end} returns whether that is under way. */
+    /**
+     * Ends the expired sessions; {@code end} returns whether it has proposed the end of a session.
+     */
     void endExpired(double now, Predicate<SessionId> end) {
         for (Map.Entry<SessionId, Double> each : List.copyOf(expiryTimes.entrySet())) {
             if (now > each.getValue() && end.test(each.getKey())) {
--- a/fleet/src/main/java/embershift/fleet/store/StateChecksums.java
+++ b/fleet/src/main/java/embershift/fleet/store/StateChecksums.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 
 /**
- * Compares checksums of the state after certain entries with those of the other members: the same
- * entries must have made the same state everywhere.
+ * Compares checksums of the state after certain entries with those of the other members, as the
+ * same entries must produce the same state on all of them.
  */
 final class StateChecksums {
 
@@ -31,14 +31,15 @@
         this.self = self;
     }
 
-    /** Notes this member's own checksum; returns what is wrong if a majority has another. */
+    /** Adds this member's own checksum; returns an error if a majority has a different one. */
     Optional<String> addOwn(long index, int checksum, Membership membership) {
         unsentIndexes.add(index);
         return add(index, self, checksum, membership);
     }
 
     /**
-     * Takes a message of another member; returns what is wrong if a majority differs from this one.
+     * Handles a checksum message from another member; returns an error if a majority differs from
+     * this member.
      */
     Optional<String> receive(MemberId from, byte[] message, Membership membership) {
         if (message.length != MESSAGE_BYTES
@@ -69,7 +70,7 @@
                         other ->
                                 "the state after entry "
                                         + index
-                                        + " differs from that of most others: "
+                                        + " differs from that of a majority: "
                                         + Integer.toHexString(own)
                                         + ", theirs "
                                         + Integer.toHexString(other));
@@ -85,7 +86,7 @@
         return voters >= membership.quorum();
     }
 
-    /** Sends the other voters what they have not been sent yet. */
+    /** Sends this member's new checksums to the other voters. */
     void sendNew(Raft raft) {
         for (long index : unsentIndexes) {
             Map<MemberId, Integer> checksums = checksumsByIndex.get(index);
@@ -104,7 +105,7 @@
         unsentIndexes.clear();
     }
 
-    /** A snapshot has taken the place of all entries up to that index. */
+    /** Called when a snapshot has replaced all entries up to that index. */
     void forgetThrough(long index) {
         checksumsByIndex.headMap(index, true).clear();
     }
--- a/fleet/src/main/java/embershift/fleet/store/StoreCodec.java
+++ b/fleet/src/main/java/embershift/fleet/store/StoreCodec.java
@@ -17,13 +17,13 @@
 
     private static final int VERSION = 1;
 
-    /** Kinds of commands. */
+    /** Command types. */
     private static final int OPEN_SESSION = 1;
 
     private static final int END_SESSION = 2;
     private static final int TRANSACTION = 3;
 
-    /** In place of a rejection's reason: the command took effect. */
+    /** Stands for the reason of a command that was not rejected. */
     private static final int NOT_REJECTED = -1;
 
     private StoreCodec() {}
@@ -46,11 +46,14 @@
         return new String(in.readNBytes(readCount(in)), StandardCharsets.UTF_8);
     }
 
-    /** Nothing is so short that more of it could follow than there are bytes. */
+    /**
+     * Reads a count or length; each item takes at least one byte, so a valid one is at most the
+     * number of bytes left.
+     */
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available()) {
-            throw new MalformedCommandException("a length of " + count);
+            throw new MalformedCommandException("invalid length " + count);
         }
         return count;
     }
@@ -59,8 +62,7 @@
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         int version = in.readByte();
         if (version != VERSION) {
-            throw new MalformedCommandException(
-                    "of version " + version + ", which this program does not know");
+            throw new MalformedCommandException("version " + version + " is not supported");
         }
         return in;
     }
@@ -108,7 +110,7 @@
     /**
      * Decodes a command.
      *
-     * @throws MalformedCommandException if these bytes are none
+     * @throws MalformedCommandException if the bytes are not a valid command
      */
     public static StoreCommand decodeCommand(byte[] bytes) {
         try {
@@ -118,10 +120,10 @@
                 case OPEN_SESSION -> new StoreCommand.OpenSession(readText(in), in.readDouble());
                 case END_SESSION -> new StoreCommand.EndSession(new SessionId(in.readLong()));
                 case TRANSACTION -> readTransaction(in);
-                default -> throw new MalformedCommandException("a command of kind " + kind);
+                default -> throw new MalformedCommandException("unknown command type " + kind);
             };
         } catch (IOException e) {
-            throw new MalformedCommandException("a command that ends early");
+            throw new MalformedCommandException("truncated command");
         }
     }
 
@@ -212,7 +214,7 @@
             }
             consumer.accept(revision, appliedIndex, keyValues, sessions);
         } catch (IOException e) {
-            throw new MalformedCommandException("a record that ends early");
+            throw new MalformedCommandException("truncated snapshot");
         }
     }
 
--- a/fleet/src/main/java/embershift/fleet/store/StoreCommand.java
+++ b/fleet/src/main/java/embershift/fleet/store/StoreCommand.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** A command that changes the store, once it is committed. */
+/** A command that changes the store once it is committed. */
 public sealed interface StoreCommand {
 
     /**
      * Opens a session.
      *
-     * @param client a name for people
-     * @param timeoutSeconds after which the session ends if nothing is heard of its client
+     * @param client a name for operators
+     * @param timeoutSeconds time without a call of its client after which the session ends
      */
     record OpenSession(String client, double timeoutSeconds) implements StoreCommand {}
 
@@ -19,9 +19,9 @@
     /**
      * Executes all mutations, or none if a precondition does not hold.
      *
-     * @param sequenceNumber of the session's transactions, from 1 on; if it is sent again, it gets
-     *     the result of the first time
-     * @param oldestOpenNumber the lowest number that the client may still send again
+     * @param sequenceNumber number within the session, from 1 on; a transaction that is sent again
+     *     gets the result of the first execution
+     * @param oldestOpenNumber the lowest sequence number that the client may still resend
      */
     record Transaction(
             SessionId session,
--- a/fleet/src/main/java/embershift/fleet/store/Watches.java
+++ b/fleet/src/main/java/embershift/fleet/store/Watches.java
@@ -15,7 +15,7 @@
 
     private final List<Watch> watches = new ArrayList<>();
 
-    /** Adds a watch; returns why it can't be, or empty. */
+    /** Adds a watch; returns the rejection if there are too many, or empty. */
     Optional<CallResult.Rejected> add(long call, String prefix, long fromRevision) {
         if (watches.size() >= MAX_WATCHES) {
             return Optional.of(
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Answers each watch for which something has changed, or whose changes are not known any more.
+     * Completes each watch for which something has changed, or whose changes are no longer kept.
      */
     void answer(KeyValueStore store, BiConsumer<Long, CallResult> complete) {
         for (Iterator<Watch> each = watches.iterator(); each.hasNext(); ) {
--- a/fleet/src/test/java/embershift/fleet/StoredFormatTest.java
+++ b/fleet/src/test/java/embershift/fleet/StoredFormatTest.java
@@ -28,10 +28,12 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** All texts that the store holds stay those of earlier versions. */
+/**
+ * The texts in the store keep the format of earlier versions, which wrote them and still read them.
+ */
 public class StoredFormatTest {
 
-    private static final String TEXTS = "texts.txt";
+    private static final String GOLDEN_FILE = "texts.txt";
 
     private static AuditSegment segment() {
         List<AuditEntry> entries = new ArrayList<>();
@@ -74,7 +76,7 @@
     }
 
     @Test
-    public void textsOfTheStoreAreWrittenAsBefore() {
+    public void storedTextsKeepTheirFormat() {
         GoldenSamples samples = new GoldenSamples();
         TaskId task = new TaskId("lists");
         samples.text(
@@ -105,7 +107,7 @@
             samples.text("folded " + mutation.key(), mutation.value().orElse("null"));
         }
         samples.text("stages and floor of a rollout", String.join("; ", rollout()));
-        samples.assertMatch(getClass(), TEXTS);
+        samples.assertMatch(getClass(), GOLDEN_FILE);
     }
 
     private static void addRevisions(GoldenSamples samples) {
@@ -124,7 +126,7 @@
     }
 
     @Test
-    public void textsOfAnEarlierVersionAreRead() {
+    public void storedTextsOfEarlierVersionAreDecoded() {
         assertEquals(AuditSegment.decode(segment().encode()).orElseThrow(), segment());
         assertEquals(
                 RollingRestartPlan.decode(restartPlan().encode()).orElseThrow(), restartPlan());
@@ -136,7 +138,10 @@
         }
     }
 
-    /** What a rollout records, of a revision that all take and of one that is rejected. */
+    /**
+     * Returns what a rollout records for a revision that all nodes apply and for one that is
+     * rejected.
+     */
     private static List<String> rollout() {
         List<String> recorded = new ArrayList<>();
         ConfigRollout rollout = new ConfigRollout(RolloutSettings.DEFAULTS, new Recorder(recorded));
@@ -145,9 +150,9 @@
         Collection<String> names = List.of("n1", "n2");
         names.forEach(rollout::addNode);
         rollout.addRevision(first, false);
-        play(rollout, names, recorded, 0, first, 0);
+        simulate(rollout, names, recorded, 0, first, 0);
         rollout.addRevision(second, false);
-        play(rollout, names, recorded, 30, first, second.number());
+        simulate(rollout, names, recorded, 30, first, second.number());
         for (NodeState state : NodeState.values()) {
             recorded.add("state " + state);
         }
@@ -157,7 +162,7 @@
         return recorded;
     }
 
-    private static void play(
+    private static void simulate(
             ConfigRollout rollout,
             Collection<String> names,
             List<String> recorded,
@@ -166,7 +171,7 @@
             long rejected) {
         for (int i = 0; i < 40; i++) {
             double now = from + 0.25 * i;
-            ConfigRevision acted = i < 2 && rejected == 0 ? ConfigRevision.NONE : held;
+            ConfigRevision applied = i < 2 && rejected == 0 ? ConfigRevision.NONE : held;
             long rejectedByNow = i > 4 ? rejected : 0;
             names.forEach(
                     name ->
@@ -175,9 +180,9 @@
                                     new NodeReport(
                                             name,
                                             5,
-                                            acted.number(),
-                                            acted.chainDigest(),
-                                            acted.contentDigest(),
+                                            applied.number(),
+                                            applied.chainDigest(),
+                                            applied.contentDigest(),
                                             true,
                                             rejectedByNow,
                                             rejected == 0 ? "" : "can't",
@@ -221,7 +226,7 @@
 
         @Override
         public void notifyOperator(String message) {
-            // For people: no format.
+            // Not recorded: messages for operators have no fixed format.
         }
     }
 }
--- a/fleet/src/test/java/embershift/fleet/audit/HybridLogicalClockTest.java
+++ b/fleet/src/test/java/embershift/fleet/audit/HybridLogicalClockTest.java
@@ -5,11 +5,11 @@
 
 import org.testng.annotations.Test;
 
-/** Clocks that are set back, or far ahead. */
+/** Hybrid logical timestamps with wall clocks that are set back or far ahead. */
 public class HybridLogicalClockTest {
 
     @Test
-    public void clockThatIsSetBackMovesNothingBackAndOneFarAheadIsNotFollowed() {
+    public void clockSetBackNeverLowersTimestampAndFarAheadClockIsIgnored() {
         HybridLogicalClock now = HybridLogicalClock.START.next(1_000_000);
         assertTrue(now.next(5).compareTo(now) > 0);
         assertEquals(
--- a/fleet/src/test/java/embershift/fleet/lease/LeaseHolderTest.java
+++ b/fleet/src/test/java/embershift/fleet/lease/LeaseHolderTest.java
@@ -11,21 +11,24 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Single decisions of a lease holder that the simulated worlds do not play. */
+/**
+ * Decisions of a lease holder that the simulations in the rig module do not cover: giving up a
+ * step, releasing without progress, stale tokens.
+ */
 public class LeaseHolderTest {
 
-    /** Notes what it is asked for. */
+    /** Records the calls of the candidate. */
     private static final class Recorder implements LeaseHolder.Environment {
-        private final List<String> all = new ArrayList<>();
+        private final List<String> calls = new ArrayList<>();
         private StoreCommand inFlight;
 
         @Override
         public void submit(StoreCommand command) {
             inFlight = command;
-            all.add(
-                    command instanceof StoreCommand.Transaction change
-                                    && !change.mutations().isEmpty()
-                            ? change.mutations().get(0).value().orElse("null")
+            calls.add(
+                    command instanceof StoreCommand.Transaction transaction
+                                    && !transaction.mutations().isEmpty()
+                            ? transaction.mutations().get(0).value().orElse("null")
                             : command.getClass().getSimpleName());
         }
 
@@ -34,21 +37,21 @@
 
         @Override
         public void readProgress(TaskId task) {
-            all.add("read progress");
+            calls.add("read progress");
         }
 
         @Override
         public void runStep(TaskId task, TaskPlan plan, int step, FencingToken token) {
-            all.add("run step " + step);
+            calls.add("run step " + step);
         }
 
         @Override
         public void notifyOperator(String message) {
-            all.add(message);
+            calls.add(message);
         }
     }
 
-    private static LeaseHolder holding(Recorder environment, LeaseSettings settings) {
+    private static LeaseHolder createHolderOfLease(Recorder environment, LeaseSettings settings) {
         LeaseHolder holder =
                 new LeaseHolder(
                         "o", new TaskId("d"), new TaskPlan("p", 2, 0.1), settings, environment);
@@ -57,61 +60,66 @@
         holder.tick(0);
         holder.commandCompleted(0, environment.inFlight, new CallResult.Done(9));
         holder.tick(0);
-        environment.all.clear();
+        environment.calls.clear();
         return holder;
     }
 
     @Test
-    public void stepThatNoHolderEndsIsGivenUpAfterTheMostAttempts() {
+    public void stepThatNoHolderCompletesIsGivenUpAfterMaxAttempts() {
         LeaseSettings settings = new LeaseSettings(5, 0.1, 10, 3, 10);
         Recorder environment = new Recorder();
-        LeaseHolder third = holding(environment, settings);
+        LeaseHolder third = createHolderOfLease(environment, settings);
         third.progressRead(0, Optional.of("p INTENDED 1 2"));
-        assertEquals(environment.all, List.of("p INTENDED 1 3"));
-        Recorder next = new Recorder();
-        LeaseHolder fourth = holding(next, settings);
+        assertEquals(environment.calls, List.of("p INTENDED 1 3"));
+        Recorder fourthEnvironment = new Recorder();
+        LeaseHolder fourth = createHolderOfLease(fourthEnvironment, settings);
         fourth.progressRead(0, Optional.of("p INTENDED 1 3"));
-        assertEquals(next.all.get(1), "p POISONED 1 3");
-        fourth.commandCompleted(0, next.inFlight, new CallResult.Done(10));
+        assertEquals(fourthEnvironment.calls.get(1), "p POISONED 1 3");
+        fourth.commandCompleted(0, fourthEnvironment.inFlight, new CallResult.Done(10));
         assertTrue(
                 fourth.isFinished()
-                        && next.all.stream().noneMatch(each -> each.startsWith("run step")),
-                next.all.toString());
-        Recorder last = new Recorder();
-        LeaseHolder fifth = holding(last, settings);
+                        && fourthEnvironment.calls.stream()
+                                .noneMatch(each -> each.startsWith("run step")),
+                fourthEnvironment.calls.toString());
+        Recorder fifthEnvironment = new Recorder();
+        LeaseHolder fifth = createHolderOfLease(fifthEnvironment, settings);
         fifth.progressRead(0, Optional.of("p POISONED 1 3"));
         assertTrue(
-                fifth.isFinished() && last.all.get(0).contains("stays stopped at step 1"),
-                last.all.toString());
+                fifth.isFinished()
+                        && fifthEnvironment.calls.get(0).contains("remains stopped at step 1"),
+                fifthEnvironment.calls.toString());
     }
 
     @Test
-    public void holderWithoutProgressReleasesTheLeaseAndBacksOff() {
+    public void holderWithoutProgressReleasesLeaseAndBacksOff() {
         Recorder environment = new Recorder();
-        LeaseHolder holder = holding(environment, new LeaseSettings(100, 0.1, 10, 3, 10));
+        LeaseHolder holder =
+                createHolderOfLease(environment, new LeaseSettings(100, 0.1, 10, 3, 10));
         holder.progressRead(0, Optional.of("p INTENDED 0 1"));
         holder.commandCompleted(0, environment.inFlight, new CallResult.Done(10));
-        assertEquals(environment.all.get(1), "run step 0");
+        assertEquals(environment.calls.get(1), "run step 0");
         holder.tick(11);
         assertTrue(
-                environment.all.get(2).contains("gets nothing done"), environment.all.toString());
+                environment.calls.get(2).contains("made no progress"),
+                environment.calls.toString());
         assertTrue(!holder.isHeld(11));
         holder.commandCompleted(11, environment.inFlight, new CallResult.Done(11));
-        int before = environment.all.size();
+        int before = environment.calls.size();
         holder.tick(11.1);
-        assertEquals(environment.all.size(), before, "claims again at once");
+        assertEquals(
+                environment.calls.size(), before, "acquires the lease again without backing off");
         holder.tick(11.3);
-        assertEquals(environment.all.size(), before + 1);
+        assertEquals(environment.calls.size(), before + 1);
     }
 
     @Test
-    public void stepThatAStaleTokenEndedIsNotRunAgain() {
+    public void stepRejectedForStaleTokenIsNotRunAgain() {
         Recorder environment = new Recorder();
-        LeaseHolder holder = holding(environment, LeaseSettings.DEFAULTS);
+        LeaseHolder holder = createHolderOfLease(environment, LeaseSettings.DEFAULTS);
         holder.progressRead(0, Optional.empty());
         holder.commandCompleted(0, environment.inFlight, new CallResult.Done(10));
         holder.stepEnded(0.1, 0, new FencingToken(9), LeaseHolder.StepOutcome.STALE_TOKEN);
         assertTrue(!holder.isHeld(0.1));
-        assertEquals(environment.all, List.of("p INTENDED 0 1", "run step 0"));
+        assertEquals(environment.calls, List.of("p INTENDED 0 1", "run step 0"));
     }
 }
--- a/fleet/src/test/java/embershift/fleet/lease/OrderAdmissionTest.java
+++ b/fleet/src/test/java/embershift/fleet/lease/OrderAdmissionTest.java
@@ -4,11 +4,11 @@
 
 import org.testng.annotations.Test;
 
-/** Which orders a node takes, by their age and token. */
+/** Admission of orders by their age and fencing token. */
 public class OrderAdmissionTest {
 
     @Test
-    public void orderThatIsTooOldOrFromTheFutureIsNotTakenWhateverItsToken() {
+    public void orderTooOldOrFromFutureIsRejectedWhateverItsToken() {
         FencingGuard guard = new FencingGuard();
         TaskId task = new TaskId("d");
         guard.learnLatest(task, new FencingToken(3));
@@ -19,7 +19,7 @@
         assertEquals(
                 admission.decide(10, task, new FencingToken(9), 10.1).verdict(),
                 OrderAdmission.Verdict.EXPIRED);
-        // A token of an order that was not taken is not learned.
+        // The token of an order that was rejected for its age is not recorded.
         assertEquals(
                 admission.decide(10, task, new FencingToken(4), 8).verdict(),
                 OrderAdmission.Verdict.ADMITTED);
--- a/fleet/src/test/java/embershift/fleet/rollout/ConfigRolloutTest.java
+++ b/fleet/src/test/java/embershift/fleet/rollout/ConfigRolloutTest.java
@@ -9,40 +9,43 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Single decisions on nodes that the simulated worlds do not play. */
+/**
+ * Decisions on nodes that the simulations in the rig module do not cover: unknown revisions, other
+ * effective fields, silence.
+ */
 public class ConfigRolloutTest {
 
     private static final class Recorder implements ConfigRollout.Environment {
-        private final List<String> all = new ArrayList<>();
+        private final List<String> calls = new ArrayList<>();
 
         @Override
-        public void order(String node, ConfigRevision revision, long base) {
-            all.add("order " + node + " " + revision.number() + " on " + base);
+        public void order(String node, ConfigRevision revision, long baseNumber) {
+            calls.add("order " + node + " " + revision.number() + " on " + baseNumber);
         }
 
         @Override
         public void recordProgress(String text) {
-            all.add("note " + text);
+            calls.add("note " + text);
         }
 
         @Override
         public void raiseFloor(long revision) {
-            all.add("floor " + revision);
+            calls.add("floor " + revision);
         }
 
         @Override
-        public void shutOut(String node, long incarnation, String why) {
-            all.add("out " + node + " " + incarnation + " " + why);
+        public void shutOut(String node, long incarnation, String reason) {
+            calls.add("out " + node + " " + incarnation + " " + reason);
         }
 
         @Override
-        public void requestRestart(String node, String why) {
-            all.add("replace " + node);
+        public void requestRestart(String node, String reason) {
+            calls.add("replace " + node);
         }
 
         @Override
         public void notifyOperator(String message) {
-            // For operators.
+            // Not recorded: messages for operators have no fixed format.
         }
     }
 
@@ -64,35 +67,41 @@
     }
 
     @Test
-    public void nodeWithARevisionThatTheRecordNeverHadIsRefusedAndNeverMerged() {
-        for (NodeReport foreign :
+    public void nodeWithUnknownRevisionIsShutOutAndSentNoOrder() {
+        for (NodeReport unknownRevision :
                 List.of(
                         report("n1", 5, 3, "abc", "def"),
                         report("n1", 5, 2, "other", second.contentDigest()))) {
             Recorder environment = new Recorder();
             ConfigRollout rollout = rollout(environment);
-            rollout.reportReceived(1, foreign);
+            rollout.reportReceived(1, unknownRevision);
             rollout.tick(1);
             assertEquals(rollout.stateOf("n1"), NodeState.SHUT_OUT);
             assertTrue(
-                    environment.all.get(0).startsWith("out n1 5 goes by " + foreign.revision())
-                            && environment.all.stream().noneMatch(each -> each.startsWith("order")),
-                    environment.all.toString());
+                    environment
+                                    .calls
+                                    .get(0)
+                                    .startsWith(
+                                            "out n1 5 reports revision "
+                                                    + unknownRevision.revision())
+                            && environment.calls.stream()
+                                    .noneMatch(each -> each.startsWith("order")),
+                    environment.calls.toString());
         }
     }
 
     @Test
-    public void nodeThatSaysOneThingAndDoesAnotherIsToldTheWhole() {
+    public void nodeWithDifferentEffectiveFieldsIsSentCompleteRevision() {
         Recorder environment = new Recorder();
         ConfigRollout rollout = rollout(environment);
         rollout.reportReceived(1, report("n1", 5, 2, second.chainDigest(), first.contentDigest()));
         rollout.tick(1);
         assertEquals(rollout.stateOf("n1"), NodeState.DIVERGED);
-        assertEquals(environment.all, List.of("order n1 2 on 0"));
+        assertEquals(environment.calls, List.of("order n1 2 on 0"));
     }
 
     @Test
-    public void silenceIsNeitherBehindNorAReasonToShutOut() {
+    public void silentNodeIsNeitherBehindNorShutOut() {
         Recorder environment = new Recorder();
         ConfigRollout rollout = rollout(environment);
         for (String node : List.of("n1", "n2", "n3", "n4")) {
@@ -103,6 +112,6 @@
             rollout.tick(time);
         }
         assertEquals(rollout.stateOf("n1"), NodeState.SILENT);
-        assertTrue(environment.all.isEmpty(), environment.all.toString());
+        assertTrue(environment.calls.isEmpty(), environment.calls.toString());
     }
 }
--- a/fleet/src/test/java/embershift/fleet/store/StoreFormatTest.java
+++ b/fleet/src/test/java/embershift/fleet/store/StoreFormatTest.java
@@ -13,10 +13,13 @@
 import java.util.TreeMap;
 import org.testng.annotations.Test;
 
-/** Commands and snapshots of the store stay, byte for byte, those of earlier versions. */
+/**
+ * The encoding of commands and snapshots stays, byte for byte, that of earlier versions, so that
+ * logs and snapshots on disk remain readable.
+ */
 public class StoreFormatTest {
 
-    private static final String GOLDEN = "commands.txt";
+    private static final String GOLDEN_FILE = "commands.txt";
     private static final SessionId SESSION = new SessionId(41);
 
     private static Map<String, StoreCommand> commands() {
@@ -98,7 +101,7 @@
     }
 
     @Test
-    public void commandsAndSnapshotsAreWrittenAsBefore() {
+    public void commandsAndSnapshotsKeepTheirEncoding() {
         GoldenSamples samples = new GoldenSamples();
         commands().forEach((name, command) -> samples.bytes(name, StoreCodec.encode(command)));
         samples.bytes("snapshot", store().encode());
@@ -106,26 +109,27 @@
         samples.bytes(
                 "snapshot with each result",
                 StoreCodec.encodeSnapshot(9, 12, List.of(), List.of(sessionWithEachResult())));
-        samples.assertMatch(getClass(), GOLDEN);
+        samples.assertMatch(getClass(), GOLDEN_FILE);
     }
 
     @Test
-    public void commandsAndSnapshotsOfAnEarlierVersionAreRead() {
+    public void commandsAndSnapshotsOfEarlierVersionAreDecoded() {
         commands()
                 .forEach(
                         (name, command) -> {
-                            byte[] golden = GoldenSamples.expectedBytes(getClass(), GOLDEN, name);
-                            byte[] cut = Arrays.copyOf(golden, golden.length - 1);
+                            byte[] golden =
+                                    GoldenSamples.expectedBytes(getClass(), GOLDEN_FILE, name);
+                            byte[] truncated = Arrays.copyOf(golden, golden.length - 1);
                             assertEquals(StoreCodec.decodeCommand(golden), command, name);
                             assertThrows(
                                     MalformedCommandException.class,
-                                    () -> StoreCodec.decodeCommand(cut));
+                                    () -> StoreCodec.decodeCommand(truncated));
                         });
         for (String name : List.of("snapshot", "empty snapshot", "snapshot with each result")) {
-            byte[] golden = GoldenSamples.expectedBytes(getClass(), GOLDEN, name);
+            byte[] golden = GoldenSamples.expectedBytes(getClass(), GOLDEN_FILE, name);
             assertEquals(KeyValueStore.decode(golden).encode(), golden, name);
         }
-        byte[] golden = GoldenSamples.expectedBytes(getClass(), GOLDEN, "snapshot");
+        byte[] golden = GoldenSamples.expectedBytes(getClass(), GOLDEN_FILE, "snapshot");
         KeyValueStore store = KeyValueStore.decode(golden);
         assertEquals(store.find("plain/ü").orElseThrow().value(), "two\nlines");
     }
