--- a/door/src/main/java/embershift/door/AgentSettings.java
+++ b/door/src/main/java/embershift/door/AgentSettings.java
@@ -5,18 +5,19 @@
 import java.util.List;
 
 /**
- * Settings of a node's agent, from an operator's file.
+ * Settings of a node's agent, read from an operator's file.
  *
  * @param instances addresses of the control-plane instances, as HOST:PORT
  * @param reportSeconds seconds between two reports to them
  * @param maxOrderAgeSeconds seconds after which an order is rejected as too old
  * @param listTimeoutSeconds seconds without an endpoint list after which discovery is polled
- * @param listTimeoutJitterSeconds the most by which a node delays that further, drawn by each
- * @param startTimeoutSeconds seconds for which a node that has started waits for the instances
- *     before it serves without them
- * @param stalePolicy what a node does that hears no instance for {@code staleAfterSeconds}
- * @param staleAfterSeconds seconds without an instance after which the node is stale
- * @param maxPendingEntries the most entries of the audit log that wait to be uploaded
+ * @param listTimeoutJitterSeconds maximum random delay that each node adds to that
+ * @param startTimeoutSeconds seconds for which a starting node waits for the instances before it
+ *     serves without them
+ * @param stalePolicy what a node does that receives nothing from any instance for {@code
+ *     staleAfterSeconds}
+ * @param staleAfterSeconds seconds without an answer from an instance after which the node is stale
+ * @param maxPendingEntries maximum number of audit log entries that wait to be uploaded
  */
 public record AgentSettings(
         List<String> instances,
@@ -36,17 +37,17 @@
     private static final double DEFAULT_STALE_AFTER_SECONDS = 60;
     private static final int DEFAULT_MAX_PENDING_ENTRIES = 4096;
 
-    /** What a node does that hears no instance any more. */
+    /** What a stale node does. */
     public enum StalePolicy {
-        /** It goes on by the last revision that it has. */
+        /** The node continues to serve with the last revision that it has. */
         @JsonProperty("serve")
         SERVE,
-        /** It shuts down gracefully. */
+        /** The node shuts down gracefully. */
         @JsonProperty("leave")
         LEAVE
     }
 
-    /** Puts the defaults in for what is null. */
+    /** Replaces null by the default values. */
     public AgentSettings {
         instances = List.copyOf(instances);
         reportSeconds = orElse(reportSeconds, DEFAULT_REPORT_SECONDS);
@@ -59,11 +60,13 @@
         maxPendingEntries = orElse(maxPendingEntries, DEFAULT_MAX_PENDING_ENTRIES);
     }
 
-    private static <T> T orElse(T given, T defaultValue) {
-        return given == null ? defaultValue : given;
+    private static <T> T orElse(T value, T defaultValue) {
+        return value == null ? defaultValue : value;
     }
 
-    /** Reads a settings file; the exception's message is one line that names file and key. */
+    /**
+     * Reads a settings file. The exception's message is one line that names the file and the key.
+     */
     public static AgentSettings read(Path file) throws TomlSettings.InvalidSettingsException {
         return read(TomlSettings.readText(file), file.toString());
     }
@@ -75,13 +78,13 @@
         for (String address : settings.instances) {
             if (!TomlSettings.isValidAddress(address)) {
                 throw new TomlSettings.InvalidSettingsException(
-                        file + ": " + address + ": a port is 65535 at the most");
+                        file + ": " + address + ": a port is at most 65535");
             }
         }
         if (settings.maxOrderAgeSeconds < 2 * settings.reportSeconds) {
             throw new TomlSettings.InvalidSettingsException(
                     file
-                            + ": oldest-order-s: not under twice report-s, or each order would be void");
+                            + ": oldest-order-s: must be at least twice report-s, or orders would expire between reports");
         }
         return settings;
     }
--- a/door/src/main/java/embershift/door/AuditUploader.java
+++ b/door/src/main/java/embershift/door/AuditUploader.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 
 /**
- * The node's audit log and its way into the store: one segment at a time, to one instance, again to
- * the next one while nobody acknowledges it. Nothing is sent by a node that is shut out.
+ * The node's audit log and its upload to the store: one segment at a time, to one instance, and to
+ * the next instance if it is not acknowledged. A node that is shut out uploads nothing.
  */
 final class AuditUploader {
 
@@ -39,7 +39,7 @@
         this.connections = connections;
     }
 
-    /** Appends an entry; its segment goes out with one of the next ticks. */
+    /** Appends an entry; its segment is sent at one of the next ticks. */
     void append(AuditEntry.Kind kind, Map<String, String> fields, String text) {
         log.append(System.currentTimeMillis(), kind, fields, text);
     }
@@ -52,7 +52,7 @@
         return log.clock();
     }
 
-    /** Sends the oldest segment to the next instance, if none was sent lately. */
+    /** Sends the oldest segment to the next instance, if nothing was sent recently. */
     void tick(double now) {
         if (now - sentAt >= RETRY_SECONDS) {
             retry();
@@ -64,7 +64,7 @@
         sendToFirstAccepted(receiverIndex + 1);
     }
 
-    /** A segment is stored; the next one goes the same way. */
+    /** Called when a segment is stored; sends the next one to the same instance. */
     void segmentStored(long segmentNumber) {
         log.acknowledged(segmentNumber);
         sendToFirstAccepted(receiverIndex);
--- a/door/src/main/java/embershift/door/EjectionChange.java
+++ b/door/src/main/java/embershift/door/EjectionChange.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** How the audit log tells which hosts an order ejects, and which it lets back in. */
+/** Encodes for the audit log which hosts an order ejects, and which it returns to service. */
 final class EjectionChange {
 
     private EjectionChange() {}
--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -16,8 +16,8 @@
 import java.util.Random;
 
 /**
- * Hands the published list of endpoints to the node's router in place of discovery, and the node
- * back to discovery when no list comes for some time.
+ * Supplies the published endpoint list to the node's router in place of discovery, and switches the
+ * node back to discovery when no list arrives for some time.
  */
 final class EndpointFeed implements Router.ExternalRoster {
 
@@ -41,7 +41,7 @@
         this.random = random;
     }
 
-    /** Whether the node goes by published lists, and doesn't poll discovery. */
+    /** Whether the node uses published lists instead of polling discovery. */
     boolean usesPublishedList() {
         return usesPublishedList;
     }
@@ -60,7 +60,7 @@
         }
         usesPublishedList = false;
         isFallbackDue = true;
-        // Not all at once: the holder of the task may have ended for everybody.
+        // Jittered, as the task's holder may have failed for all nodes at once.
         node.loop()
                 .schedule(
                         settings.listTimeoutJitterSeconds() * random.nextDouble(),
@@ -80,7 +80,7 @@
         node.router().useExternalRoster(false);
     }
 
-    /** Takes a change of the list, if it fits; the router has it when this returns. */
+    /** Applies a change of the list if it fits; the router has it when this returns. */
     AppliedEndpoints.Outcome apply(FencingToken token, EndpointUpdate update) {
         AppliedEndpoints.Outcome outcome = endpoints.apply(token, update);
         if (outcome != AppliedEndpoints.Outcome.APPLIED
@@ -110,7 +110,7 @@
         node.router().applyRoster(fullList());
     }
 
-    /** Discovery itself has moved: whatever generation it tells is news. */
+    /** Called when discovery's address has changed: any generation that it reports is accepted. */
     void discoveryMoved() {
         endpoints.discoveryReported(Long.MIN_VALUE);
     }
@@ -156,9 +156,9 @@
         try {
             return RosterUpdate.parse(text);
         } catch (MalformedDataException e) {
-            // Entries are objects, or they would not have been published; an empty page changes
-            // nothing.
-            node.log("a list that can't be read: " + e.getMessage());
+            // Not expected, as only entries that are JSON objects are published; an empty update
+            // changes nothing.
+            node.log("malformed endpoint list: " + e.getMessage());
             return new RosterUpdate(0, false, List.of(), Map.of(), 1);
         }
     }
--- a/door/src/main/java/embershift/door/FencingTokenReads.java
+++ b/door/src/main/java/embershift/door/FencingTokenReads.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Reads the latest fencing tokens of tasks whose orders came before this process knew any: it has
- * forgotten what the one before it knew.
+ * Reads the latest fencing tokens of tasks that send orders before this process knows a token of
+ * them; tokens known to the previous process are lost with it.
  */
 final class FencingTokenReads {
 
@@ -24,7 +24,7 @@
         this.connections = connections;
     }
 
-    /** Wants the token of a task read, with the next tick. */
+    /** Requests that a task's token be read at the next tick. */
     void request(TaskId task) {
         lastReadAtByTask.putIfAbsent(task, Double.NEGATIVE_INFINITY);
     }
--- a/door/src/main/java/embershift/door/FleetAgent.java
+++ b/door/src/main/java/embershift/door/FleetAgent.java
@@ -4,15 +4,15 @@
 import embershift.protocol.NodeConfiguration;
 
 /**
- * The control plane's agent in a node: takes orders of the control-plane instances and reports what
- * the node does. A node that hears no instance goes on by what it has.
+ * The control plane's agent in a node: executes orders from the control-plane instances and reports
+ * the node's state. A node that no instance answers continues with the state that it has.
  */
 public final class FleetAgent implements NodeExtension {
 
     /** Exit status of a node that was shut out. */
     public static final int EXIT_SHUT_OUT = 5;
 
-    /** Exit status of a node that left because it heard no instance any more. */
+    /** Exit status of a node that shut down because no instance answered any more. */
     public static final int EXIT_STALE = 6;
 
     private final AgentSettings settings;
--- a/door/src/main/java/embershift/door/FrameCodec.java
+++ b/door/src/main/java/embershift/door/FrameCodec.java
@@ -5,19 +5,19 @@
 import java.util.zip.CRC32C;
 
 /**
- * Length-prefixed framing of a connection: length, CRC32C, content, whose first byte is the frame's
- * type. Decodes bytes in any split; a frame that was changed ends the connection, as nothing behind
- * it can be trusted.
+ * Length-prefixed framing of a connection: length, CRC32C and content, whose first byte is the
+ * frame's type. Decodes bytes in any fragmentation. A frame with a wrong checksum ends the
+ * connection, as no data after it can be trusted.
  */
 public final class FrameCodec {
 
-    /** The first frame of an instance to another. */
+    /** The first frame that an instance sends to another. */
     public static final byte HANDSHAKE = 1;
 
-    /** The other instance takes part. */
+    /** The other instance has accepted the handshake. */
     public static final byte HANDSHAKE_ACCEPTED = 2;
 
-    /** The other instance does not, with a reason for operators. */
+    /** The other instance has rejected the handshake, with a reason for operators. */
     public static final byte HANDSHAKE_REJECTED = 3;
 
     /** A Raft message. */
@@ -26,27 +26,27 @@
     /** A client's call. */
     public static final byte CALL = 5;
 
-    /** The answer to a call. */
+    /** The answer to a client's call. */
     public static final byte ANSWER = 6;
 
-    /** A message of a node to an instance. */
+    /** A message from a node to an instance. */
     public static final byte NODE = 7;
 
-    /** A message of an instance to a node. */
+    /** A message from an instance to a node. */
     public static final byte ORDER = 8;
 
-    /** The most bytes of a frame's type and content. */
+    /** Maximum size of a frame's type and content, in bytes. */
     public static final int MAX_CONTENT_BYTES = 4 << 20;
 
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
     private static final int INITIAL_BUFFER_BYTES = 256;
 
-    /** Bytes that are no frame. */
+    /** Thrown when received bytes are not a valid frame. */
     public static final class MalformedFrameException extends Exception {
 
         private static final long serialVersionUID = 1;
 
-        /** Creates an exception; the message tells what is wrong with the bytes. */
+        /** Creates an exception whose message tells what is wrong with the bytes. */
         public MalformedFrameException(String message) {
             super(message);
         }
@@ -54,14 +54,16 @@
 
     private ByteBuffer buffered = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
-    /** Decodes what has come, and hands on the type and content of each complete frame. */
+    /**
+     * Decodes received bytes; {@code receiver} gets the type and content of each complete frame.
+     */
     public void decode(ByteBuffer bytes, Consumer<byte[]> receiver) throws MalformedFrameException {
         reserve(bytes.remaining());
         buffered.put(bytes).flip();
         while (buffered.remaining() >= HEADER_BYTES) {
             int length = buffered.getInt(buffered.position());
             if (length < 1 || length > MAX_CONTENT_BYTES) {
-                throw new MalformedFrameException("a piece of " + length + " bytes");
+                throw new MalformedFrameException("invalid frame length of " + length + " bytes");
             }
             if (buffered.remaining() < HEADER_BYTES + length) {
                 break;
@@ -84,7 +86,7 @@
         byte[] content = new byte[length];
         buffered.position(buffered.position() + HEADER_BYTES).get(content);
         if (expected != checksum(content)) {
-            throw new MalformedFrameException("a piece that was changed on its way");
+            throw new MalformedFrameException("frame checksum mismatch");
         }
         return content;
     }
--- a/door/src/main/java/embershift/door/InstanceConnection.java
+++ b/door/src/main/java/embershift/door/InstanceConnection.java
@@ -13,20 +13,20 @@
 import java.util.Random;
 
 /**
- * A node's connection to one control-plane instance, dialled again with backoff when it is lost.
+ * A node's connection to one control-plane instance, re-established with backoff when it is lost.
  */
 final class InstanceConnection implements TcpConnection.Listener {
 
-    /** Receives what comes over the connections. All calls come on the node's loop. */
+    /** Receives events of the connections, on the node's event loop. */
     interface Listener {
 
-        /** An instance has sent a message. */
+        /** Called when an instance has sent a message. */
         void received(InstanceConnection connection, InstanceMessage message);
 
-        /** An instance has told a task's latest fencing token, read after this node's start. */
+        /** Called with a task's latest fencing token, read after this node's start. */
         void fencingTokenRead(TaskId task, FencingToken latest);
 
-        /** Other connections may ask for an incarnation now. */
+        /** Called when other connections may request an incarnation. */
         void registrationAvailable();
     }
 
@@ -41,7 +41,7 @@
     private final Random random;
     private final Map<Long, TaskId> pendingReads = new LinkedHashMap<>();
     private TcpConnection connection;
-    private FrameCodec frames;
+    private FrameCodec frameCodec;
     private boolean isConnected;
     private boolean isHandshakeSent;
     private boolean isAccepted;
@@ -70,7 +70,7 @@
         return isAccepted;
     }
 
-    /** Dials when it is time to, and drops a connection that is stuck. */
+    /** Connects when the backoff has passed, and closes a connection that is stalled. */
     void tick(double now) {
         if (connection == null) {
             if (now >= nextConnectAt) {
@@ -92,7 +92,7 @@
     }
 
     private void connect(double now) {
-        frames = new FrameCodec();
+        frameCodec = new FrameCodec();
         isConnected = false;
         isHandshakeSent = false;
         isAccepted = false;
@@ -112,12 +112,12 @@
         if (registration.connectionLost(this)) {
             listener.registrationAvailable();
         }
-        // Others lost theirs at the same time: the jitter spreads their attempts.
+        // Other nodes lost theirs at the same time: the jitter spreads their attempts.
         backoffSeconds = Math.min(MAX_BACKOFF_SECONDS, 2 * backoffSeconds);
         nextConnectAt = now + backoffSeconds * (0.5 + random.nextDouble());
     }
 
-    /** Sends the first message, once the connection is up and this node may register on it. */
+    /** Sends the handshake, once the connection is established and this node may register on it. */
     void handshake() {
         if (isHandshakeSent
                 || !isConnected
@@ -133,9 +133,12 @@
                         FrameCodec.NODE, NodeMessages.handshake(registration, loop.now())));
     }
 
-    /** Sends a message, with the instance's latest clock; drops it while the connection is full. */
+    /**
+     * Sends a message with the instance's latest clock reading; drops the message while earlier
+     * writes are pending.
+     */
     void send(ObjectNode message) {
-        // By that the instance tells how old this message is, by its own clock alone.
+        // The instance computes the age of this message from this value, by its own clock alone.
         message.put("echo", instanceTime);
         if (isAccepted
                 && connection != null
@@ -145,7 +148,7 @@
         }
     }
 
-    /** Asks for a task's latest fencing token; an answer may never come. */
+    /** Requests a task's latest fencing token; an answer may never arrive. */
     void readFencingToken(TaskId task) {
         if (connection != null && isConnected) {
             lastCallId++;
@@ -172,7 +175,7 @@
     public void received(ByteBuffer bytes) {
         lastReceivedAt = loop.now();
         try {
-            frames.decode(bytes, this::receivedFrame);
+            frameCodec.decode(bytes, this::receivedFrame);
         } catch (FrameCodec.MalformedFrameException e) {
             closeAndBackOff(loop.now());
         }
--- a/door/src/main/java/embershift/door/InstanceMessage.java
+++ b/door/src/main/java/embershift/door/InstanceMessage.java
@@ -7,40 +7,41 @@
 import java.util.Optional;
 
 /**
- * A message of a control-plane instance to a node.
+ * A message from a control-plane instance to a node.
  *
- * @param clock the instance's hybrid logical clock, if it can be read
- * @param floor the lowest revision on which a node may be ready
- * @param instanceTime the instance's own clock in seconds, which the node's messages bring back
+ * @param clock the instance's hybrid logical clock, if it is valid
+ * @param floor the lowest revision with which a node may be ready
+ * @param instanceTime the instance's own clock in seconds, which the node's messages return
  */
 record InstanceMessage(
         Optional<HybridLogicalClock> clock, long floor, double instanceTime, Content content) {
 
-    /** What the message is about. */
+    /** The content of a message. */
     sealed interface Content {}
 
-    /** The node is registered, as this incarnation. */
+    /** The node is registered, with this incarnation. */
     record Welcome(long incarnation) implements Content {}
 
-    /** A report of the node has arrived. */
+    /** A report of the node was received. */
     record ReportReceived() implements Content {}
 
     /**
-     * The holder of a task's lease wants something done.
+     * An order from the holder of a task's lease.
      *
-     * @param reportClock what the node's clock showed in its latest report to the holder
-     * @param body the message, from which {@link OrderAction} reads what is to be done
+     * @param reportClock what the node's clock showed in the latest report that the holder had
+     *     received
+     * @param body the message, from which {@link OrderAction} is decoded
      */
     record Order(long id, TaskId task, FencingToken token, double reportClock, ObjectNode body)
             implements Content {}
 
-    /** A segment of the node's audit log is in the store. */
+    /** A segment of the node's audit log is stored. */
     record SegmentStored(long number) implements Content {}
 
-    /** The node may not act for the fleet any more. */
+    /** The node is shut out and may no longer act for the fleet. */
     record ShutOut(String reason) implements Content {}
 
-    /** A message of a later version. */
+    /** A message of a type that this version does not know. */
     record Unknown() implements Content {}
 
     static InstanceMessage decode(ObjectNode message) {
--- a/door/src/main/java/embershift/door/JsonMessages.java
+++ b/door/src/main/java/embershift/door/JsonMessages.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 
 /**
- * JSON in frames: messages between nodes and instances, calls and their answers. A receiver ignores
- * fields that it doesn't know.
+ * JSON content of frames: messages between nodes and instances, calls and their answers. Receivers
+ * ignore unknown fields.
  */
 public final class JsonMessages {
 
@@ -29,7 +29,7 @@
         return JSON.createObjectNode();
     }
 
-    /** Creates a message of a kind. */
+    /** Creates a message of the given kind. */
     public static ObjectNode newMessage(String kind) {
         return JSON.createObjectNode().put("kind", kind);
     }
@@ -48,19 +48,19 @@
         return FrameCodec.encode(type, encode(object));
     }
 
-    /** Decodes the object that follows a frame's type. */
+    /** Decodes the object after a frame's type byte. */
     public static ObjectNode decodeFrame(byte[] frame) throws FrameCodec.MalformedFrameException {
         try {
             if (JSON.readTree(frame, 1, frame.length - 1) instanceof ObjectNode object) {
                 return object;
             }
-            throw new FrameCodec.MalformedFrameException("no object");
+            throw new FrameCodec.MalformedFrameException("not a JSON object");
         } catch (IOException e) {
-            throw new FrameCodec.MalformedFrameException("no JSON: " + e.getMessage());
+            throw new FrameCodec.MalformedFrameException("invalid JSON: " + e.getMessage());
         }
     }
 
-    /** Decodes a text; empty if it is no JSON object. */
+    /** Decodes a text; empty if it is not a JSON object. */
     public static Optional<ObjectNode> parse(String text) {
         try {
             return JSON.readTree(text) instanceof ObjectNode object
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Returns the texts of an object by their names; null for those that are null. */
+    /** Returns the fields of an object as texts by name; the value of a null field is null. */
     public static Map<String, String> readTexts(JsonNode object) {
         Map<String, String> texts = new LinkedHashMap<>();
         object.properties()
@@ -85,24 +85,24 @@
         return texts;
     }
 
-    /** Writes texts by their names. */
+    /** Puts texts into an object, by name. */
     public static void putTexts(ObjectNode object, Map<String, String> texts) {
         texts.forEach(object::put);
     }
 
-    /** Returns the values of an object by their names; empty for those that are null. */
+    /** Returns the fields of an object as texts by name; the value of a null field is empty. */
     public static Map<String, Optional<String>> readChanges(JsonNode object) {
         Map<String, Optional<String>> changes = new LinkedHashMap<>();
         readTexts(object).forEach((name, value) -> changes.put(name, Optional.ofNullable(value)));
         return changes;
     }
 
-    /** Writes values by their names; null for those that are empty. */
+    /** Puts values into an object, by name; an empty value becomes null. */
     public static void putChanges(ObjectNode object, Map<String, Optional<String>> changes) {
         changes.forEach((name, value) -> object.put(name, value.orElse(null)));
     }
 
-    /** Returns the texts of an array, in their order. */
+    /** Returns the elements of an array as texts, in order. */
     public static Set<String> readList(JsonNode array) {
         Set<String> texts = new LinkedHashSet<>();
         array.forEach(each -> texts.add(each.asText()));
--- a/door/src/main/java/embershift/door/Main.java
+++ b/door/src/main/java/embershift/door/Main.java
@@ -14,13 +14,15 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The command line of a node with an agent. The platform's run starts the node without one. */
+/**
+ * Command line of a node with an agent. A node that the platform starts directly runs without one.
+ */
 public final class Main {
 
     private static final int EXIT_USAGE = 2;
     private static final int EXIT_START_FAILED = 4;
 
-    /** Stands for no exit status: the node lives on its loop. */
+    /** Stands for no exit status: the node continues on its event loop. */
     private static final int NO_EXIT_STATUS = -1;
 
     private Main() {}
@@ -28,12 +30,13 @@
     private static class FileOptions {
         @Parameter(
                 names = "--configuration",
-                description = "The node's file; else the one that LB_CONFIG names")
+                description =
+                        "The node's configuration file; default: the one that LB_CONFIG names")
         String configurationFile = System.getenv("LB_CONFIG");
 
         @Parameter(
                 names = "--door",
-                description = "The file that names the instances",
+                description = "The file with the agent's settings, which names the instances",
                 required = true)
         String settingsFile;
 
@@ -60,22 +63,22 @@
         }
     }
 
-    @Parameters(commandDescription = "Be a node that takes the fleet's orders")
+    @Parameters(commandDescription = "Run a node that executes the fleet's orders")
     private static final class Serve extends FileOptions {}
 
-    @Parameters(commandDescription = "Say whether a node could run by these files")
+    @Parameters(commandDescription = "Check whether a node can run with these files")
     private static final class Check extends FileOptions {}
 
-    /** The option that the program and each command has. */
+    /** The help option, which the program and each command has. */
     private static final class Help {
         @Parameter(
                 names = {"--help", "-h"},
-                description = "Say what there is",
+                description = "Show this help",
                 help = true)
         private boolean isRequested;
     }
 
-    /** Runs a command; ends the process where it is done. */
+    /** Runs a command; exits the process unless the node continues to run. */
     public static void main(String[] args) {
         int status = run(args);
         if (status != NO_EXIT_STATUS) {
@@ -84,7 +87,8 @@
     }
 
     /**
-     * Runs a command; returns its exit status, or {@link #NO_EXIT_STATUS} where the node goes on.
+     * Runs a command; returns its exit status, or {@link #NO_EXIT_STATUS} if the node continues to
+     * run.
      */
     public static int run(String[] args) {
         try {
@@ -95,7 +99,7 @@
             System.err.println(e.getMessage().lines().findFirst().orElse(""));
             return EXIT_USAGE;
         } catch (IOException e) {
-            System.err.println("can't start: " + e.getMessage());
+            System.err.println("cannot start: " + e.getMessage());
             return EXIT_START_FAILED;
         }
     }
@@ -128,6 +132,6 @@
                             + String.join(", ", check.settings().instances()));
             return 0;
         }
-        throw new ParameterException("serve or check is wanted");
+        throw new ParameterException("no command given: use serve or check");
     }
 }
--- a/door/src/main/java/embershift/door/NodeMessages.java
+++ b/door/src/main/java/embershift/door/NodeMessages.java
@@ -6,7 +6,10 @@
 import embershift.fleet.lease.OrderAdmission;
 import embershift.fleet.lease.TaskId;
 
-/** Encodes the messages of a node to a control-plane instance; the names are those of the wire. */
+/**
+ * Encodes the messages of a node to a control-plane instance. The field names are those of the
+ * protocol.
+ */
 final class NodeMessages {
 
     private static final int VERSION = 1;
@@ -23,7 +26,10 @@
                 .put("clock", now);
     }
 
-    /** A linearizable read of a task's latest fencing token, as any client of the store does it. */
+    /**
+     * A linearizable read of a task's latest fencing token, the same call as any client of the
+     * store makes.
+     */
     static ObjectNode readFencingToken(TaskId task, long callId) {
         return JsonMessages.newObject()
                 .put("call", "get")
@@ -32,14 +38,14 @@
                 .put("version", VERSION);
     }
 
-    /** A piece of the audit log. */
+    /** A segment of the audit log. */
     static ObjectNode auditSegment(AuditSegment segment) {
         return JsonMessages.newMessage("trail")
                 .put("number", segment.number())
                 .put("text", segment.encode());
     }
 
-    /** What became of an order. */
+    /** The verdict on an order. */
     static ObjectNode verdict(InstanceMessage.Order order, OrderAdmission.Decision decision) {
         return JsonMessages.newMessage("verdict")
                 .put("id", order.id())
--- a/door/src/main/java/embershift/door/OrderAction.java
+++ b/door/src/main/java/embershift/door/OrderAction.java
@@ -8,44 +8,44 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What an order wants done. */
+/** The action that an order requests. */
 sealed interface OrderAction {
 
     /** The task whose orders publish the list of endpoints. */
     TaskId ENDPOINTS_TASK = new TaskId("lists");
 
-    /** The task whose orders bring nodes to a configuration revision. */
+    /** The task whose orders roll out configuration revisions. */
     TaskId ROLLOUT_TASK = new TaskId("rollout");
 
     /** The task whose orders restart hosts and nodes in steps. */
     TaskId RESTART_TASK = new TaskId("release");
 
-    /** Take a change of the list of endpoints. */
+    /** Apply a change of the list of endpoints. */
     record UpdateEndpoints(EndpointUpdate update) implements OrderAction {}
 
-    /** Go by a configuration revision. */
+    /** Apply a configuration revision. */
     record ApplyRevision(AppliedRevision.Order revision) implements OrderAction {}
 
-    /** Use these hosts no more while they are restarted, and all others again. */
+    /** Eject exactly these hosts while they are restarted, and return all others to service. */
     record EjectHosts(Set<HostId> hosts) implements OrderAction {}
 
-    /** Something that this version doesn't know: nothing of it may be done. */
-    record Unsupported(String what) implements OrderAction {}
+    /** An action that this version does not know: nothing of it may be done. */
+    record Unsupported(String actionName) implements OrderAction {}
 
-    /** Reads what an order that was admitted wants done. */
+    /** Decodes the action of an admitted order. */
     static OrderAction decode(InstanceMessage.Order order) {
         ObjectNode body = order.body();
-        String what = body.path("what").asText();
-        if (what.equals("hosts") && order.task().equals(ENDPOINTS_TASK)) {
+        String actionName = body.path("what").asText();
+        if (actionName.equals("hosts") && order.task().equals(ENDPOINTS_TASK)) {
             return new UpdateEndpoints(decodeEndpointUpdate(body));
-        } else if (what.equals("revision") && order.task().equals(ROLLOUT_TASK)) {
+        } else if (actionName.equals("revision") && order.task().equals(ROLLOUT_TASK)) {
             return new ApplyRevision(decodeRevision(body));
-        } else if (what.equals("out") && order.task().equals(RESTART_TASK)) {
+        } else if (actionName.equals("out") && order.task().equals(RESTART_TASK)) {
             Set<HostId> hosts = new LinkedHashSet<>();
             JsonMessages.readList(body.path("hosts")).forEach(host -> hosts.add(new HostId(host)));
             return new EjectHosts(hosts);
         }
-        return new Unsupported(what);
+        return new Unsupported(actionName);
     }
 
     private static EndpointUpdate decodeEndpointUpdate(ObjectNode body) {
--- a/door/src/main/java/embershift/door/OrderExecutor.java
+++ b/door/src/main/java/embershift/door/OrderExecutor.java
@@ -11,13 +11,13 @@
 import java.util.function.Consumer;
 
 /**
- * Admits or rejects orders by fencing token and age, has those that are admitted executed, and
- * answers each with a verdict.
+ * Admits or rejects orders by fencing token and age, executes those that are admitted, and answers
+ * each with a verdict.
  */
 final class OrderExecutor {
 
     private final EventLoop loop;
-    private final Tally counters;
+    private final Tally tally;
     private final OrderAdmission admission;
     private final FencingTokenReads tokenReads;
     private final EndpointFeed endpoints;
@@ -28,7 +28,7 @@
 
     OrderExecutor(
             EventLoop loop,
-            Tally counters,
+            Tally tally,
             OrderAdmission admission,
             FencingTokenReads tokenReads,
             EndpointFeed endpoints,
@@ -37,7 +37,7 @@
             AuditUploader auditLog,
             Runnable reportNow) {
         this.loop = loop;
-        this.counters = counters;
+        this.tally = tally;
         this.admission = admission;
         this.tokenReads = tokenReads;
         this.endpoints = endpoints;
@@ -47,12 +47,12 @@
         this.reportNow = reportNow;
     }
 
-    /** Executes an order; {@code answer} gets the verdict, once the order is in effect. */
+    /** Executes an order; {@code answer} receives the verdict once the order is in effect. */
     void execute(InstanceMessage.Order order, Consumer<ObjectNode> answer) {
         OrderAdmission.Decision decision =
                 admission.decide(loop.now(), order.task(), order.token(), order.reportClock());
         ObjectNode verdict = NodeMessages.verdict(order, decision);
-        counters.count("orders " + decision.verdict().wireName().toLowerCase(Locale.ROOT));
+        tally.count("orders " + decision.verdict().wireName().toLowerCase(Locale.ROOT));
         switch (decision.verdict()) {
             case ADMITTED -> executeAdmitted(order, verdict, () -> answer.accept(verdict));
             case TOKEN_UNKNOWN -> {
@@ -78,18 +78,23 @@
 
     private void executeAdmitted(InstanceMessage.Order order, ObjectNode verdict, Runnable answer) {
         OrderAction action = OrderAction.decode(order);
-        if (action instanceof OrderAction.UpdateEndpoints updated) {
-            verdict.put("end", endpoints.apply(order.token(), updated.update()).wireName());
+        if (action instanceof OrderAction.UpdateEndpoints updateEndpoints) {
+            verdict.put("end", endpoints.apply(order.token(), updateEndpoints.update()).wireName());
             answer.run();
-        } else if (action instanceof OrderAction.ApplyRevision applied) {
-            applyRevision(order, applied.revision(), verdict, answer);
-        } else if (action instanceof OrderAction.EjectHosts ejected) {
-            restartEjections.replace(loop.now(), order.token(), ejected.hosts());
+        } else if (action instanceof OrderAction.ApplyRevision applyRevision) {
+            applyRevision(order, applyRevision.revision(), verdict, answer);
+        } else if (action instanceof OrderAction.EjectHosts ejectHosts) {
+            restartEjections.replace(loop.now(), order.token(), ejectHosts.hosts());
             // After the round of the policy that takes it.
             loop.execute(() -> answerAndReport(answer));
         } else if (action instanceof OrderAction.Unsupported unsupported) {
             verdict.put("verdict", "REFUSED")
-                    .put("why", "no such order: " + order.task().name() + " " + unsupported.what());
+                    .put(
+                            "why",
+                            "no such order: "
+                                    + order.task().name()
+                                    + " "
+                                    + unsupported.actionName());
             answer.run();
         }
     }
--- a/door/src/main/java/embershift/door/Registration.java
+++ b/door/src/main/java/embershift/door/Registration.java
@@ -1,9 +1,9 @@
 package embershift.door;
 
 /**
- * Which process this node is to the control plane: its name, a number drawn at its start, and the
- * incarnation that an instance gives it. Only one instance is asked for an incarnation at a time:
- * two would give two.
+ * Identifies this node's process to the control plane: its name, a random number drawn at its
+ * start, and the incarnation that an instance assigns. An incarnation is requested from one
+ * instance at a time, as two instances would assign two.
  */
 final class Registration {
 
@@ -47,14 +47,16 @@
         }
     }
 
-    void registered(long givenIncarnation) {
+    void registered(long assignedIncarnation) {
         if (!isRegistered()) {
-            incarnation = givenIncarnation;
+            incarnation = assignedIncarnation;
             registrar = null;
         }
     }
 
-    /** Tells of a lost connection; returns whether another one may ask for an incarnation now. */
+    /**
+     * Called when a connection is lost; returns whether another one may now request an incarnation.
+     */
     boolean connectionLost(InstanceConnection connection) {
         if (registrar != connection) {
             return false;
--- a/door/src/main/java/embershift/door/RestartEjections.java
+++ b/door/src/main/java/embershift/door/RestartEjections.java
@@ -7,13 +7,13 @@
 import java.util.Collection;
 import java.util.Set;
 
-/** Hosts that this node doesn't use while they are restarted. */
+/** Hosts that this node does not use while they are restarted. */
 final class RestartEjections {
 
-    /** The source of these ejections, among others' at the same node. */
+    /** The source under which these ejections are kept, among others at the same node. */
     private static final String EJECTION_SOURCE = "release";
 
-    /** Seconds for which hosts stay ejected when no order confirms it any more. */
+    /** Seconds for which hosts stay ejected if no further order confirms it. */
     private static final double LIFETIME_SECONDS = 30;
 
     private final HostEjections ejections;
--- a/door/src/main/java/embershift/door/RevisionApplier.java
+++ b/door/src/main/java/embershift/door/RevisionApplier.java
@@ -18,12 +18,12 @@
 import java.util.TreeMap;
 
 /**
- * Brings the node's parts to a configuration revision, completely and between two rounds of the
- * policy, or not at all; reads back from them what they really go by.
+ * Applies a configuration revision to the node's components, completely and between two rounds of
+ * the policy, or not at all; reads back from them which values are in effect.
  */
 final class RevisionApplier {
 
-    /** The source of ejections that a revision orders, among others' at the same node. */
+    /** The source under which a revision's ejections are kept, among others at the same node. */
     private static final String EJECTION_SOURCE = "revision";
 
     private final NodeExtension.NodeContext node;
@@ -34,7 +34,7 @@
     private final SessionCounter sessions;
     private RevisionFields applied = RevisionFields.NONE;
 
-    /** The last revision that a round of the policy went by. */
+    /** The last revision that was in effect in a round of the policy. */
     private long effectiveNumber;
 
     private SortedMap<String, String> effectiveFields = new TreeMap<>();
@@ -55,7 +55,7 @@
 
     /** Applies a revision, or rejects it; it is in effect after the next round of the policy. */
     AppliedRevision.Result apply(FencingToken token, AppliedRevision.Order order) {
-        // Whatever has been answered until now was answered by the revision before.
+        // Sessions answered until now were answered under the previous revision.
         sessions.record(node.loop().now(), false);
         AppliedRevision.Result result = revision.apply(order, this::applyFields);
         if (result.outcome() == AppliedRevision.Outcome.REJECTED) {
@@ -85,17 +85,17 @@
         node.log(
                 "revision "
                         + order.number()
-                        + " is refused, "
+                        + " is rejected, "
                         + revision.number()
-                        + " stays: "
+                        + " stays in effect: "
                         + reason);
         auditLog.append(AuditEntry.Kind.REFUSED, entryFields(token, order.number()), reason);
     }
 
     /**
-     * Notes that a round of the policy has gone by a revision that was applied. Returns false where
-     * the next one came in the same turn, as they do to a process that stood still: no round ever
-     * went by this one.
+     * Records that a round of the policy has run with an applied revision. Returns false if the
+     * next revision was applied in the same turn of the event loop, as happens to a process that
+     * was suspended: then no round ever ran with this one.
      */
     boolean confirmEffect(FencingToken token, long number) {
         if (revision.number() != number) {
@@ -126,7 +126,7 @@
         return fields;
     }
 
-    /** Returns the digest of what the node's parts go by, of the fields that the revision has. */
+    /** Returns the digest of the values in effect, for the fields that the revision has. */
     String effectiveDigest() {
         return ConfigRevision.contentDigest(readEffectiveFields());
     }
@@ -157,7 +157,7 @@
         return String.join(",", addresses.stream().map(Addresses::format).toList());
     }
 
-    /** Returns a node's configuration with the revision's fields in place of its own. */
+    /** Returns a node's configuration with its values overridden by the revision's fields. */
     NodeConfiguration adapt(NodeConfiguration configuration) {
         return configuration.withOverrides(
                 applied.discovery().orElse(null),
--- a/door/src/main/java/embershift/door/RevisionFields.java
+++ b/door/src/main/java/embershift/door/RevisionFields.java
@@ -15,9 +15,9 @@
 import java.util.SortedMap;
 
 /**
- * The fields of a configuration revision, as a node understands them.
+ * The parsed fields of a configuration revision.
  *
- * @param discovery where discovery is, if not where the node's own file says
+ * @param discovery discovery's address, if it overrides that in the node's own file
  * @param sockets the limit of descriptors, likewise
  * @param peers the other nodes, likewise
  * @param ejectedHosts hosts that no node may use
@@ -33,7 +33,7 @@
 
     private static final int MIN_SOCKETS = 2 * Router.OPERATOR_DESCRIPTORS;
 
-    /** A field that this node can't go by. The message is told to operators. */
+    /** Thrown for a field that this node cannot apply. The message is shown to operators. */
     static final class InvalidFieldException extends Exception {
 
         private static final long serialVersionUID = 1;
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Parses all fields; one that is unknown or wrong makes the whole revision invalid. */
+    /** Parses all fields; one that is unknown or invalid makes the whole revision invalid. */
     static RevisionFields parse(SortedMap<String, String> fields) throws InvalidFieldException {
         Optional<InetSocketAddress> discovery = Optional.empty();
         Optional<Integer> sockets = Optional.empty();
@@ -68,7 +68,7 @@
     private static int parseSockets(String value) throws InvalidFieldException {
         if (!value.matches("\\d{1,6}") || Integer.parseInt(value) < MIN_SOCKETS) {
             throw new InvalidFieldException(
-                    "sockets: " + value + " is no number of at least " + MIN_SOCKETS);
+                    "sockets: " + value + " is not a number of at least " + MIN_SOCKETS);
         }
         return Integer.parseInt(value);
     }
--- a/door/src/main/java/embershift/door/RunningAgent.java
+++ b/door/src/main/java/embershift/door/RunningAgent.java
@@ -17,8 +17,8 @@
 import java.util.Random;
 
 /**
- * An agent whose node has started: composes its parts, dispatches the instances' messages to them,
- * and drives them by a timer. All on the node's loop.
+ * The agent of a started node: creates its components, dispatches the instances' messages to them,
+ * and drives them by a timer, all on the node's event loop.
  */
 final class RunningAgent implements InstanceConnection.Listener {
 
@@ -94,7 +94,9 @@
                 AuditEntry.Kind.STARTED,
                 Map.of("revision", "0", "boot", registration.bootId()),
                 "");
-        node.log("takes the fleet's orders of " + String.join(", ", settings.instances()));
+        node.log(
+                "connects to the control-plane instances "
+                        + String.join(", ", settings.instances()));
         reportPeriodically();
         tick();
     }
@@ -107,7 +109,8 @@
         if (isAccepted) {
             return revision.number() >= minRevision;
         }
-        // Without the instances a node serves by what it has, unless its operator wants otherwise.
+        // Without the instances a node serves with what it has, unless its operator wants
+        // otherwise.
         return settings.stalePolicy() == AgentSettings.StalePolicy.SERVE
                 && node.loop().now() - startedAt >= settings.startTimeoutSeconds();
     }
@@ -116,7 +119,10 @@
         return revisions.adapt(configuration);
     }
 
-    /** The node shuts down gracefully: what is left to tell is sent at once. */
+    /**
+     * Called when the node shuts down gracefully: remaining audit entries and a report are sent at
+     * once.
+     */
     void shutDown() {
         isShuttingDown = true;
         sessions.record(node.loop().now(), true);
--- a/door/src/main/java/embershift/door/SessionCounter.java
+++ b/door/src/main/java/embershift/door/SessionCounter.java
@@ -13,17 +13,20 @@
 import java.util.TreeMap;
 
 /**
- * Counts, for the audit log, the sessions that were answered under each configuration revision, and
- * the setups that were sent to hosts although the revision ejects them.
+ * Counts, for the audit log, the sessions answered under each configuration revision, and the
+ * setups sent to hosts that the revision ejects.
  */
 final class SessionCounter {
 
-    /** Seconds between two entries, where there was anything to count, and in any case. */
+    /**
+     * Seconds between two entries if anything was counted, and the longest time between them
+     * otherwise.
+     */
     private static final double INTERVAL_SECONDS = 15;
 
     private static final double IDLE_INTERVAL_SECONDS = 60;
 
-    /** A counter of the node, and its name in reports and in the audit log. */
+    /** A counter of the node's {@link Tally}, and its name in reports and in the audit log. */
     private record Counter(String tallyName, String field) {}
 
     private static final List<Counter> COUNTERS =
@@ -47,7 +50,10 @@
         recordedAt = startedAt;
     }
 
-    /** Returns the totals since the start, by their names in reports and in their order there. */
+    /**
+     * Returns the totals since the start, by their names in reports and in the order of the
+     * reports.
+     */
     static Map<String, Long> totals(Tally tally) {
         Map<String, Long> totals = new LinkedHashMap<>();
         COUNTERS.forEach(each -> totals.put(each.field, tally.of(each.tallyName)));
@@ -60,7 +66,9 @@
         }
     }
 
-    /** Records what was counted since the last time, also nothing if {@code evenIfNone}. */
+    /**
+     * Records what was counted since the last entry; if {@code evenIfNone}, also if nothing was.
+     */
     void record(double now, boolean evenIfNone) {
         Map<String, String> fields = new TreeMap<>();
         COUNTERS.forEach(each -> addSessions(fields, each));
--- a/door/src/main/java/embershift/door/TomlSettings.java
+++ b/door/src/main/java/embershift/door/TomlSettings.java
@@ -19,10 +19,13 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Reads operators' files: TOML, validated against a schema before anything is done by it. */
+/** Reads operators' TOML files, which are validated against a schema before use. */
 public final class TomlSettings {
 
-    /** A file that can't be used. The message is one line: file, key, what was expected. */
+    /**
+     * Thrown for a file that cannot be used. The message is one line with the file, the key and
+     * what was expected.
+     */
     public static final class InvalidSettingsException extends Exception {
 
         private static final long serialVersionUID = 1;
@@ -40,16 +43,16 @@
         try {
             return Files.readString(file, StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new InvalidSettingsException(file + ": can't be read: " + e.getMessage());
+            throw new InvalidSettingsException(file + ": cannot be read: " + e.getMessage());
         }
     }
 
     /**
-     * Reads settings by the schema that stands beside their type.
+     * Reads settings and validates them against the schema next to their type.
      *
-     * @param file what messages call the file
-     * @param schema the schema is the resource {@code SCHEMA.schema.json}
-     * @param defaults puts in what was left out, after the validation
+     * @param file the file's name in messages
+     * @param schema name of the resource {@code SCHEMA.schema.json}
+     * @param defaults adds the missing values after the validation
      */
     public static <T> T read(
             String text, String file, String schema, Consumer<ObjectNode> defaults, Class<T> type)
@@ -87,13 +90,13 @@
         }
     }
 
-    /** Whether this is HOST:PORT. */
+    /** Whether the text is HOST:PORT with a valid port. */
     public static boolean isValidAddress(String text) {
         return text.matches("[^:\\s]+:\\d{1,5}")
                 && Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)) <= 65_535;
     }
 
-    /** Returns the socket address that HOST:PORT stands for. */
+    /** Parses HOST:PORT. */
     public static InetSocketAddress parseAddress(String address) {
         int colon = address.lastIndexOf(':');
         return new InetSocketAddress(
--- a/door/src/main/java/embershift/door/package-info.java
+++ b/door/src/main/java/embershift/door/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The control plane's agent in a node: takes orders of the control-plane instances and reports what
- * the node does. Off unless an operator's file asks for it.
+ * The control plane's agent in a node: executes orders from the control-plane instances and reports
+ * the node's state. It runs only if an operator's file configures it.
  */
 package embershift.door;
--- a/door/src/test/java/embershift/door/AgentSettingsTest.java
+++ b/door/src/test/java/embershift/door/AgentSettingsTest.java
@@ -7,18 +7,20 @@
 import java.nio.file.Path;
 import org.testng.annotations.Test;
 
-/** What an operator may set for an agent, right and wrong. */
+/** Valid and invalid settings of an agent. */
 public class AgentSettingsTest {
 
-    private static final String LEAST = "instances = [\"127.0.0.1:7101\"]\n";
+    private static final String MINIMAL_SETTINGS = "instances = [\"127.0.0.1:7101\"]\n";
 
     @Test
-    public void fileThatCannotBeUsedIsRefusedInOneLineThatNamesTheKey() throws Exception {
-        assertEquals(AgentSettings.read(LEAST, "x").stalePolicy(), AgentSettings.StalePolicy.SERVE);
+    public void invalidFileIsRejectedInOneLineThatNamesTheKey() throws Exception {
         assertEquals(
-                AgentSettings.read(LEAST + "stale = \"leave\"\n", "x").stalePolicy(),
+                AgentSettings.read(MINIMAL_SETTINGS, "x").stalePolicy(),
+                AgentSettings.StalePolicy.SERVE);
+        assertEquals(
+                AgentSettings.read(MINIMAL_SETTINGS + "stale = \"leave\"\n", "x").stalePolicy(),
                 AgentSettings.StalePolicy.LEAVE);
-        String[][] wrong = {
+        String[][] invalidSettings = {
             {"more = 1\n", "more"},
             {"report-s = 0\n", "report-s"},
             {"stale = \"sulk\"\n", "stale"},
@@ -27,16 +29,16 @@
             {"instances = []\n", "Duplicate"},
             {"alone-s", ""}
         };
-        for (String[] each : wrong) {
-            refused(LEAST + each[0], each[1]);
+        for (String[] each : invalidSettings) {
+            assertRejected(MINIMAL_SETTINGS + each[0], each[1]);
         }
-        refused("instances = []\n", "instances");
-        refused("instances = [\"nowhere\"]\n", "instances");
-        refused("instances = [\"127.0.0.1:70000\"]\n", "65535");
-        refused("", "instances");
+        assertRejected("instances = []\n", "instances");
+        assertRejected("instances = [\"nowhere\"]\n", "instances");
+        assertRejected("instances = [\"127.0.0.1:70000\"]\n", "65535");
+        assertRejected("", "instances");
     }
 
-    private static void refused(String text, String key) {
+    private static void assertRejected(String text, String key) {
         String message =
                 expectThrows(
                                 TomlSettings.InvalidSettingsException.class,
@@ -48,7 +50,7 @@
     }
 
     @Test
-    public void exampleIsSound() throws Exception {
+    public void exampleFileIsValid() throws Exception {
         assertEquals(
                 AgentSettings.read(Path.of("..", "deploy", "door.toml")).instances().size(), 3);
     }
--- a/door/src/test/java/embershift/door/NodeMessagesTest.java
+++ b/door/src/test/java/embershift/door/NodeMessagesTest.java
@@ -33,12 +33,12 @@
 import org.testng.annotations.Test;
 
 /**
- * What a node says to a control-plane instance, and how it answers each order, stays as earlier
- * versions have it.
+ * A node's messages to a control-plane instance, and its verdicts on orders, keep the format of
+ * earlier versions.
  */
 public class NodeMessagesTest {
 
-    private static final int PATIENCE_MS = 10_000;
+    private static final int TIMEOUT_MS = 10_000;
     private static final long INCARNATION = 12;
     private static final String CONFIGURATION =
             """
@@ -50,19 +50,19 @@
 
     private final GoldenSamples samples = new GoldenSamples();
     private final FrameCodec frames = new FrameCodec();
-    private final Deque<byte[]> pieces = new ArrayDeque<>();
-    private final CompletableFuture<Integer> exit = new CompletableFuture<>();
+    private final Deque<byte[]> receivedFrames = new ArrayDeque<>();
+    private final CompletableFuture<Integer> exitStatus = new CompletableFuture<>();
     private ServerSocket instance;
-    private Socket link;
+    private Socket connection;
     private EventLoop loop;
-    private double clock;
-    private long orders;
+    private double nodeClock;
+    private long lastOrderId;
 
     @BeforeMethod
     public void startNode() throws Exception {
         loop = new EventLoop();
         instance = new ServerSocket(0, 9, InetAddress.getLoopbackAddress());
-        instance.setSoTimeout(PATIENCE_MS);
+        instance.setSoTimeout(TIMEOUT_MS);
         NodeConfiguration configuration =
                 NodeConfiguration.parse(CONFIGURATION.formatted(instance.getLocalPort()), null);
         Router router = new Router(loop, configuration, line -> {});
@@ -76,23 +76,23 @@
         loop.execute(
                 () ->
                         agent.start(
-                                node(
+                                createNodeContext(
                                         configuration,
                                         router,
                                         new HostEjections(loop, router, null))));
-        link = instance.accept();
-        link.setSoTimeout(PATIENCE_MS);
+        connection = instance.accept();
+        connection.setSoTimeout(TIMEOUT_MS);
     }
 
     @AfterMethod
     public void stopNode() throws Exception {
         loop.stop();
-        link.close();
+        connection.close();
         instance.close();
     }
 
-    private NodeExtension.NodeContext node(
-            NodeConfiguration configuration, Router router, HostEjections bans) {
+    private NodeExtension.NodeContext createNodeContext(
+            NodeConfiguration configuration, Router router, HostEjections ejections) {
         return new NodeExtension.NodeContext() {
             @Override
             public EventLoop loop() {
@@ -106,7 +106,7 @@
 
             @Override
             public HostEjections ejections() {
-                return bans;
+                return ejections;
             }
 
             @Override
@@ -121,49 +121,50 @@
 
             @Override
             public void log(String line) {
-                // For people: no format.
+                // Not recorded: log lines have no fixed format.
             }
 
             @Override
             public void exit(int status) {
-                exit.complete(status);
+                exitStatus.complete(status);
             }
         };
     }
 
-    private byte[] piece() throws Exception {
+    private byte[] readFrame() throws Exception {
         byte[] buffer = new byte[1 << 16];
-        while (pieces.isEmpty()) {
-            int read = link.getInputStream().read(buffer);
+        while (receivedFrames.isEmpty()) {
+            int read = connection.getInputStream().read(buffer);
             if (read < 0) {
-                throw new IOException("the node ended the connection");
+                throw new IOException("the node closed the connection");
             }
-            frames.decode(ByteBuffer.wrap(buffer, 0, read), pieces::add);
+            frames.decode(ByteBuffer.wrap(buffer, 0, read), receivedFrames::add);
         }
-        return pieces.remove();
+        return receivedFrames.remove();
     }
 
-    /** The next message of that kind; what else comes meanwhile is passed over. */
-    private ObjectNode message(byte pieceKind, String kind) throws Exception {
+    /** Returns the next message of that kind and skips all others. */
+    private ObjectNode readMessage(byte frameType, String kind) throws Exception {
         while (true) {
-            byte[] piece = piece();
-            ObjectNode message = JsonMessages.decodeFrame(piece);
+            byte[] frame = readFrame();
+            ObjectNode message = JsonMessages.decodeFrame(frame);
             if (message.has("clock")) {
-                clock = message.path("clock").asDouble();
+                nodeClock = message.path("clock").asDouble();
             }
-            if (piece[0] == pieceKind && message.path("kind").asText().equals(kind)) {
+            if (frame[0] == frameType && message.path("kind").asText().equals(kind)) {
                 return message;
             }
         }
     }
 
-    private void say(byte pieceKind, ObjectNode message) throws IOException {
-        link.getOutputStream()
-                .write(FrameCodec.encodeToArray(pieceKind, JsonMessages.encode(message)));
+    private void send(byte frameType, ObjectNode message) throws IOException {
+        connection
+                .getOutputStream()
+                .write(FrameCodec.encodeToArray(frameType, JsonMessages.encode(message)));
     }
 
-    /** As an instance says it; what differs from run to run is left out. */
-    private static String stable(ObjectNode message) {
+    /** Returns the message as text, with the values that differ between runs replaced. */
+    private static String withoutVaryingValues(ObjectNode message) {
         return message.toString()
                 .replaceAll("\"(clock|echo|at)\":[0-9.E-]+", "\"$1\":NUMBER")
                 .replaceAll("\"boot\":\"[0-9a-f]+\"", "\"boot\":HEX")
@@ -174,33 +175,38 @@
                 .replaceAll("(trail 1 .*? \\d+ \\d+) \\S+ [0-9a-f]{32}", "$1 CHAIN SUM");
     }
 
-    private ObjectNode order(String duty, String what, long fence) {
+    private ObjectNode order(String task, String action, long token) {
         return JsonMessages.newMessage("order")
-                .put("id", ++orders)
-                .put("seen", clock)
-                .put("duty", duty)
-                .put("fence", fence)
-                .put("what", what)
+                .put("id", ++lastOrderId)
+                .put("seen", nodeClock)
+                .put("duty", task)
+                .put("fence", token)
+                .put("what", action)
                 .put("floor", 0)
                 .put("time", "1.0")
                 .put("at", 1.5);
     }
 
-    private void verdict(String name, ObjectNode order) throws Exception {
-        message(FrameCodec.NODE, "report");
-        say(FrameCodec.ORDER, order.put("seen", order.path("seen").asDouble() == 0 ? 0 : clock));
+    private void recordVerdict(String name, ObjectNode order) throws Exception {
+        readMessage(FrameCodec.NODE, "report");
+        send(
+                FrameCodec.ORDER,
+                order.put("seen", order.path("seen").asDouble() == 0 ? 0 : nodeClock));
         ObjectNode verdict;
         do {
-            verdict = message(FrameCodec.NODE, "verdict");
+            verdict = readMessage(FrameCodec.NODE, "verdict");
         } while (verdict.path("id").asLong() != order.path("id").asLong());
-        samples.text("verdict: " + name, stable(verdict));
+        samples.text("verdict: " + name, withoutVaryingValues(verdict));
     }
 
-    /** The first order of a duty finds no fence known, and has the node ask for it. */
-    private void tellFence(String duty, long fence) throws Exception {
-        verdict("fence of " + duty + " not known", order(duty, "nothing", fence));
-        ObjectNode call = message(FrameCodec.CALL, "");
-        samples.text("call: fence of " + duty, stable(call));
+    /**
+     * Sends a task's first order, which the node rejects because it knows no fencing token, and
+     * answers its read of the token.
+     */
+    private void provideFencingToken(String task, long token) throws Exception {
+        recordVerdict("fence of " + task + " not known", order(task, "nothing", token));
+        ObjectNode call = readMessage(FrameCodec.CALL, "");
+        samples.text("call: fence of " + task, withoutVaryingValues(call));
         ObjectNode answer =
                 JsonMessages.newObject()
                         .put("id", call.path("id").asLong())
@@ -209,8 +215,8 @@
         answer.putArray("items")
                 .addObject()
                 .put("key", call.path("key").asText())
-                .put("revision", fence);
-        say(FrameCodec.ANSWER, answer);
+                .put("revision", token);
+        send(FrameCodec.ANSWER, answer);
     }
 
     private static SortedMap<String, Optional<String>> changes(String... namesAndValues) {
@@ -221,20 +227,20 @@
         return changes;
     }
 
-    private ObjectNode whole(ConfigRevision revision) {
-        ObjectNode order = order(revision, 0);
+    private ObjectNode completeRevisionOrder(ConfigRevision revision) {
+        ObjectNode order = baseRevisionOrder(revision, 0);
         JsonMessages.putTexts(order.putObject("fields"), revision.fields());
         return order;
     }
 
-    private ObjectNode revision(
+    private ObjectNode revisionOrder(
             ConfigRevision revision, long base, Map<String, Optional<String>> changes) {
-        ObjectNode order = order(revision, base);
+        ObjectNode order = baseRevisionOrder(revision, base);
         JsonMessages.putChanges(order.putObject("fields"), changes);
         return order;
     }
 
-    private ObjectNode order(ConfigRevision revision, long base) {
+    private ObjectNode baseRevisionOrder(ConfigRevision revision, long base) {
         return order("rollout", "revision", 30)
                 .put("number", revision.number())
                 .put("base", base)
@@ -242,9 +248,9 @@
                 .put("content", revision.contentDigest());
     }
 
-    private ObjectNode hosts(long number, long base, long fence) {
+    private ObjectNode endpointsOrder(long number, long base, long token) {
         ObjectNode order =
-                order("lists", "hosts", fence)
+                order("lists", "hosts", token)
                         .put("number", number)
                         .put("base", base)
                         .put("generation", 5);
@@ -258,34 +264,34 @@
     }
 
     @Test
-    public void conversationIsAsBefore() throws Exception {
-        samples.text("here", stable(message(FrameCodec.NODE, "here")));
-        say(
+    public void messagesKeepTheirFormat() throws Exception {
+        samples.text("here", withoutVaryingValues(readMessage(FrameCodec.NODE, "here")));
+        send(
                 FrameCodec.ORDER,
                 JsonMessages.newMessage("welcome")
                         .put("incarnation", INCARNATION)
                         .put("floor", 0)
                         .put("time", "1.0")
                         .put("at", 1.0));
-        samples.text("report: first", stable(message(FrameCodec.NODE, "report")));
-        ObjectNode trail = message(FrameCodec.NODE, "trail");
-        samples.text("trail: first", stable(trail));
-        say(
+        samples.text("report: first", withoutVaryingValues(readMessage(FrameCodec.NODE, "report")));
+        ObjectNode segment = readMessage(FrameCodec.NODE, "trail");
+        samples.text("trail: first", withoutVaryingValues(segment));
+        send(
                 FrameCodec.ORDER,
                 JsonMessages.newMessage("kept")
-                        .put("number", trail.path("number").asLong())
+                        .put("number", segment.path("number").asLong())
                         .put("time", "1.0")
                         .put("at", 1.2));
-        verdicts();
-        ObjectNode report = message(FrameCodec.NODE, "report");
-        samples.text("report: after orders", stable(report));
-        say(
+        recordVerdicts();
+        ObjectNode report = readMessage(FrameCodec.NODE, "report");
+        samples.text("report: after orders", withoutVaryingValues(report));
+        send(
                 FrameCodec.ORDER,
                 JsonMessages.newMessage("out")
                         .put("why", "because")
                         .put("time", "1.0")
                         .put("at", 9.0));
-        assertEquals(exit.get(PATIENCE_MS, TimeUnit.MILLISECONDS).intValue(), 5);
+        assertEquals(exitStatus.get(TIMEOUT_MS, TimeUnit.MILLISECONDS).intValue(), 5);
         samples.text(
                 "exit status: shut out and stale",
                 FleetAgent.EXIT_SHUT_OUT + " " + FleetAgent.EXIT_STALE);
@@ -309,7 +315,7 @@
     }
 
     @Test
-    public void settingsHaveTheKeysOfBefore() throws Exception {
+    public void settingsKeepTheirKeys() throws Exception {
         try (InputStream schema = AgentSettings.class.getResourceAsStream("door.schema.json")) {
             new GoldenSamples()
                     .text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8))
@@ -317,33 +323,36 @@
         }
     }
 
-    private void verdicts() throws Exception {
-        tellFence("lists", 20);
-        verdict("whole list", hosts(1, 0, 20));
-        verdict("same list", hosts(1, 0, 20));
-        verdict("list against one not held", hosts(9, 7, 20));
-        verdict("list of an older fence", hosts(10, 0, 19));
-        verdict("list of an older number", hosts(0, 0, 20));
-        verdict("list behind discovery", hosts(11, 0, 21).put("generation", 4));
-        tellFence("rollout", 30);
+    private void recordVerdicts() throws Exception {
+        provideFencingToken("lists", 20);
+        recordVerdict("whole list", endpointsOrder(1, 0, 20));
+        recordVerdict("same list", endpointsOrder(1, 0, 20));
+        recordVerdict("list against one not held", endpointsOrder(9, 7, 20));
+        recordVerdict("list of an older fence", endpointsOrder(10, 0, 19));
+        recordVerdict("list of an older number", endpointsOrder(0, 0, 20));
+        recordVerdict("list behind discovery", endpointsOrder(11, 0, 21).put("generation", 4));
+        provideFencingToken("rollout", 30);
         ConfigRevision first = ConfigRevision.NONE.next(changes("out/h1", "why", "sockets", "500"));
-        verdict(
+        recordVerdict(
                 "revision against one not held",
-                revision(first.next(changes("out/h3", "x")), 1, changes("out/h3", "x")));
-        verdict("whole revision", whole(first));
-        verdict("revision once more, by difference", revision(first, 1, changes()));
-        ConfigRevision refused = first.next(changes("unknown", "x"));
-        verdict("revision that is refused", revision(refused, 1, refused.differenceFrom(first)));
+                revisionOrder(first.next(changes("out/h3", "x")), 1, changes("out/h3", "x")));
+        recordVerdict("whole revision", completeRevisionOrder(first));
+        recordVerdict("revision once more, by difference", revisionOrder(first, 1, changes()));
+        ConfigRevision rejected = first.next(changes("unknown", "x"));
+        recordVerdict(
+                "revision that is refused",
+                revisionOrder(rejected, 1, rejected.differenceFrom(first)));
         SortedMap<String, Optional<String>> changes = changes("out/h2", "x");
         changes.put("out/h1", Optional.empty());
         ConfigRevision second = first.next(changes);
-        verdict("revision by difference", revision(second, 1, second.differenceFrom(first)));
-        verdict("older revision", whole(first));
-        tellFence("release", 40);
-        ObjectNode out = order("release", "out", 40);
-        out.putArray("hosts").add("h4");
-        verdict("hosts out for a release", out);
-        verdict("no such order", order("release", "dance", 40));
-        verdict("order that is too old", order("release", "out", 40).put("seen", 0));
+        recordVerdict(
+                "revision by difference", revisionOrder(second, 1, second.differenceFrom(first)));
+        recordVerdict("older revision", completeRevisionOrder(first));
+        provideFencingToken("release", 40);
+        ObjectNode ejectOrder = order("release", "out", 40);
+        ejectOrder.putArray("hosts").add("h4");
+        recordVerdict("hosts out for a release", ejectOrder);
+        recordVerdict("no such order", order("release", "dance", 40));
+        recordVerdict("order that is too old", order("release", "out", 40).put("seen", 0));
     }
 }
