--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -5,8 +5,8 @@
 import embershift.fleet.endpoints.EndpointUpdate;
 import embershift.fleet.lease.FencingToken;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.program.Companion;
+import embershift.model.RosterEntry;
+import embershift.program.NodeExtension;
 import embershift.protocol.MalformedDataException;
 import embershift.protocol.RosterUpdate;
 import embershift.routing.Router;
@@ -19,9 +19,9 @@
  * Hands the published list of endpoints to the node's router in place of discovery, and the node
  * back to discovery when no list comes for some time.
  */
-final class EndpointFeed implements Router.Lists {
+final class EndpointFeed implements Router.ExternalRoster {
 
-    private final Companion.Node node;
+    private final NodeExtension.NodeContext node;
     private final AgentSettings settings;
     private final AuditUploader auditLog;
     private final Random random;
@@ -31,7 +31,10 @@
     private boolean isFallbackDue;
 
     EndpointFeed(
-            Companion.Node node, AgentSettings settings, AuditUploader auditLog, Random random) {
+            NodeExtension.NodeContext node,
+            AgentSettings settings,
+            AuditUploader auditLog,
+            Random random) {
         this.node = node;
         this.settings = settings;
         this.auditLog = auditLog;
@@ -74,7 +77,7 @@
                 AuditEntry.Kind.LED,
                 Map.of("by", "discovery"),
                 "no list for " + settings.listTimeoutSeconds() + " s");
-        node.router().led(false);
+        node.router().useExternalRoster(false);
     }
 
     /** Takes a change of the list, if it fits; the router has it when this returns. */
@@ -91,7 +94,7 @@
             replaceDiscovery(token, update);
         } else if (outcome == AppliedEndpoints.Outcome.APPLIED) {
             node.router().tally().count("lists taken");
-            node.router().listed(update.isFullList() ? whole() : difference(update));
+            node.router().applyRoster(update.isFullList() ? fullList() : difference(update));
         }
         return outcome;
     }
@@ -103,8 +106,8 @@
                         "fence", String.valueOf(token.number()),
                         "number", String.valueOf(update.number()));
         auditLog.append(AuditEntry.Kind.LED, fields, "");
-        node.router().led(true);
-        node.router().listed(whole());
+        node.router().useExternalRoster(true);
+        node.router().applyRoster(fullList());
     }
 
     /** Discovery itself has moved: whatever generation it tells is news. */
@@ -113,12 +116,12 @@
     }
 
     @Override
-    public void discoverySaid(long generation) {
+    public void discoveryAnswered(long generation) {
         endpoints.discoveryReported(generation);
     }
 
     @Override
-    public RosterUpdate whole() {
+    public RosterUpdate fullList() {
         return page(true, endpoints.entries());
     }
 
@@ -127,14 +130,14 @@
         if (update.removed().isEmpty()) {
             return page;
         }
-        List<Listing> listings = new ArrayList<>(page.listings());
+        List<RosterEntry> listings = new ArrayList<>(page.listings());
         update.removed().forEach(host -> listings.add(gone(host)));
         return new RosterUpdate(
                 page.generation(), false, listings, page.addresses(), page.malformedEntries());
     }
 
-    private static Listing gone(String host) {
-        return new Listing(new HostId(host), Listing.State.GONE, null, 1, 0, 0);
+    private static RosterEntry gone(String host) {
+        return new RosterEntry(new HostId(host), RosterEntry.State.GONE, null, 1, 0, 0);
     }
 
     private RosterUpdate page(boolean isFull, Map<String, String> entries) {
--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -3,15 +3,15 @@
 import embershift.model.Deployment;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ParticipantId;
 import embershift.model.ProfileId;
-import embershift.model.SetupEnd;
+import embershift.model.RosterEntry;
+import embershift.model.SetupOutcome;
 import embershift.model.SubjectId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -42,7 +42,7 @@
     private final OutputStream out;
     private final PrintStream errors;
     private final Map<Integer, Instance> instances = new HashMap<>();
-    private final List<List<Listing>> lists =
+    private final List<List<RosterEntry>> lists =
             new ArrayList<>(java.util.Collections.nCopies(MAX_LISTS, null));
 
     /** Instances with events in the current batch, in the order of their first event. */
@@ -80,12 +80,12 @@
 
     private void decide(double now, int number, Instance instance, StringBuilder reply) {
         DecisionWriter replies = new DecisionWriter(number, reply);
-        List<Consumer<News>> events = instance.events;
+        List<Consumer<NodeEvents>> events = instance.events;
         try {
             instance.module.round(
                     now,
                     news -> {
-                        for (Consumer<News> event : events) {
+                        for (Consumer<NodeEvents> event : events) {
                             event.accept(news);
                         }
                     },
@@ -133,25 +133,25 @@
             throw line.malformed(
                     "table", "a list number from 0 to " + (MAX_LISTS - 1) + " and a count");
         }
-        List<Listing> listings = new ArrayList<>();
+        List<RosterEntry> listings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             LineFields item = nextLine();
             if (item == null || !item.text("message").equals("ITEM")) {
                 throw (item == null ? line : item)
                         .malformed("hosts", "as many ITEM lines as announced");
             }
-            Listing.State state =
+            RosterEntry.State state =
                     switch (item.text("health")) {
-                        case "Ready" -> Listing.State.READY;
-                        case "Terminating" -> Listing.State.DRAINING;
-                        case "Gone" -> Listing.State.GONE;
+                        case "Ready" -> RosterEntry.State.READY;
+                        case "Terminating" -> RosterEntry.State.DRAINING;
+                        case "Gone" -> RosterEntry.State.GONE;
                         default -> throw item.malformed("health", "Ready, Terminating or Gone");
                     };
             HostId host = new HostId(item.text("host"));
             item.optional("class-of-host");
             String zone = item.optional("az");
             listings.add(
-                    new Listing(
+                    new RosterEntry(
                             host,
                             state,
                             zone == null ? null : new ZoneId(zone),
@@ -171,7 +171,7 @@
             instances.put(
                     number,
                     new Instance(
-                            new Policy(deployment, new Filling(deployment)),
+                            new Policy(deployment, new HostCapacityEstimate(deployment)),
                             settings.reportColumns()));
             activeInstances.remove(number);
             activeInstances.put(number, instances.get(number));
@@ -183,7 +183,7 @@
             return;
         }
         Instance instance = instances.get(number);
-        Consumer<News> event = parseEvent(message, line, instance);
+        Consumer<NodeEvents> event = parseEvent(message, line, instance);
         if (instance != null) {
             activeInstances.put(number, instance);
             if (event != null) {
@@ -193,7 +193,7 @@
     }
 
     /** Returns the line's event as a call of the module; null if the line only triggers a round. */
-    private Consumer<News> parseEvent(String message, LineFields line, Instance instance) {
+    private Consumer<NodeEvents> parseEvent(String message, LineFields line, Instance instance) {
         return switch (message) {
             case "SYNC" -> parseSync(line);
             case "ACCEPT", "RESUMED" -> parseTunnel(message, line);
@@ -208,13 +208,13 @@
             case "REPORT_BACK" -> parseSetupEnd(line, instance);
             case "GONE" -> {
                 TunnelId id = new TunnelId(line.text("handle"));
-                yield news -> news.tunnelLeft(id);
+                yield news -> news.tunnelAbandoned(id);
             }
             case "PROBE_RESULT" -> parseProbeEnd(line, instance);
             case "PEER_DATA" -> {
                 int node = line.integer("src");
                 byte[] content = line.bytes("content");
-                yield news -> news.nodeHeard(node, content);
+                yield news -> news.nodeMessageReceived(node, content);
             }
             case "WAKEUP" -> {
                 line.longInteger("ctx");
@@ -224,49 +224,50 @@
         };
     }
 
-    private static Consumer<News> parseHint(LineFields line) {
+    private static Consumer<NodeEvents> parseHint(LineFields line) {
         TunnelId id = new TunnelId(line.text("handle"));
         line.integer("trial");
         double value = line.number("value");
         HostId host = new HostId(line.text("host"));
         return switch (line.integer("sort")) {
-            case 1 -> news -> news.tunnelLoadNoted(id, value * MICROSECOND);
-            case 2 -> news -> news.messageDelayNoted(host, value * MILLISECOND);
+            case 1 -> news -> news.tunnelLoadMeasured(id, value * MICROSECOND);
+            case 2 -> news -> news.messageDelayMeasured(host, value * MILLISECOND);
             default -> null;
         };
     }
 
-    private Consumer<News> parseProbeEnd(LineFields line, Instance instance) {
+    private Consumer<NodeEvents> parseProbeEnd(LineFields line, Instance instance) {
         HostId host = new HostId(line.text("host"));
         boolean answered = line.integer("verdict") == 0;
         double duration = line.numberOr("cost-time-s", 0);
-        Consumer<News> report = parseReport(host, line, instance);
+        Consumer<NodeEvents> report = parseReport(host, line, instance);
         return news -> {
             news.probeEnded(host, answered, duration);
             report.accept(news);
         };
     }
 
-    private Consumer<News> parseSync(LineFields line) {
+    private Consumer<NodeEvents> parseSync(LineFields line) {
         // A failed call has no list, so its list number has no meaning and may be absent.
         double table = line.numberOr("table", -1);
         String mode = line.text("mode");
         if (mode.equals("lost")) {
-            return News::rosterLost;
+            return NodeEvents::rosterWatchLost;
         }
-        List<Listing> listings = table < 0 || table >= MAX_LISTS ? null : lists.get((int) table);
+        List<RosterEntry> listings =
+                table < 0 || table >= MAX_LISTS ? null : lists.get((int) table);
         if (listings == null) {
             throw line.malformed("table", "the number of a list that was registered before");
         }
         return switch (mode) {
             case "incr" -> news -> news.rosterChanged(listings);
-            case "total" -> news -> news.rosterListed(listings, false);
-            case "warm_copy" -> news -> news.rosterListed(listings, true);
+            case "total" -> news -> news.rosterReplaced(listings, false);
+            case "warm_copy" -> news -> news.rosterReplaced(listings, true);
             default -> throw line.malformed("mode", "incr, total, warm_copy or lost");
         };
     }
 
-    private Consumer<News> parseTunnel(String message, LineFields line) {
+    private Consumer<NodeEvents> parseTunnel(String message, LineFields line) {
         TunnelId id = new TunnelId(line.text("handle"));
         ProfileId profile = new ProfileId(line.text("category"));
         String team = line.optional("team");
@@ -282,38 +283,38 @@
         line.flag("came-back");
         if (message.equals("RESUMED")) {
             HostId host = new HostId(line.text("host"));
-            return news -> news.tunnelStanding(id, profile, participant, subject, group, host);
+            return news -> news.tunnelResumed(id, profile, participant, subject, group, host);
         }
         return news ->
                 news.tunnelArrived(id, profile, participant, subject, group, timeLeft, midFlow);
     }
 
-    private Consumer<News> parseSetupEnd(LineFields line, Instance instance) {
+    private Consumer<NodeEvents> parseSetupEnd(LineFields line, Instance instance) {
         TunnelId id = new TunnelId(line.text("handle"));
         int setup = line.integer("trial");
         HostId host = new HostId(line.text("host"));
-        SetupEnd end =
+        SetupOutcome end =
                 switch (line.integer("verdict")) {
-                    case 0 -> SetupEnd.COMPLETED;
-                    case 13 -> SetupEnd.ERROR;
-                    case 8 -> SetupEnd.FULL;
-                    case 4 -> SetupEnd.TIMED_OUT;
-                    case 14 -> SetupEnd.NO_CONNECTION;
-                    case 10 -> SetupEnd.BROKEN;
-                    case 1 -> SetupEnd.CANCELLED;
-                    case 9 -> SetupEnd.NOT_SENT;
+                    case 0 -> SetupOutcome.COMPLETED;
+                    case 13 -> SetupOutcome.ERROR;
+                    case 8 -> SetupOutcome.FULL;
+                    case 4 -> SetupOutcome.TIMED_OUT;
+                    case 14 -> SetupOutcome.NO_CONNECTION;
+                    case 10 -> SetupOutcome.BROKEN;
+                    case 1 -> SetupOutcome.CANCELLED;
+                    case 9 -> SetupOutcome.NOT_SENT;
                     default -> throw line.malformed("verdict", "one of 0, 1, 4, 8, 9, 10, 13, 14");
                 };
         double duration = line.numberOr("cost-time-s", 0);
         boolean last = line.flag("no-more");
-        Consumer<News> report = parseReport(host, line, instance);
+        Consumer<NodeEvents> report = parseReport(host, line, instance);
         return news -> {
             report.accept(news);
             news.setupEnded(id, setup, host, end, duration, last);
         };
     }
 
-    private Consumer<News> parseReport(HostId host, LineFields line, Instance instance) {
+    private Consumer<NodeEvents> parseReport(HostId host, LineFields line, Instance instance) {
         double[] row = line.atEnd() ? new double[0] : line.numberRow("metrics");
         if (row.length == 0 || instance == null) {
             return news -> {};
@@ -328,7 +329,7 @@
     private static final class Instance {
         final Policy module;
         final String[] columns;
-        final List<Consumer<News>> events = new ArrayList<>();
+        final List<Consumer<NodeEvents>> events = new ArrayList<>();
 
         Instance(Policy module, List<String> columns) {
             this.module = module;
--- a/node/src/main/java/embershift/adapter/DecisionWriter.java
+++ b/node/src/main/java/embershift/adapter/DecisionWriter.java
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public void setUp(TunnelId id, HostId host, double timeOut) {
+    public void sendSetup(TunnelId id, HostId host, double timeOut) {
         beginLine("HAND_OFF")
                 .append(' ')
                 .append(id.name())
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public void cancel(TunnelId id, int setup) {
+    public void cancelSetup(TunnelId id, int setup) {
         beginLine("CANCEL").append(' ').append(id.name()).append(' ').append(setup).append('\n');
     }
 
@@ -69,12 +69,12 @@
     }
 
     @Override
-    public void askRoster() {
+    public void requestRoster() {
         beginLine("PULL").append('\n');
     }
 
     @Override
-    public void tellNode(int node, byte[] content) {
+    public void sendToNode(int node, byte[] content) {
         beginLine("SHARE")
                 .append(' ')
                 .append(node)
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void tellAllNodes(byte[] content) {
+    public void sendToAllNodes(byte[] content) {
         beginLine("SHARE").append(" * ").append(base64(content)).append('\n');
     }
 
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public void note(String line) {
+    public void logForOperators(String line) {
         beginLine("JOURNAL_LINE").append(' ').append(line.replaceAll("\\s+", " ")).append('\n');
     }
 
--- a/node/src/main/java/embershift/operations/Desk.java
+++ b/node/src/main/java/embershift/operations/OperatorApi.java
@@ -17,18 +17,18 @@
 /**
  * What operators may call, and what each call is answered; no sockets. One thread, the router's.
  */
-public final class Desk {
+public final class OperatorApi {
 
-    private static final String ROOT = "api";
+    private static final String PATH_ROOT = "api";
 
     private final Router router;
-    private final Bans bans;
+    private final HostEjections ejections;
     private final BooleanSupplier ready;
 
     /** {@code ready} says whether clients are taken now. */
-    public Desk(Router router, Bans bans, BooleanSupplier ready) {
+    public OperatorApi(Router router, HostEjections ejections, BooleanSupplier ready) {
         this.router = router;
-        this.bans = bans;
+        this.ejections = ejections;
         this.ready = ready;
     }
 
@@ -37,22 +37,23 @@
      * waited}: it may have lain here so long that its caller has given up, and has since had the
      * contrary done at another process.
      */
-    public void take(HttpRequestParser call, boolean waited, Consumer<HttpResponse> answer) {
-        List<String> path = call.path();
-        String name = path.size() > 1 && path.get(0).equals(ROOT) ? path.get(1) : "";
-        boolean figures = path.size() == 2 && (name.equals("ready") || name.equals("telemetry"));
-        boolean byHand = path.size() == 3 && (name.equals("exclude") || name.equals("include"));
-        String method = byHand ? "POST" : "GET";
-        if (!figures && !byHand) {
+    public void handle(
+            HttpRequestParser request, boolean mayBeStale, Consumer<HttpResponse> answer) {
+        List<String> path = request.path();
+        String name = path.size() > 1 && path.get(0).equals(PATH_ROOT) ? path.get(1) : "";
+        boolean isQuery = path.size() == 2 && (name.equals("ready") || name.equals("telemetry"));
+        boolean isEjection = path.size() == 3 && (name.equals("exclude") || name.equals("include"));
+        String method = isEjection ? "POST" : "GET";
+        if (!isQuery && !isEjection) {
             answer.accept(HttpResponse.error(404, "no such call"));
-        } else if (!call.method().equals(method)) {
+        } else if (!request.method().equals(method)) {
             answer.accept(HttpResponse.methodNotAllowed(method));
-        } else if (byHand && waited) {
+        } else if (isEjection && mayBeStale) {
             answer.accept(
                     HttpResponse.error(
                             503, "this process stood still, nothing was changed: call again"));
-        } else if (byHand) {
-            byHand(new HostId(path.get(2)), name.equals("exclude"), answer);
+        } else if (isEjection) {
+            setEjected(new HostId(path.get(2)), name.equals("exclude"), answer);
         } else {
             answer.accept(name.equals("ready") ? ready() : telemetry());
         }
@@ -64,17 +65,17 @@
                 : HttpResponse.error(503, "this node takes no clients now");
     }
 
-    private void byHand(HostId host, boolean out, Consumer<HttpResponse> answer) {
+    private void setEjected(HostId host, boolean ejected, Consumer<HttpResponse> answer) {
         if (!router.knows(host)) {
             answer.accept(HttpResponse.error(404, "no host " + host.name() + " is known here"));
             return;
         }
-        bans.change(
+        ejections.setEjected(
                 host,
-                out,
+                ejected,
                 end ->
                         answer.accept(
-                                end == Bans.End.TOO_LATE
+                                end == HostEjections.Outcome.TOO_LATE
                                         ? HttpResponse.error(
                                                 503,
                                                 "this process stood still in the middle of it: look which hosts are out, call again")
@@ -83,9 +84,9 @@
                                                 "{\"host\":"
                                                         + Json.quote(host.name())
                                                         + ",\"out\":"
-                                                        + bans.holds(host)
+                                                        + ejections.isEjected(host)
                                                         + ",\"kept\":"
-                                                        + (end == Bans.End.KEPT)
+                                                        + (end == HostEjections.Outcome.KEPT)
                                                         + "}")));
     }
 
@@ -106,7 +107,7 @@
             comma = ",";
         }
         out.append("},\"relayed\":")
-                .append(tally.of(Tally.RELAYED))
+                .append(tally.of(Tally.SETUPS_WRITTEN))
                 .append(",\"open_requests\":")
                 .append(router.openTunnels())
                 .append(",\"registry_entries\":")
@@ -114,7 +115,7 @@
                 .append(",\"out_of_rotation\":")
                 .append(router.avoidedHosts())
                 .append(",\"declined\":{\"want_of_descriptors\":")
-                .append(tally.of(Tally.NO_DESCRIPTORS));
+                .append(tally.of(Tally.DECLINED_FOR_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
             out.append(',')
                     .append(Json.quote(reason.name().toLowerCase(Locale.ROOT)))
--- a/node/src/main/java/embershift/operations/Callers.java
+++ b/node/src/main/java/embershift/operations/OperatorServer.java
@@ -18,43 +18,43 @@
  * keeps nobody out: their number and time are bounded, and the oldest of them gives way to the next
  * that comes.
  */
-public final class Callers {
+public final class OperatorServer {
 
     /**
      * Callers without a whole call at one time; the other descriptors are for answers on their way
      * out.
      */
-    private static final int MOST = Router.OPERATORS * 3 / 4;
+    private static final int MAX_WAITING = Router.OPERATOR_DESCRIPTORS * 3 / 4;
 
     /**
      * Of the descriptors for operators, those for callers that the loop has accepted and not handed
      * over.
      */
-    private static final int AHEAD = 8;
+    private static final int ACCEPTED_AHEAD = 8;
 
     /** Seconds from the accept within which the whole call must have come. */
-    private static final double PATIENCE = 5;
+    private static final double REQUEST_TIMEOUT_SECONDS = 5;
 
     private final EventLoop loop;
-    private final Desk desk;
+    private final OperatorApi api;
     private final Tally tally;
 
     /** Those without a whole call, oldest first. */
-    private final Set<Caller> waiting = new LinkedHashSet<>();
+    private final Set<OperatorConnection> waiting = new LinkedHashSet<>();
 
-    private final Stillness stillness;
-    private EventLoop.Acceptor listening;
+    private final StallDetector stallDetector;
+    private EventLoop.Acceptor listener;
 
-    public Callers(EventLoop loop, Desk desk, Tally tally) {
+    public OperatorServer(EventLoop loop, OperatorApi api, Tally tally) {
         this.loop = loop;
-        this.desk = desk;
+        this.api = api;
         this.tally = tally;
-        stillness = new Stillness(loop.now());
+        stallDetector = new StallDetector(loop.now());
     }
 
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        beat();
-        listening =
+        heartbeat();
+        listener =
                 loop.listen(
                         address,
                         new EventLoop.Admission() {
@@ -65,21 +65,23 @@
 
                             @Override
                             public int freeDescriptors() {
-                                return listening == null
+                                return listener == null
                                         ? 0
-                                        : Router.OPERATORS - AHEAD - listening.openConnections();
+                                        : Router.OPERATOR_DESCRIPTORS
+                                                - ACCEPTED_AHEAD
+                                                - listener.openConnections();
                             }
                         },
                         link -> {
                             tally.count("operators' connections");
-                            new Caller(link);
+                            new OperatorConnection(link);
                         });
-        return listening.localAddress();
+        return listener.localAddress();
     }
 
-    private void beat() {
-        stillness.beat(loop.now());
-        loop.schedule(Stillness.BEAT, this::beat);
+    private void heartbeat() {
+        stallDetector.heartbeat(loop.now());
+        loop.schedule(StallDetector.HEARTBEAT_SECONDS, this::heartbeat);
     }
 
     /**
@@ -88,59 +90,60 @@
      * operators have to be heard all the more.
      */
     private boolean makeRoom() {
-        while (waiting.size() >= MOST) {
-            giveWay();
+        while (waiting.size() >= MAX_WAITING) {
+            evictOldest();
         }
-        while (listening.openConnections() > Router.OPERATORS - AHEAD) {
-            if (!listening.closeOldestLingering() && !giveWay()) {
+        while (listener.openConnections() > Router.OPERATOR_DESCRIPTORS - ACCEPTED_AHEAD) {
+            if (!listener.closeOldestLingering() && !evictOldest()) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean giveWay() {
-        Iterator<Caller> oldest = waiting.iterator();
+    private boolean evictOldest() {
+        Iterator<OperatorConnection> oldest = waiting.iterator();
         if (!oldest.hasNext()) {
             return false;
         }
         tally.count("operators' connections that gave way");
-        Caller caller = oldest.next();
+        OperatorConnection caller = oldest.next();
         caller.answer(HttpResponse.error(503, "others call, and no whole call has come here"));
         // Nothing that it sent is unread, so the answer is not lost by this.
         caller.link.close();
         return true;
     }
 
-    private final class Caller implements TcpConnection.Listener {
+    private final class OperatorConnection implements TcpConnection.Listener {
         private final TcpConnection link;
-        private final HttpRequestParser call = new HttpRequestParser();
-        private final EventLoop.Timer patience;
+        private final HttpRequestParser request = new HttpRequestParser();
+        private final EventLoop.Timer timeout;
 
-        Caller(TcpConnection link) {
+        OperatorConnection(TcpConnection link) {
             this.link = link;
             waiting.add(this);
-            patience =
+            timeout =
                     loop.schedule(
-                            PATIENCE, () -> last(HttpResponse.error(408, "no whole call came")));
+                            REQUEST_TIMEOUT_SECONDS,
+                            () -> answerAndFinish(HttpResponse.error(408, "no whole call came")));
             link.setListener(this);
         }
 
         private void answer(HttpResponse answer) {
-            leaveQueue();
+            stopWaiting();
             if (!link.isClosed()) {
                 tally.count("operators' calls answered " + answer.status());
                 link.write(answer.encode());
             }
         }
 
-        private void last(HttpResponse answer) {
+        private void answerAndFinish(HttpResponse answer) {
             answer(answer);
             link.closeGracefully();
         }
 
-        private void leaveQueue() {
-            patience.cancel();
+        private void stopWaiting() {
+            timeout.cancel();
             waiting.remove(this);
         }
 
@@ -150,12 +153,13 @@
                 return;
             }
             try {
-                if (call.parse(bytes)) {
-                    leaveQueue();
-                    desk.take(call, stillness.mayHaveWaited(loop.now()), this::last);
+                if (request.parse(bytes)) {
+                    stopWaiting();
+                    api.handle(
+                            request, stallDetector.mayBeStale(loop.now()), this::answerAndFinish);
                 }
             } catch (HttpRequestParser.RejectedException e) {
-                last(HttpResponse.error(e.status(), e.getMessage()));
+                answerAndFinish(HttpResponse.error(e.status(), e.getMessage()));
             }
         }
 
@@ -172,7 +176,7 @@
 
         @Override
         public void connectionLost() {
-            leaveQueue();
+            stopWaiting();
             link.close();
         }
     }
--- a/node/src/main/java/embershift/protocol/DeploymentReader.java
+++ b/node/src/main/java/embershift/protocol/DeploymentReader.java
@@ -1,10 +1,10 @@
 package embershift.protocol;
 
 import embershift.model.Deployment;
-import embershift.model.Deployment.Budget;
 import embershift.model.Deployment.DedupScope;
 import embershift.model.Deployment.Profile;
 import embershift.model.Deployment.Repeat;
+import embershift.model.Deployment.RetryBudget;
 import embershift.model.ProfileId;
 import embershift.model.ZoneId;
 import java.util.ArrayList;
@@ -129,17 +129,15 @@
         }
     }
 
-    /**
-     * Reads the budget for additional setups: three settings that are either all set or all absent.
-     */
-    private Budget budget() throws MalformedDataException {
+    /** Reads the retry budget: three settings that are either all set or all absent. */
+    private RetryBudget budget() throws MalformedDataException {
         List<String> paths =
                 List.of("rules.extra-free", "rules.repeat-ratio", "rules.resend-span-s");
         if (paths.stream().noneMatch(this::isSet)) {
-            return Budget.NONE;
+            return RetryBudget.NONE;
         }
-        Budget budget =
-                new Budget(number(paths.get(0)), number(paths.get(1)), number(paths.get(2)));
+        RetryBudget budget =
+                new RetryBudget(number(paths.get(0)), number(paths.get(1)), number(paths.get(2)));
         for (String path : paths) {
             double min = path.endsWith("span-s") ? Double.MIN_VALUE : 0;
             double value = number(path);
--- a/node/src/main/java/embershift/protocol/RosterUpdate.java
+++ b/node/src/main/java/embershift/protocol/RosterUpdate.java
@@ -1,7 +1,7 @@
 package embershift.protocol;
 
 import embershift.model.HostId;
-import embershift.model.Listing;
+import embershift.model.RosterEntry;
 import embershift.model.ZoneId;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
 public record RosterUpdate(
         long generation,
         boolean full,
-        List<Listing> listings,
+        List<RosterEntry> listings,
         Map<HostId, InetSocketAddress> addresses,
         int malformedEntries) {
 
@@ -29,12 +29,12 @@
     /** Reads an update that is part of a larger JSON text. */
     public static RosterUpdate fromJson(Object json) throws MalformedDataException {
         JsonObject update = new JsonObject("list of hosts", json);
-        List<Listing> listings = new ArrayList<>();
+        List<RosterEntry> listings = new ArrayList<>();
         Map<HostId, InetSocketAddress> addresses = new LinkedHashMap<>();
         int malformedEntries = 0;
         for (JsonObject item : update.items("instances")) {
             try {
-                Listing listing = listing(item);
+                RosterEntry listing = listing(item);
                 String address = item.textOr("hostPort", null);
                 if (address != null) {
                     addresses.put(listing.host(), Addresses.parse(address));
@@ -53,16 +53,16 @@
                 malformedEntries);
     }
 
-    private static Listing listing(JsonObject item) throws MalformedDataException {
-        Listing.State state =
+    private static RosterEntry listing(JsonObject item) throws MalformedDataException {
+        RosterEntry.State state =
                 switch (item.textOr("lifecycle", "")) {
-                    case "in_service" -> Listing.State.READY;
-                    case "terminating" -> Listing.State.DRAINING;
+                    case "in_service" -> RosterEntry.State.READY;
+                    case "terminating" -> RosterEntry.State.DRAINING;
                     // A state introduced by a later version must not make the whole update fail.
-                    default -> Listing.State.GONE;
+                    default -> RosterEntry.State.GONE;
                 };
         String zone = item.textOr("zone", null);
-        return new Listing(
+        return new RosterEntry(
                 new HostId(item.text("instanceId")),
                 state,
                 zone == null ? null : new ZoneId(zone),
--- a/node/src/main/java/embershift/routing/Passage.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
 import embershift.model.DeclineReason;
-import embershift.model.SetupEnd;
+import embershift.model.SetupOutcome;
 import embershift.model.TunnelId;
 import embershift.protocol.HostLine;
 import embershift.protocol.HostLineTracker;
@@ -19,30 +19,30 @@
  * One tunnel on this node, from its client's connection to its end: both sides, and what is
  * between.
  */
-final class Passage {
+final class TunnelRelay {
 
     /** Where a tunnel is: its first line, with the module, open, on its way out, or over. */
     private enum State {
-        GREETING,
-        TAKEN,
+        AWAITING_OPEN,
+        PENDING,
         OPEN,
-        ENDING,
-        OVER
+        CLOSING,
+        CLOSED
     }
 
     /**
      * What a client may send ahead of its host's answer: who sends more is not waiting, and must
      * still be read to its end.
      */
-    private static final int AHEAD = 8 * 1024;
+    private static final int MAX_EARLY_BYTES = 8 * 1024;
 
     /** Questions that one connection may ask before it opens: hundreds at once are no front's. */
-    private static final int MOST_PINGS = 16;
+    private static final int MAX_PINGS = 16;
 
     private final Router router;
     private final TcpConnection client;
-    private State state = State.GREETING;
-    private LineCodec greeting = new LineCodec();
+    private State state = State.AWAITING_OPEN;
+    private LineCodec firstLineReader = new LineCodec();
     private int pings;
     private OpenRequest opening;
 
@@ -53,27 +53,27 @@
     private TunnelId id;
 
     private double clientTimeoutAt;
-    private ByteBuffer ahead;
-    private EventLoop.Timer overdue;
-    private boolean askingToMove;
-    private boolean unlinked;
+    private ByteBuffer earlyBytes;
+    private EventLoop.Timer answerTimer;
+    private boolean moveRequested;
+    private boolean needsHostConnection;
 
     /** The setup that was sent last, and all that is known of it. */
     private Setup setup;
 
-    private int setups;
-    private double firstSentAt;
+    private int setupCount;
+    private double firstSetupSentAt;
 
     /**
      * Until when it may be sent again, once it may have run: the module's word is older than a
      * host's late connection.
      */
-    private double repeatsUntil = Double.POSITIVE_INFINITY;
+    private double repeatableUntil = Double.POSITIVE_INFINITY;
 
-    private HostLineTracker trail;
-    private PartialLineBuffer tail;
+    private HostLineTracker hostLineTracker;
+    private PartialLineBuffer partialLineBuffer;
 
-    Passage(Router router, TcpConnection client) {
+    TunnelRelay(Router router, TcpConnection client) {
         this.router = router;
         this.client = client;
         client.setListener(new ClientSide());
@@ -81,27 +81,27 @@
 
     // ---- The client's first lines ----
 
-    private void greet(ByteBuffer bytes) {
+    private void readFirstLines(ByteBuffer bytes) {
         try {
-            while (state == State.GREETING) {
-                byte[] line = greeting.next(bytes);
+            while (state == State.AWAITING_OPEN) {
+                byte[] line = firstLineReader.next(bytes);
                 if (line == null) {
                     return;
                 }
-                take(line);
+                handleFirstLine(line);
             }
         } catch (MalformedDataException e) {
-            refuse(e.getMessage());
+            rejectFirstLine(e.getMessage());
         }
     }
 
-    private void take(byte[] line) throws MalformedDataException {
+    private void handleFirstLine(byte[] line) throws MalformedDataException {
         String text = LineCodec.decode(line);
         if (text.equals("PING")) {
-            if (router.stopping()) {
+            if (router.isStopping()) {
                 throw new MalformedDataException("this node stops");
             }
-            if (++pings > MOST_PINGS) {
+            if (++pings > MAX_PINGS) {
                 throw new MalformedDataException("too many questions");
             }
             router.tally().count("pings answered");
@@ -116,21 +116,22 @@
             opening = null;
             throw new MalformedDataException("this id has been used");
         }
-        id = router.named(opening.id());
-        greeting = null;
-        router.strangers().end(this);
-        double margin = Router.margin(opening.clientTimeout());
+        id = router.uniqueId(opening.id());
+        firstLineReader = null;
+        router.unopenedConnections().remove(this);
+        double margin = Router.answerMargin(opening.clientTimeout());
         clientTimeoutAt = router.now() + opening.clientTimeout() - margin;
-        state = State.TAKEN;
-        unlinked(true);
-        overdue = router.loop().schedule(opening.clientTimeout() - margin / 2, this::overdue);
-        router.taken(this);
+        state = State.PENDING;
+        setNeedsHostConnection(true);
+        answerTimer =
+                router.loop().schedule(opening.clientTimeout() - margin / 2, this::answerOverdue);
+        router.tunnelAccepted(this);
     }
 
     /** Guards rule 1 whatever befalls the module: the client hears before it stops waiting. */
-    private void overdue() {
-        if (state == State.TAKEN) {
-            failUnasked("tunnels overdue", "out of time");
+    private void answerOverdue() {
+        if (state == State.PENDING) {
+            failLocally("tunnels overdue", "out of time");
         }
     }
 
@@ -138,62 +139,62 @@
      * Ends a tunnel that still waits, without the module, which hears of it; a setup that is out is
      * given up.
      */
-    private void failUnasked(String counted, String why) {
+    private void failLocally(String counted, String why) {
         router.tally().count(counted);
-        router.hear(news -> news.tunnelLeft(id));
-        answer("ERR " + why, Outcome.CLOSED_WITH_ERROR);
+        router.enqueueNews(news -> news.tunnelAbandoned(id));
+        sendFinalAnswer("ERR " + why, Outcome.CLOSED_WITH_ERROR);
     }
 
     /** Says what is wrong with a first line, and ends the connection. */
-    void refuse(String why) {
+    void rejectFirstLine(String why) {
         router.tally().count("first lines refused");
         client.write(LineCodec.encode("ERR " + why));
-        over();
+        markClosed();
         client.closeGracefully();
     }
 
     /** Reads what it has sent by now; whether no tunnel has come of that. */
-    boolean stillStranger() {
+    boolean isUnopenedAfterRead() {
         client.readAvailable();
-        return state == State.GREETING;
+        return state == State.AWAITING_OPEN;
     }
 
     /**
      * No whole first line has come in time, or others need the room: who only asked needs no word.
      */
-    void greetingOver(String word) {
-        if (pings == 0 || greeting.hasPartialLine()) {
+    void closeUnopened(String word) {
+        if (pings == 0 || firstLineReader.hasPartialLine()) {
             client.write(LineCodec.encode(word));
         }
-        over();
+        markClosed();
         client.closeGracefully();
     }
 
     /** Whether it still needs a connection to a host that it does not have. */
-    private void unlinked(boolean is) {
-        if (unlinked != is) {
-            unlinked = is;
-            router.wantsLink(is);
+    private void setNeedsHostConnection(boolean is) {
+        if (needsHostConnection != is) {
+            needsHostConnection = is;
+            router.hostConnectionNeeded(is);
         }
     }
 
-    private void over() {
-        if (state == State.GREETING) {
-            router.strangers().end(this);
+    private void markClosed() {
+        if (state == State.AWAITING_OPEN) {
+            router.unopenedConnections().remove(this);
         }
-        unlinked(false);
-        if (overdue != null) {
-            overdue.cancel();
-            overdue = null;
+        setNeedsHostConnection(false);
+        if (answerTimer != null) {
+            answerTimer.cancel();
+            answerTimer = null;
         }
-        state = State.OVER;
-        endSilence();
-        ahead = null;
+        state = State.CLOSED;
+        stopReplyTimeouts();
+        earlyBytes = null;
     }
 
-    private double endSilence() {
-        router.longSilences().end(this);
-        return router.silences().end(this);
+    private double stopReplyTimeouts() {
+        router.quietTunnels().remove(this);
+        return router.awaitingReply().remove(this);
     }
 
     OpenRequest opening() {
@@ -205,8 +206,8 @@
     }
 
     /** Whether a first line has begun to come, and may still become a tunnel. */
-    boolean greetingBegun() {
-        return state == State.GREETING && greeting.hasPartialLine();
+    boolean hasPartialFirstLine() {
+        return state == State.AWAITING_OPEN && firstLineReader.hasPartialLine();
     }
 
     double timeLeft(double now) {
@@ -219,21 +220,21 @@
      * Sends the next setup, unless the client has left; {@code timeOut} 0 waits as long as the
      * client does.
      */
-    boolean setUp(Contact contact, double timeOut) {
+    boolean sendSetup(HostEndpoint contact, double timeOut) {
         // What was decided may be late: a list that came in the same wake-up, a round behind a
         // pause of the process. A host
         // may count an attempt from its connection on, so the client is looked at before that is
         // begun.
-        if (state == State.TAKEN) {
+        if (state == State.PENDING) {
             client.readAvailable();
         }
-        if (state != State.TAKEN) {
+        if (state != State.PENDING) {
             return false;
         }
         double left = timeLeft(router.now());
-        setup = new Setup(contact, setups++);
-        firstSentAt = setups == 1 ? setup.sentAt : firstSentAt;
-        setup.begin(timeOut == 0 ? left : Math.min(left, timeOut));
+        setup = new Setup(contact, setupCount++);
+        firstSetupSentAt = setupCount == 1 ? setup.sentAt : firstSetupSentAt;
+        setup.start(timeOut == 0 ? left : Math.min(left, timeOut));
         return true;
     }
 
@@ -249,40 +250,40 @@
      */
     /** The final answer that the module declines it. */
     void decline(String line, DeclineReason reason) {
-        if (state == State.TAKEN) {
+        if (state == State.PENDING) {
             router.tally().count(reason);
         }
-        answer(line, Outcome.DECLINED);
+        sendFinalAnswer(line, Outcome.DECLINED);
     }
 
-    void answer(String line, Outcome outcome) {
-        if (state != State.TAKEN) {
+    void sendFinalAnswer(String line, Outcome outcome) {
+        if (state != State.PENDING) {
             return;
         }
         router.tally().count(outcome, opening.profile());
         client.write(LineCodec.encode(line));
-        over();
+        markClosed();
         client.closeGracefully();
         if (setup != null) {
             setup.cancel();
         }
-        router.forget(this);
+        router.remove(this);
     }
 
     /** Tells an open tunnel's client to come again, as soon as no line is in the middle. */
     void move() {
-        if (state != State.OPEN || askingToMove) {
+        if (state != State.OPEN || moveRequested) {
             return;
         }
-        askingToMove = true;
-        moveBetweenLines();
+        moveRequested = true;
+        moveIfBetweenLines();
     }
 
-    private void moveBetweenLines() {
-        if (askingToMove && state == State.OPEN && trail.atLineBoundary()) {
+    private void moveIfBetweenLines() {
+        if (moveRequested && state == State.OPEN && hostLineTracker.atLineBoundary()) {
             router.tally().count("tunnels moved");
             client.write(LineCodec.encode("MOVE"));
-            finish(SetupEnd.CANCELLED, LoadReport.NONE);
+            endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
             client.closeGracefully();
             setup.link.closeGracefully();
         }
@@ -292,22 +293,22 @@
      * No line has come back for a while. Where the host does not answer questions either, it has
      * vanished; else the module hears of it, which asks the host, and the tunnel waits for longer.
      */
-    void quiet() {
+    void onHostQuiet() {
         if (client.hasPendingWrites()) {
             // A client that does not read keeps its host's lines from coming; that is no host's
             // silence.
             return;
         }
-        if (setup.contact.unheard()) {
-            silent();
+        if (setup.contact.isUnresponsive()) {
+            onHostSilent();
         } else {
             double now = router.now();
-            setup.contact.messageTook(Router.QUIET, now);
-            router.longSilences().begin(this, now);
+            setup.contact.recordMessageDelay(Router.QUIET_SECONDS, now);
+            router.quietTunnels().add(this, now);
         }
     }
 
-    boolean isAt(Contact contact) {
+    boolean isAt(HostEndpoint contact) {
         return setup != null && setup.contact == contact;
     }
 
@@ -315,31 +316,31 @@
      * No line has come back from the host for too long: as it says nothing, its client is sent
      * away.
      */
-    void silent() {
+    void onHostSilent() {
         if (state == State.OPEN) {
             router.tally().count("tunnels at silent hosts");
-            if (trail.atLineBoundary()) {
+            if (hostLineTracker.atLineBoundary()) {
                 client.write(LineCodec.encode("MOVE"));
             }
-            finish(SetupEnd.BROKEN, LoadReport.NONE);
+            endTunnel(SetupOutcome.BROKEN, LoadReport.NONE);
             client.closeGracefully();
             setup.link.close();
         }
     }
 
     /** The open tunnel has ended; the module hears it once. */
-    private void finish(SetupEnd end, LoadReport report) {
-        over();
-        tellEnd(setup, end, report, true);
-        router.forget(this);
+    private void endTunnel(SetupOutcome end, LoadReport report) {
+        markClosed();
+        reportSetupEnd(setup, end, report, true);
+        router.remove(this);
     }
 
-    private void tellEnd(Setup of, SetupEnd end, LoadReport report, boolean last) {
+    private void reportSetupEnd(Setup of, SetupOutcome end, LoadReport report, boolean last) {
         double took = router.now() - of.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
-        router.hear(
+        router.enqueueNews(
                 news -> {
-                    of.contact.tell(news, report);
+                    of.contact.reportLoad(news, report);
                     news.setupEnded(id, of.number, of.contact.host, end, took, last);
                 });
     }
@@ -351,17 +352,17 @@
         @Override
         public void received(ByteBuffer bytes) {
             switch (state) {
-                case GREETING -> {
-                    greet(bytes);
-                    if (state != State.GREETING && bytes.hasRemaining()) {
+                case AWAITING_OPEN -> {
+                    readFirstLines(bytes);
+                    if (state != State.AWAITING_OPEN && bytes.hasRemaining()) {
                         received(bytes);
                     }
                 }
-                case TAKEN -> keepAhead(bytes);
+                case PENDING -> keepEarlyBytes(bytes);
                 case OPEN -> {
-                    if (!router.longSilences().has(Passage.this)
+                    if (!router.quietTunnels().contains(TunnelRelay.this)
                             && LineCodec.containsLineEnd(bytes)) {
-                        router.silences().begin(Passage.this, router.now());
+                        router.awaitingReply().add(TunnelRelay.this, router.now());
                     }
                     router.tally().add("bytes to hosts", bytes.remaining());
                     setup.link.write(bytes);
@@ -370,24 +371,24 @@
                     }
                 }
                 default -> {
-                    if (state == State.ENDING && setup != null) {
+                    if (state == State.CLOSING && setup != null) {
                         setup.link.write(bytes);
                     }
                 }
             }
         }
 
-        private void keepAhead(ByteBuffer bytes) {
+        private void keepEarlyBytes(ByteBuffer bytes) {
             ByteBuffer grown =
                     ByteBuffer.allocate(
-                            (ahead == null ? 0 : ahead.remaining()) + bytes.remaining());
-            if (ahead != null) {
-                grown.put(ahead);
+                            (earlyBytes == null ? 0 : earlyBytes.remaining()) + bytes.remaining());
+            if (earlyBytes != null) {
+                grown.put(earlyBytes);
             }
-            ahead = grown.put(bytes).flip();
-            if (ahead.remaining() > AHEAD) {
+            earlyBytes = grown.put(bytes).flip();
+            if (earlyBytes.remaining() > MAX_EARLY_BYTES) {
                 // Left unread until a host answers, its end would go unseen.
-                failUnasked("tunnels closed for what was sent ahead", "too much before the answer");
+                failLocally("tunnels closed for what was sent ahead", "too much before the answer");
             }
         }
 
@@ -397,19 +398,19 @@
                 case OPEN -> {
                     // The host may still say BYE; what ends the tunnel is the end of its
                     // connection.
-                    state = State.ENDING;
-                    endSilence();
+                    state = State.CLOSING;
+                    stopReplyTimeouts();
                     setup.link.shutdownOutput();
-                    router.endings().begin(Passage.this, router.now());
+                    router.closingTunnels().add(TunnelRelay.this, router.now());
                 }
-                case ENDING -> close();
-                default -> left(false);
+                case CLOSING -> close();
+                default -> clientLeft(false);
             }
         }
 
         @Override
         public void connectionLost() {
-            left(true);
+            clientLeft(true);
         }
 
         @Override
@@ -421,11 +422,11 @@
     }
 
     /** The client is gone. */
-    private void left(boolean reset) {
+    private void clientLeft(boolean reset) {
         State was = state;
-        if (was == State.OPEN || was == State.ENDING) {
-            router.endings().end(this);
-            finish(SetupEnd.CANCELLED, LoadReport.NONE);
+        if (was == State.OPEN || was == State.CLOSING) {
+            router.closingTunnels().remove(this);
+            endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
             if (reset) {
                 setup.link.reset();
             } else {
@@ -434,74 +435,81 @@
             client.close();
             return;
         }
-        over();
+        markClosed();
         client.close();
-        if (was == State.TAKEN) {
+        if (was == State.PENDING) {
             router.tally().count("tunnels left early");
             router.tally()
                     .count("tunnels left early " + (setup == null ? "unplaced" : setup.stage()));
-            router.hear(news -> news.tunnelLeft(id));
+            router.enqueueNews(news -> news.tunnelAbandoned(id));
             if (setup != null) {
                 setup.cancel();
             }
-            router.forget(this);
+            router.remove(this);
         }
     }
 
     /** The node stops: what is still here ends now, as politely as may be. */
     void stop() {
         switch (state) {
-            case TAKEN -> answer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
+            case PENDING -> sendFinalAnswer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
             case OPEN -> {
-                if (trail.atLineBoundary()) {
+                if (hostLineTracker.atLineBoundary()) {
                     client.write(LineCodec.encode("MOVE"));
                 }
-                finish(SetupEnd.CANCELLED, LoadReport.NONE);
+                endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
                 client.closeGracefully();
                 setup.link.close();
             }
             // Its client has taken its leave: the end goes on to both sides, as it would when the
             // host answers.
-            case ENDING -> close();
+            case CLOSING -> close();
             default -> {}
         }
     }
 
     /** An ending that the host does not answer. */
-    void endingTooLong() {
-        if (state == State.ENDING) {
+    void onClosingTimeout() {
+        if (state == State.CLOSING) {
             close();
         }
     }
 
     private void close() {
-        router.endings().end(this);
-        finish(SetupEnd.CANCELLED, LoadReport.NONE);
+        router.closingTunnels().remove(this);
+        endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
         client.closeGracefully();
         setup.link.closeGracefully();
     }
 
     /** The host has ended its sending, or its connection broke, on an open tunnel. */
     private void hostEnded(boolean reset) {
-        if (state == State.OVER) {
+        if (state == State.CLOSED) {
             return;
         }
-        ByteBuffer rest = reset ? null : tail.takeRemainder();
+        ByteBuffer rest = reset ? null : partialLineBuffer.takeRemainder();
         if (rest != null) {
-            setup.toClient(rest);
+            setup.writeToClient(rest);
         }
-        HostLine.Type last = trail.atLineBoundary() ? trail.lastLine().type() : HostLine.Type.OTHER;
+        HostLine.Type last =
+                hostLineTracker.atLineBoundary()
+                        ? hostLineTracker.lastLine().type()
+                        : HostLine.Type.OTHER;
         // A host that takes its leave while a client's line is under way has its end turned into a
         // reset.
         boolean tookLeave = last == HostLine.Type.BYE || last == HostLine.Type.MOVE;
-        SetupEnd end =
+        SetupOutcome end =
                 last == HostLine.Type.BYE
-                        ? SetupEnd.COMPLETED
-                        : tookLeave || (state == State.ENDING && !reset)
-                                ? SetupEnd.CANCELLED
-                                : SetupEnd.BROKEN;
-        router.endings().end(this);
-        finish(end, end == SetupEnd.COMPLETED ? trail.lastLine().report() : LoadReport.NONE);
+                        ? SetupOutcome.COMPLETED
+                        : tookLeave || (state == State.CLOSING && !reset)
+                                ? SetupOutcome.CANCELLED
+                                : SetupOutcome.BROKEN;
+        router.closingTunnels().remove(this);
+        endTunnel(
+                end,
+                end == SetupOutcome.COMPLETED
+                        ? hostLineTracker.lastLine().report()
+                        : LoadReport.NONE);
         if (reset && !tookLeave) {
             client.reset();
         } else {
@@ -512,69 +520,71 @@
 
     /** A setup, and the tunnel that comes of it, on the connection to its host. */
     private final class Setup implements TcpConnection.Listener {
-        final Contact contact;
+        final HostEndpoint contact;
         final int number;
         final double sentAt = router.now();
         TcpConnection link;
-        private LineCodec lines = new LineCodec();
+        private LineCodec lineReader = new LineCodec();
         private EventLoop.Timer timer;
-        private double waitsUntil;
+        private double deadline;
 
         /**
          * Whether the last byte of the first line has been handed over: from then on it may have
          * run.
          */
-        private boolean written;
+        private boolean firstLineWritten;
 
-        private boolean answered;
+        private boolean resolved;
 
         /**
          * How it will end once its connection has, where this node has given it up; null before.
          */
-        private SetupEnd givenUp;
+        private SetupOutcome pendingEnd;
 
-        Setup(Contact contact, int number) {
+        Setup(HostEndpoint contact, int number) {
             this.contact = contact;
             this.number = number;
         }
 
-        void begin(double wait) {
+        void start(double wait) {
             router.tally().count("setups sent");
-            waitsUntil = sentAt + wait;
+            deadline = sentAt + wait;
             if (wait <= 0 || contact.address() == null) {
-                router.loop().execute(() -> end(SetupEnd.NOT_SENT, LoadReport.NONE));
+                router.loop().execute(() -> end(SetupOutcome.NOT_SENT, LoadReport.NONE));
                 return;
             }
-            unlinked(false);
+            setNeedsHostConnection(false);
             link = router.loop().connect(contact.address(), this);
             timer =
                     router.loop()
                             .schedule(
                                     Math.min(wait, router.connectTimeout()),
-                                    () -> end(SetupEnd.NO_CONNECTION, LoadReport.NONE));
+                                    () -> end(SetupOutcome.NO_CONNECTION, LoadReport.NONE));
         }
 
         @Override
         public void connected() {
             timer.cancel();
             client.readAvailable();
-            if (answered) {
+            if (resolved) {
                 // The client had left: nothing goes on for it.
                 return;
             }
-            double wait = waitsUntil - router.now();
-            if (wait <= 0 || (!standing() && !contact.takesNew()) || router.now() >= repeatsUntil) {
+            double wait = deadline - router.now();
+            if (wait <= 0
+                    || (!standing() && !contact.acceptsNewTunnels())
+                    || router.now() >= repeatableUntil) {
                 // This node came late to it, or was told meanwhile that the host drains or is gone:
                 // by the time that the
                 // connection took, the grace may be over, and so may the time in which a repeat is
                 // dropped (rule 2).
                 // None of these is a host out of reach.
-                end(SetupEnd.NOT_SENT, LoadReport.NONE);
+                end(SetupOutcome.NOT_SENT, LoadReport.NONE);
                 return;
             }
             timer = router.loop().schedule(wait, this::timedOut);
             if (link.write(opening.encodeForHost(wait)) && !link.hasPendingWrites()) {
-                writtenWhole();
+                markFirstLineWritten();
             }
         }
 
@@ -584,7 +594,7 @@
          */
         @Override
         public void beforeFlush() {
-            if (!written) {
+            if (!firstLineWritten) {
                 client.readAvailable();
             }
         }
@@ -593,33 +603,33 @@
         String stage() {
             return standing()
                     ? "standing before"
-                    : answered
+                    : resolved
                             ? "between setups"
-                            : givenUp != null
+                            : pendingEnd != null
                                     ? "while a setup ended"
-                                    : written
+                                    : firstLineWritten
                                             ? "while a host was asked"
                                             : "while a host was reached";
         }
 
-        private void writtenWhole() {
-            written = true;
-            router.tally().count(Tally.RELAYED);
+        private void markFirstLineWritten() {
+            firstLineWritten = true;
+            router.tally().count(Tally.SETUPS_WRITTEN);
         }
 
         @Override
         public void connectFailed() {
             link = null;
-            end(SetupEnd.NO_CONNECTION, LoadReport.NONE);
+            end(SetupOutcome.NO_CONNECTION, LoadReport.NONE);
         }
 
         private void timedOut() {
-            giveUp(SetupEnd.TIMED_OUT);
+            giveUp(SetupOutcome.TIMED_OUT);
         }
 
         void cancel() {
-            if (!answered && givenUp == null) {
-                giveUp(SetupEnd.CANCELLED);
+            if (!resolved && pendingEnd == null) {
+                giveUp(SetupOutcome.CANCELLED);
             }
         }
 
@@ -627,47 +637,49 @@
          * Ends the sending and waits a moment for the host's end: a setup is out until then, and no
          * other may follow before. A final answer that is due does not wait.
          */
-        private void giveUp(SetupEnd as) {
-            if (answered) {
+        private void giveUp(SetupOutcome as) {
+            if (resolved) {
                 return;
             }
-            if (!written || state != State.TAKEN || timeLeft(router.now()) < router.endPatience()) {
-                end(written ? as : SetupEnd.NO_CONNECTION, LoadReport.NONE);
+            if (!firstLineWritten
+                    || state != State.PENDING
+                    || timeLeft(router.now()) < router.giveUpTimeout()) {
+                end(firstLineWritten ? as : SetupOutcome.NO_CONNECTION, LoadReport.NONE);
                 return;
             }
-            givenUp = as;
+            pendingEnd = as;
             timer.cancel();
-            timer = router.loop().schedule(router.endPatience(), () -> end(as, LoadReport.NONE));
+            timer = router.loop().schedule(router.giveUpTimeout(), () -> end(as, LoadReport.NONE));
             link.shutdownOutput();
         }
 
-        private void end(SetupEnd end, LoadReport report) {
-            if (answered) {
+        private void end(SetupOutcome end, LoadReport report) {
+            if (resolved) {
                 return;
             }
-            answered = true;
+            resolved = true;
             if (timer != null) {
                 timer.cancel();
             }
             if (link != null) {
                 link.close();
             }
-            unlinked(state == State.TAKEN);
-            if (standing() && end.neverRan() && state == State.TAKEN) {
-                router.resumeLater(Passage.this);
+            setNeedsHostConnection(state == State.PENDING);
+            if (standing() && end.neverRan() && state == State.PENDING) {
+                router.resumeLater(TunnelRelay.this);
                 return;
             }
             if (standing()) {
                 router.tally().count("standing tunnels lost");
-                answer(
+                sendFinalAnswer(
                         "ERR host " + end.name().toLowerCase(java.util.Locale.ROOT),
                         Outcome.CLOSED_WITH_ERROR);
                 return;
             }
             if (!end.neverRan()) {
-                repeatsUntil = firstSentAt + router.repeatableFor(opening.profile());
+                repeatableUntil = firstSetupSentAt + router.repeatWindow(opening.profile());
             }
-            tellEnd(this, end, report, state != State.TAKEN);
+            reportSetupEnd(this, end, report, state != State.PENDING);
         }
 
         private boolean standing() {
@@ -676,23 +688,23 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            if (answered && state != State.OPEN && state != State.ENDING) {
+            if (resolved && state != State.OPEN && state != State.CLOSING) {
                 return;
             }
-            if (!answered) {
-                firstLine(bytes);
+            if (!resolved) {
+                readAnswer(bytes);
             }
-            if (bytes.hasRemaining() && (state == State.OPEN || state == State.ENDING)) {
-                passOn(bytes);
+            if (bytes.hasRemaining() && (state == State.OPEN || state == State.CLOSING)) {
+                relayToClient(bytes);
             }
         }
 
-        private void firstLine(ByteBuffer bytes) {
+        private void readAnswer(ByteBuffer bytes) {
             byte[] line;
             try {
-                line = lines.next(bytes);
+                line = lineReader.next(bytes);
             } catch (MalformedDataException e) {
-                end(SetupEnd.ERROR, LoadReport.NONE);
+                end(SetupOutcome.ERROR, LoadReport.NONE);
                 return;
             }
             if (line == null) {
@@ -700,71 +712,73 @@
             }
             HostLine said = HostLine.parse(LineCodec.decode(line));
             switch (said.type()) {
-                case UP -> up(line);
-                case BUSY -> end(SetupEnd.FULL, said.report());
-                default -> end(SetupEnd.ERROR, said.report());
+                case UP -> openTunnel(line);
+                case BUSY -> end(SetupOutcome.FULL, said.report());
+                default -> end(SetupOutcome.ERROR, said.report());
             }
         }
 
-        private void up(byte[] line) {
-            if (givenUp != null || state != State.TAKEN) {
+        private void openTunnel(byte[] line) {
+            if (pendingEnd != null || state != State.PENDING) {
                 // It came too late: this node has ended its sending, and the tunnel could not live
                 // so.
-                end(givenUp == null ? SetupEnd.CANCELLED : givenUp, LoadReport.NONE);
+                end(pendingEnd == null ? SetupOutcome.CANCELLED : pendingEnd, LoadReport.NONE);
                 return;
             }
-            answered = true;
-            lines = null;
+            resolved = true;
+            lineReader = null;
             timer.cancel();
-            overdue.cancel();
-            overdue = null;
+            answerTimer.cancel();
+            answerTimer = null;
             state = State.OPEN;
-            trail = new HostLineTracker();
-            tail = new PartialLineBuffer();
+            hostLineTracker = new HostLineTracker();
+            partialLineBuffer = new PartialLineBuffer();
             double took = router.now() - sentAt;
             if (standing()) {
                 router.tally().count("standing tunnels resumed");
             }
             router.tally().count(Outcome.OPENED, opening.profile());
             client.write(ByteBuffer.wrap(line));
-            router.opened(Passage.this, contact, number, took);
-            if (ahead != null) {
-                link.write(ahead);
-                ahead = null;
+            router.tunnelOpened(TunnelRelay.this, contact, number, took);
+            if (earlyBytes != null) {
+                link.write(earlyBytes);
+                earlyBytes = null;
                 client.setReading(true);
             }
         }
 
-        private void passOn(ByteBuffer bytes) {
+        private void relayToClient(ByteBuffer bytes) {
             double now = router.now();
-            double since = endSilence();
+            double since = stopReplyTimeouts();
             if (!Double.isNaN(since)) {
-                contact.messageTook(now - since, now);
+                contact.recordMessageDelay(now - since, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
-            tail.forward(bytes, this::toClient);
+            partialLineBuffer.forward(bytes, this::writeToClient);
             if (client.hasPendingWrites()) {
                 link.setReading(false);
             }
-            moveBetweenLines();
+            moveIfBetweenLines();
         }
 
-        private void toClient(ByteBuffer bytes) {
-            trail.observe(bytes);
-            double load = trail.takeLoad();
+        private void writeToClient(ByteBuffer bytes) {
+            hostLineTracker.observe(bytes);
+            double load = hostLineTracker.takeLoad();
             if (!Double.isNaN(load)) {
-                router.hear(news -> news.tunnelLoadNoted(id, load * 1e-6));
+                router.enqueueNews(news -> news.tunnelLoadMeasured(id, load * 1e-6));
             }
             client.write(bytes);
         }
 
         @Override
         public void inputEnded() {
-            if (!answered) {
+            if (!resolved) {
                 end(
-                        givenUp != null
-                                ? givenUp
-                                : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                        pendingEnd != null
+                                ? pendingEnd
+                                : firstLineWritten
+                                        ? SetupOutcome.BROKEN
+                                        : SetupOutcome.NO_CONNECTION,
                         LoadReport.NONE);
             } else {
                 hostEnded(false);
@@ -773,11 +787,13 @@
 
         @Override
         public void connectionLost() {
-            if (!answered) {
+            if (!resolved) {
                 end(
-                        givenUp != null
-                                ? givenUp
-                                : written ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                        pendingEnd != null
+                                ? pendingEnd
+                                : firstLineWritten
+                                        ? SetupOutcome.BROKEN
+                                        : SetupOutcome.NO_CONNECTION,
                         LoadReport.NONE);
             } else {
                 hostEnded(true);
@@ -786,8 +802,8 @@
 
         @Override
         public void flushed() {
-            if (!written) {
-                writtenWhole();
+            if (!firstLineWritten) {
+                markFirstLineWritten();
             }
             client.setReading(true);
         }
--- a/node/src/test/java/embershift/protocol/ProtocolTest.java
+++ b/node/src/test/java/embershift/protocol/ProtocolTest.java
@@ -9,8 +9,8 @@
 import embershift.model.Deployment;
 import embershift.model.GroupId;
 import embershift.model.HostId;
-import embershift.model.Listing;
 import embershift.model.ProfileId;
+import embershift.model.RosterEntry;
 import embershift.model.TunnelId;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -197,7 +197,7 @@
     @Test
     public void updateHasHostsAndTheirAddresses() throws MalformedDataException {
         RosterUpdate update = RosterUpdate.parse(UPDATE);
-        Listing listing = update.listings().get(0);
+        RosterEntry listing = update.listings().get(0);
         assertEquals(
                 List.of(
                         update.generation(),
@@ -205,7 +205,7 @@
                         listing.state(),
                         listing.launchedAt(),
                         listing.cell()),
-                List.of(43L, false, Listing.State.DRAINING, 1.5, 3));
+                List.of(43L, false, RosterEntry.State.DRAINING, 1.5, 3));
         assertEquals(update.addresses().get(new HostId("s-1")).getPort(), 3000);
     }
 
@@ -216,7 +216,7 @@
                         .listings()
                         .get(0)
                         .state(),
-                Listing.State.GONE);
+                RosterEntry.State.GONE);
     }
 
     @DataProvider
@@ -365,36 +365,36 @@
         assertEquals(deployment.seed(), 0x8c1f30d27a5be964L);
         assertEquals(
                 List.of(
-                        deployment.nodes(),
+                        deployment.nodeCount(),
                         deployment.mayProbe(),
-                        deployment.mayTellNodes(),
+                        deployment.mayMessageNodes(),
                         deployment.reportsCapacity(),
-                        deployment.mustAskWithin(),
+                        deployment.rosterCallDeadline(),
                         configuration.sockets()),
                 List.of(5, false, true, true, 10.0, 4096));
         assertEquals(deployment.profiles().get(0).dedupScope(), Deployment.DedupScope.CELL);
         assertEquals(deployment.profiles().get(0).messageGoal(), 0.06);
-        assertEquals(deployment.rank(), -1, "not set");
+        assertEquals(deployment.nodeIndex(), -1, "not set");
         String ranked = CONFIGURATION.replace("\"az\"", "\"rank\":3,\"az\"");
-        assertEquals(NodeConfiguration.parse(ranked, null).deployment().rank(), 3);
+        assertEquals(NodeConfiguration.parse(ranked, null).deployment().nodeIndex(), 3);
     }
 
     @DataProvider
     public Object[][] budgets() {
         return new Object[][] {
-            {"", Deployment.Budget.NONE},
+            {"", Deployment.RetryBudget.NONE},
             {
                 "\"extra-free\":10,\"repeat-ratio\":0.05,\"resend-span-s\":2,",
-                new Deployment.Budget(10, 0.05, 2)
+                new Deployment.RetryBudget(10, 0.05, 2)
             }
         };
     }
 
     @Test(dataProvider = "budgets")
-    public void budgetForAdditionalSetupsIsOptional(String rules, Deployment.Budget budget)
+    public void retryBudgetIsOptional(String rules, Deployment.RetryBudget budget)
             throws MalformedDataException {
         String text = CONFIGURATION.replace("\"rules\":{", "\"rules\":{" + rules);
-        assertEquals(NodeConfiguration.parse(text, null).deployment().budget(), budget);
+        assertEquals(NodeConfiguration.parse(text, null).deployment().retryBudget(), budget);
     }
 
     @DataProvider
--- a/node/src/test/java/embershift/routing/DiscoveryReturnTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
@@ -4,18 +4,18 @@
 import static org.testng.Assert.assertTrue;
 import static org.testng.Assert.fail;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import embershift.model.Decisions;
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ProfileId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Chance;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
+import embershift.policy.SeededRandom;
 import embershift.protocol.WatchSchedule;
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -38,7 +38,7 @@
  * calls before. Nodes are played in virtual time, with the module where it is the one to ask, and
  * on loopback.
  */
-public class DiscoveryReturnTest extends Loopback {
+public class DiscoveryRecoveryTest extends LoopbackTestBase {
 
     private static final double TOLD = 6;
 
@@ -90,7 +90,9 @@
         /** {@code begun}: when the watch's last call began, up to three seconds before. */
         Caller(long seed, double mustAsk, Fault fault, double begun) {
             this.fault = fault;
-            schedule = new WatchSchedule(mustAsk == 0, new Chance(~seed)::nextApart);
+            schedule =
+                    new WatchSchedule(
+                            mustAsk == 0, new SeededRandom(~seed)::nextDecorrelatedDouble);
             module = mustAsk == 0 ? null : watching(seed, mustAsk);
             now = begun;
             schedule.callStarted(now, true);
@@ -133,11 +135,11 @@
                             8,
                             3,
                             2,
-                            Deployment.Budget.NONE,
+                            Deployment.RetryBudget.NONE,
                             false,
                             0);
-            Policy policy = new Policy(deployment, new Filling(deployment));
-            policy.round(-100, news -> news.rosterListed(List.of(), true), this);
+            Policy policy = new Policy(deployment, new HostCapacityEstimate(deployment));
+            policy.round(-100, news -> news.rosterReplaced(List.of(), true), this);
             policy.round(-50, news -> {}, this);
             policy.round(-49, news -> news.rosterChanged(List.of()), this);
             calls.clear();
@@ -154,7 +156,7 @@
                 if (next == fails || (next == schedule.nextActionAt() && schedule.isCalling())) {
                     fails = Double.POSITIVE_INFINITY;
                     schedule.callFailed(now);
-                    round(News::rosterLost);
+                    round(NodeEvents::rosterWatchLost);
                 } else if (next == schedule.nextActionAt()) {
                     call();
                 } else {
@@ -164,7 +166,7 @@
             }
         }
 
-        private void round(Consumer<News> arrivals) {
+        private void round(Consumer<NodeEvents> arrivals) {
             if (module != null) {
                 module.round(now, arrivals, this);
             }
@@ -195,10 +197,10 @@
         }
 
         @Override
-        public void setUp(TunnelId id, HostId host, double timeOut) {}
+        public void sendSetup(TunnelId id, HostId host, double timeOut) {}
 
         @Override
-        public void cancel(TunnelId id, int setup) {}
+        public void cancelSetup(TunnelId id, int setup) {}
 
         @Override
         public void decline(TunnelId id, double returnAfter, DeclineReason reason) {}
@@ -216,16 +218,16 @@
         public void closeIdle(HostId host) {}
 
         @Override
-        public void askRoster() {}
+        public void requestRoster() {}
 
         @Override
-        public void tellNode(int node, byte[] content) {}
+        public void sendToNode(int node, byte[] content) {}
 
         @Override
-        public void tellAllNodes(byte[] content) {}
+        public void sendToAllNodes(byte[] content) {}
 
         @Override
-        public void note(String line) {}
+        public void logForOperators(String line) {}
     }
 
     /**
@@ -305,31 +307,31 @@
      */
     private void fareIll(ServerSocket at, Fault fault, Runnable atCall) throws IOException {
         Socket first = accept(at);
-        call(first);
+        readRequest(first);
         atCall.run();
-        String answer = answer(list(2, true) + " ".repeat(500));
+        String answer = okResponse(rosterJson(2, true) + " ".repeat(500));
         switch (fault) {
             case RESET -> reset(first);
-            case BUSY -> say(first, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+            case BUSY -> send(first, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
             case CUT_IN_HALF -> {
-                say(first, answer.substring(0, 70));
+                send(first, answer.substring(0, 70));
                 first.close();
             }
-            case HALF_THEN_SILENT, NEVER_ENDING -> say(first, answer.substring(0, 70));
+            case HALF_THEN_SILENT, NEVER_ENDING -> send(first, answer.substring(0, 70));
             default -> {}
         }
         at.setSoTimeout(100);
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
                 System.nanoTime() < until; ) {
             try {
                 Socket next = accept(at);
-                call(next);
-                page(next, list(2, true));
-                assertEquals(call(next), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
+                readRequest(next);
+                sendOkResponse(next, rosterJson(2, true));
+                assertEquals(readRequest(next), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
                 return;
             } catch (SocketTimeoutException e) {
                 if (fault == Fault.NEVER_ENDING) {
-                    say(first, " ");
+                    send(first, " ");
                 }
             }
         }
@@ -351,14 +353,14 @@
         for (int i = 0; i < 30; i++) {
             Fault fault = kinds.get(i % kinds.size());
             double mustAsk = List.of(0.0, 10.0, 30.0).get(i / kinds.size() % 3);
-            discovery = listening();
+            discovery = openServerSocket();
             rosterOnRequest = mustAsk > 0;
-            settings =
+            settingOverrides =
                     new String[] {
                         "must-ask-in-s", String.valueOf(mustAsk), "seed", "\"" + i + "\""
                     };
             ServerSocket at = discovery;
-            start("1024");
+            startRouter("1024");
             Router node = router;
             CompletableFuture<Long> many = new CompletableFuture<>();
             calls.add(many);
--- a/node/src/test/java/embershift/transport/DataBeforeResetTest.java
+++ b/node/src/test/java/embershift/transport/DataBeforeResetTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** Data that a peer sent before its connection was reset is still delivered. */
-public class DataBeforeResetTest extends Loopback {
+public class DataBeforeResetTest extends LoopbackTestBase {
 
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
     private TcpConnection host;
@@ -40,9 +40,9 @@
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         accepted::complete);
-        Socket peer = talk(acceptor.localAddress(), "");
-        host = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        on(
+        Socket peer = connect(acceptor.localAddress(), "");
+        host = accepted.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        callOnLoop(
                 () -> {
                     host.setListener(
                             new TcpConnection.Listener() {
@@ -75,7 +75,7 @@
                                             @Override
                                             public void received(ByteBuffer bytes) {
                                                 try {
-                                                    say(peer, "BYE\r\n");
+                                                    send(peer, "BYE\r\n");
                                                     reset(peer);
                                                 } catch (IOException e) {
                                                     events.add(e.toString());
@@ -93,8 +93,8 @@
                                                 // The test has ended.
                                             }
                                         }));
-        talk(otherAcceptor.localAddress(), "line\r\n");
-        assertEquals(events.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
-        assertEquals(events.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "connectionLost");
+        connect(otherAcceptor.localAddress(), "line\r\n");
+        assertEquals(events.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
+        assertEquals(events.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "connectionLost");
     }
 }
--- a/node/src/test/java/embershift/transport/SocketOptionsTest.java
+++ b/node/src/test/java/embershift/transport/SocketOptionsTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.IOException;
 import java.lang.reflect.Field;
 import java.net.InetAddress;
@@ -19,7 +19,7 @@
  * Socket options of the connections that the event loop opens and accepts: with TCP_NODELAY, small
  * writes do not wait for an acknowledgement.
  */
-public class SocketOptionsTest extends Loopback {
+public class SocketOptionsTest extends LoopbackTestBase {
 
     /**
      * Reads the option from the socket, as an option given to the library may not have reached it.
@@ -65,15 +65,19 @@
                             shared,
                             () -> true,
                             accepted::complete);
-            talk(acceptor.localAddress(), "");
-            TcpConnection connection = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            assertTrue(on(() -> isNoDelaySet(connection)));
+            connect(acceptor.localAddress(), "");
+            TcpConnection connection = accepted.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            assertTrue(callOnLoop(() -> isNoDelaySet(connection)));
         }
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         IgnoringListener listener = new IgnoringListener();
         TcpConnection outbound =
-                on(() -> loop.connect((InetSocketAddress) host.getLocalSocketAddress(), listener));
-        listener.connected.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        assertTrue(on(() -> isNoDelaySet(outbound)));
+                callOnLoop(
+                        () ->
+                                loop.connect(
+                                        (InetSocketAddress) host.getLocalSocketAddress(),
+                                        listener));
+        listener.connected.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        assertTrue(callOnLoop(() -> isNoDelaySet(outbound)));
     }
 }
