--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -130,7 +130,7 @@
         if (update.removed().isEmpty()) {
             return page;
         }
-        List<RosterEntry> listings = new ArrayList<>(page.listings());
+        List<RosterEntry> listings = new ArrayList<>(page.entries());
         update.removed().forEach(host -> listings.add(gone(host)));
         return new RosterUpdate(
                 page.generation(), false, listings, page.addresses(), page.malformedEntries());
--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -80,13 +80,13 @@
 
     private void decide(double now, int number, Instance instance, StringBuilder reply) {
         DecisionWriter replies = new DecisionWriter(number, reply);
-        List<Consumer<NodeEvents>> events = instance.events;
+        List<Consumer<NodeEvents>> pendingEvents = instance.events;
         try {
             instance.module.round(
                     now,
-                    news -> {
-                        for (Consumer<NodeEvents> event : events) {
-                            event.accept(news);
+                    events -> {
+                        for (Consumer<NodeEvents> event : pendingEvents) {
+                            event.accept(events);
                         }
                     },
                     replies);
@@ -94,7 +94,7 @@
             e.printStackTrace(errors);
             replies.exception(e);
         }
-        events.clear();
+        pendingEvents.clear();
     }
 
     /** Returns the next line that is not empty, or null at the end of the input. */
@@ -133,7 +133,7 @@
             throw line.malformed(
                     "table", "a list number from 0 to " + (MAX_LISTS - 1) + " and a count");
         }
-        List<RosterEntry> listings = new ArrayList<>();
+        List<RosterEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             LineFields item = nextLine();
             if (item == null || !item.text("message").equals("ITEM")) {
@@ -150,7 +150,7 @@
             HostId host = new HostId(item.text("host"));
             item.optional("class-of-host");
             String zone = item.optional("az");
-            listings.add(
+            entries.add(
                     new RosterEntry(
                             host,
                             state,
@@ -159,7 +159,7 @@
                             (int) item.numberOr("unit-group", 0),
                             item.numberOr("launched-s", 0)));
         }
-        lists.set(table, List.copyOf(listings));
+        lists.set(table, List.copyOf(entries));
     }
 
     private void handleEvent(String message, LineFields line) {
@@ -202,19 +202,19 @@
                 int setup = line.integer("trial");
                 HostId host = new HostId(line.text("host"));
                 double duration = line.numberOr("cost-time-s", 0);
-                yield news -> news.tunnelOpened(id, setup, host, duration);
+                yield events -> events.tunnelOpened(id, setup, host, duration);
             }
             case "HINT_UPDATE" -> parseHint(line);
             case "REPORT_BACK" -> parseSetupEnd(line, instance);
             case "GONE" -> {
                 TunnelId id = new TunnelId(line.text("handle"));
-                yield news -> news.tunnelAbandoned(id);
+                yield events -> events.tunnelAbandoned(id);
             }
             case "PROBE_RESULT" -> parseProbeEnd(line, instance);
             case "PEER_DATA" -> {
                 int node = line.integer("src");
                 byte[] content = line.bytes("content");
-                yield news -> news.nodeMessageReceived(node, content);
+                yield events -> events.nodeMessageReceived(node, content);
             }
             case "WAKEUP" -> {
                 line.longInteger("ctx");
@@ -230,8 +230,8 @@
         double value = line.number("value");
         HostId host = new HostId(line.text("host"));
         return switch (line.integer("sort")) {
-            case 1 -> news -> news.tunnelLoadMeasured(id, value * MICROSECOND);
-            case 2 -> news -> news.messageDelayMeasured(host, value * MILLISECOND);
+            case 1 -> events -> events.tunnelLoadMeasured(id, value * MICROSECOND);
+            case 2 -> events -> events.messageDelayMeasured(host, value * MILLISECOND);
             default -> null;
         };
     }
@@ -241,9 +241,9 @@
         boolean answered = line.integer("verdict") == 0;
         double duration = line.numberOr("cost-time-s", 0);
         Consumer<NodeEvents> report = parseReport(host, line, instance);
-        return news -> {
-            news.probeEnded(host, answered, duration);
-            report.accept(news);
+        return events -> {
+            events.probeEnded(host, answered, duration);
+            report.accept(events);
         };
     }
 
@@ -254,15 +254,14 @@
         if (mode.equals("lost")) {
             return NodeEvents::rosterWatchLost;
         }
-        List<RosterEntry> listings =
-                table < 0 || table >= MAX_LISTS ? null : lists.get((int) table);
-        if (listings == null) {
+        List<RosterEntry> entries = table < 0 || table >= MAX_LISTS ? null : lists.get((int) table);
+        if (entries == null) {
             throw line.malformed("table", "the number of a list that was registered before");
         }
         return switch (mode) {
-            case "incr" -> news -> news.rosterChanged(listings);
-            case "total" -> news -> news.rosterReplaced(listings, false);
-            case "warm_copy" -> news -> news.rosterReplaced(listings, true);
+            case "incr" -> events -> events.rosterChanged(entries);
+            case "total" -> events -> events.rosterReplaced(entries, false);
+            case "warm_copy" -> events -> events.rosterReplaced(entries, true);
             default -> throw line.malformed("mode", "incr, total, warm_copy or lost");
         };
     }
@@ -283,17 +282,17 @@
         line.flag("came-back");
         if (message.equals("RESUMED")) {
             HostId host = new HostId(line.text("host"));
-            return news -> news.tunnelResumed(id, profile, participant, subject, group, host);
+            return events -> events.tunnelResumed(id, profile, participant, subject, group, host);
         }
-        return news ->
-                news.tunnelArrived(id, profile, participant, subject, group, timeLeft, midFlow);
+        return events ->
+                events.tunnelArrived(id, profile, participant, subject, group, timeLeft, midFlow);
     }
 
     private Consumer<NodeEvents> parseSetupEnd(LineFields line, Instance instance) {
         TunnelId id = new TunnelId(line.text("handle"));
         int setup = line.integer("trial");
         HostId host = new HostId(line.text("host"));
-        SetupOutcome end =
+        SetupOutcome outcome =
                 switch (line.integer("verdict")) {
                     case 0 -> SetupOutcome.COMPLETED;
                     case 13 -> SetupOutcome.ERROR;
@@ -308,21 +307,21 @@
         double duration = line.numberOr("cost-time-s", 0);
         boolean last = line.flag("no-more");
         Consumer<NodeEvents> report = parseReport(host, line, instance);
-        return news -> {
-            report.accept(news);
-            news.setupEnded(id, setup, host, end, duration, last);
+        return events -> {
+            report.accept(events);
+            events.setupEnded(id, setup, host, outcome, duration, last);
         };
     }
 
     private Consumer<NodeEvents> parseReport(HostId host, LineFields line, Instance instance) {
         double[] row = line.atEnd() ? new double[0] : line.numberRow("metrics");
         if (row.length == 0 || instance == null) {
-            return news -> {};
+            return events -> {};
         }
         double loadOverCapacity = instance.value(row, "x0");
         double openTunnels = instance.value(row, "rif");
         double queued = instance.value(row, "q");
-        return news -> news.hostReported(host, loadOverCapacity, openTunnels, queued);
+        return events -> events.hostReported(host, loadOverCapacity, openTunnels, queued);
     }
 
     /** An isolated policy module with its events of the current batch. */
--- a/node/src/main/java/embershift/adapter/DecisionWriter.java
+++ b/node/src/main/java/embershift/adapter/DecisionWriter.java
@@ -22,14 +22,14 @@
     }
 
     @Override
-    public void sendSetup(TunnelId id, HostId host, double timeOut) {
+    public void sendSetup(TunnelId id, HostId host, double timeout) {
         beginLine("HAND_OFF")
                 .append(' ')
                 .append(id.name())
                 .append(' ')
                 .append(host.name())
                 .append(' ');
-        endWithSeconds(timeOut);
+        endWithSeconds(timeout);
     }
 
     @Override
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -2,7 +2,7 @@
 
 import embershift.model.HostId;
 import embershift.operations.HostEjections;
-import embershift.protocol.BanList;
+import embershift.protocol.EjectionList;
 import embershift.protocol.MalformedDataException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -282,12 +282,13 @@
                 }
                 Path file = listFile(latestNumber);
                 try {
-                    if (Files.size(file) > BanList.MAX_CHARS) {
-                        throw new MalformedDataException("over " + BanList.MAX_CHARS + " bytes");
+                    if (Files.size(file) > EjectionList.MAX_CHARS) {
+                        throw new MalformedDataException(
+                                "over " + EjectionList.MAX_CHARS + " bytes");
                     }
                     return new NumberedList(
                             latestNumber,
-                            BanList.parse(Files.readString(file, StandardCharsets.UTF_8)));
+                            EjectionList.parse(Files.readString(file, StandardCharsets.UTF_8)));
                 } catch (NoSuchFileException e) {
                     // Others wrote so many meanwhile that this one was swept away; or all lists are
                     // gone.
@@ -349,11 +350,11 @@
                 } else {
                     ejected.remove(host);
                 }
-                if (ejected.size() > BanList.MAX_HOSTS) {
-                    throw new IOException("over " + BanList.MAX_HOSTS + " hosts");
+                if (ejected.size() > EjectionList.MAX_HOSTS) {
+                    throw new IOException("over " + EjectionList.MAX_HOSTS + " hosts");
                 }
                 long next = latestNumber + 1;
-                if (publish(next, BanList.format(ejected))) {
+                if (publish(next, EjectionList.format(ejected))) {
                     if (!inTime.getAsBoolean()) {
                         // Stopped so long that its number may have been given, swept away and given
                         // again.
--- a/node/src/main/java/embershift/protocol/BanList.java
+++ b/node/src/main/java/embershift/protocol/EjectionList.java
@@ -11,24 +11,24 @@
 import java.util.zip.CRC32;
 
 /**
- * The text form in which one process leaves the list of hosts that operators excluded to the next
- * process: a version, a checksum and the host ids.
+ * The list of hosts ejected by operators, in the text form in which one process leaves it to the
+ * next: a version, a checksum and the host ids.
  */
-public final class BanList {
+public final class EjectionList {
 
     private static final String HEADER_PREFIX = "embershift-bans 1 ";
 
-    /** Maximum number of hosts that may be excluded at one time. */
+    /** Maximum number of hosts that may be ejected at one time. */
     public static final int MAX_HOSTS = 4096;
 
     /** Maximum length of the text, in characters. */
     public static final int MAX_CHARS = 1 << 20;
 
-    private BanList() {}
+    private EjectionList() {}
 
-    public static String format(Collection<HostId> bans) {
+    public static String format(Collection<HostId> hosts) {
         String ids =
-                bans.stream()
+                hosts.stream()
                         .map(host -> Json.quote(host.name()))
                         .collect(Collectors.joining(",", "[", "]"));
         return HEADER_PREFIX + checksum(ids) + "\n" + ids + "\n";
@@ -38,20 +38,20 @@
     public static Set<HostId> parse(String text) throws MalformedDataException {
         String[] lines = text.split("\n", -1);
         if (lines.length != 3 || !lines[2].isEmpty() || !lines[0].startsWith(HEADER_PREFIX)) {
-            throw new MalformedDataException("not a list of excluded hosts of this version");
+            throw new MalformedDataException("not a list of ejected hosts of this version");
         }
         if (!lines[0].substring(HEADER_PREFIX.length()).equals(checksum(lines[1]))) {
-            throw new MalformedDataException("the list of excluded hosts is damaged");
+            throw new MalformedDataException("the list of ejected hosts is damaged");
         }
-        Set<HostId> bans = new LinkedHashSet<>();
+        Set<HostId> hosts = new LinkedHashSet<>();
         if (!(Json.parse(lines[1]) instanceof List<?> ids) || ids.size() > MAX_HOSTS) {
             throw new MalformedDataException(
-                    "not a list of at most " + MAX_HOSTS + " excluded hosts");
+                    "not a list of at most " + MAX_HOSTS + " ejected hosts");
         }
         for (Object id : ids) {
-            bans.add(new HostId(String.valueOf(id)));
+            hosts.add(new HostId(String.valueOf(id)));
         }
-        return bans;
+        return hosts;
     }
 
     private static String checksum(String text) {
--- a/node/src/main/java/embershift/protocol/RosterUpdate.java
+++ b/node/src/main/java/embershift/protocol/RosterUpdate.java
@@ -18,7 +18,7 @@
 public record RosterUpdate(
         long generation,
         boolean full,
-        List<RosterEntry> listings,
+        List<RosterEntry> entries,
         Map<HostId, InetSocketAddress> addresses,
         int malformedEntries) {
 
@@ -29,17 +29,17 @@
     /** Reads an update that is part of a larger JSON text. */
     public static RosterUpdate fromJson(Object json) throws MalformedDataException {
         JsonObject update = new JsonObject("list of hosts", json);
-        List<RosterEntry> listings = new ArrayList<>();
+        List<RosterEntry> entries = new ArrayList<>();
         Map<HostId, InetSocketAddress> addresses = new LinkedHashMap<>();
         int malformedEntries = 0;
         for (JsonObject item : update.items("instances")) {
             try {
-                RosterEntry listing = listing(item);
+                RosterEntry entry = parseEntry(item);
                 String address = item.textOr("hostPort", null);
                 if (address != null) {
-                    addresses.put(listing.host(), Addresses.parse(address));
+                    addresses.put(entry.host(), Addresses.parse(address));
                 }
-                listings.add(listing);
+                entries.add(entry);
             } catch (MalformedDataException e) {
                 // One malformed entry must not lose the others.
                 malformedEntries++;
@@ -48,12 +48,12 @@
         return new RosterUpdate(
                 (long) update.number("generation"),
                 update.flagOr("reset", false),
-                List.copyOf(listings),
+                List.copyOf(entries),
                 addresses,
                 malformedEntries);
     }
 
-    private static RosterEntry listing(JsonObject item) throws MalformedDataException {
+    private static RosterEntry parseEntry(JsonObject item) throws MalformedDataException {
         RosterEntry.State state =
                 switch (item.textOr("lifecycle", "")) {
                     case "in_service" -> RosterEntry.State.READY;
--- a/node/src/main/java/embershift/routing/RosterClient.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -208,7 +208,7 @@
         }
         boolean sameAgain =
                 page.generation() == generation
-                        && !page.listings().isEmpty()
+                        && !page.entries().isEmpty()
                         && schedule.isEarly(router.now());
         if (reusedConnection
                 && (page.generation() < generation || (!fullListRequested && sameAgain))) {
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -173,7 +173,7 @@
             RosterUpdate known = configuration.initialRoster();
             roster.setGeneration(known.generation());
             updateEndpoints(known);
-            enqueueNews(news -> news.rosterReplaced(known.listings(), true));
+            enqueueNews(news -> news.rosterReplaced(known.entries(), true));
         }
         if (!deployment.rosterOnRequest()) {
             roster.watch(true);
@@ -644,8 +644,8 @@
         updateEndpoints(page);
         enqueueNews(
                 page.full()
-                        ? news -> news.rosterReplaced(page.listings(), false)
-                        : news -> news.rosterChanged(page.listings()));
+                        ? news -> news.rosterReplaced(page.entries(), false)
+                        : news -> news.rosterChanged(page.entries()));
         // Over a copy: a client that is found to have left takes its tunnel off the list by itself.
         for (TunnelRelay passage : List.copyOf(unresumed)) {
             if (resume(passage)) {
@@ -669,7 +669,7 @@
                     });
         }
         page.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
-        for (RosterEntry listing : page.listings()) {
+        for (RosterEntry listing : page.entries()) {
             HostEndpoint contact = endpoint(listing.host());
             contact.listedReady = listing.state() == RosterEntry.State.READY;
             if (listing.state() == RosterEntry.State.GONE) {
--- a/node/src/test/java/embershift/WireFormatTest.java
+++ b/node/src/test/java/embershift/WireFormatTest.java
@@ -6,7 +6,7 @@
 import embershift.operations.HostEjections;
 import embershift.operations.OperatorApi;
 import embershift.operations.OperatorServer;
-import embershift.protocol.BanList;
+import embershift.protocol.EjectionList;
 import embershift.testing.GoldenSamples;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -83,9 +83,11 @@
                     return null;
                 });
         samples.text("line of a node that moves its sessions", readLine(client));
-        samples.text("ban list", BanList.format(List.of(new HostId("h1"), new HostId("h \"2\""))));
+        samples.text(
+                "ban list", EjectionList.format(List.of(new HostId("h1"), new HostId("h \"2\""))));
         assertEquals(
-                BanList.parse(BanList.format(List.of(new HostId("h1"), new HostId("h2")))),
+                EjectionList.parse(
+                        EjectionList.format(List.of(new HostId("h1"), new HostId("h2")))),
                 List.of(new HostId("h1"), new HostId("h2")));
         TreeSet<String> names = new TreeSet<>();
         callOnLoop(() -> router.tally().toString())
--- a/node/src/test/java/embershift/program/ReplaceTest.java
+++ b/node/src/test/java/embershift/program/ReplaceTest.java
@@ -6,7 +6,7 @@
 
 import embershift.model.HostId;
 import embershift.operations.HostEjections;
-import embershift.protocol.BanList;
+import embershift.protocol.EjectionList;
 import java.io.File;
 import java.io.IOException;
 import java.net.ConnectException;
@@ -236,7 +236,7 @@
         next.destroyForcibly().waitFor();
         assertTrue(call(management[0], "POST /api/include/s").contains("\"kept\":true"));
         assertEquals(
-                BanList.parse(
+                EjectionList.parse(
                         Files.readString(
                                 folder.resolve(
                                         SiblingProcesses.listPrefix(
@@ -269,7 +269,7 @@
         next.toHandle().destroy();
         assertTrue(next.waitFor(10, TimeUnit.SECONDS));
         String log = Files.readString(folder.resolve("log-" + management[1]));
-        assertTrue(log.contains("the list of excluded hosts is damaged"), log);
+        assertTrue(log.contains("the list of ejected hosts is damaged"), log);
         assertFalse(log.contains("another process serves"), log);
     }
 
@@ -430,12 +430,13 @@
     @Test
     public void banIsReadAsItWasWrittenAndNothingElseIs() throws Exception {
         Set<HostId> bans = Set.of(new HostId("a\"\n{"), new HostId("\u00e9"));
-        String text = BanList.format(bans);
-        assertEquals(BanList.parse(text), bans);
+        String text = EjectionList.format(bans);
+        assertEquals(EjectionList.parse(text), bans);
         for (int i = 0; i < text.length(); i++) {
             String cut = text.substring(0, i);
             org.testng.Assert.assertThrows(
-                    embershift.protocol.MalformedDataException.class, () -> BanList.parse(cut));
+                    embershift.protocol.MalformedDataException.class,
+                    () -> EjectionList.parse(cut));
         }
     }
 }
--- a/node/src/test/java/embershift/protocol/ProtocolTest.java
+++ b/node/src/test/java/embershift/protocol/ProtocolTest.java
@@ -197,14 +197,14 @@
     @Test
     public void updateHasHostsAndTheirAddresses() throws MalformedDataException {
         RosterUpdate update = RosterUpdate.parse(UPDATE);
-        RosterEntry listing = update.listings().get(0);
+        RosterEntry entry = update.entries().get(0);
         assertEquals(
                 List.of(
                         update.generation(),
                         update.full(),
-                        listing.state(),
-                        listing.launchedAt(),
-                        listing.cell()),
+                        entry.state(),
+                        entry.launchedAt(),
+                        entry.cell()),
                 List.of(43L, false, RosterEntry.State.DRAINING, 1.5, 3));
         assertEquals(update.addresses().get(new HostId("s-1")).getPort(), 3000);
     }
@@ -213,7 +213,7 @@
     public void hostInAnUnknownStateIsTreatedAsGone() throws MalformedDataException {
         assertEquals(
                 RosterUpdate.parse(UPDATE.replace("terminating", "asleep"))
-                        .listings()
+                        .entries()
                         .get(0)
                         .state(),
                 RosterEntry.State.GONE);
@@ -237,7 +237,7 @@
         String both = entry.replace(valid, malformed) + "," + entry.replace("s-1", "s-2");
         RosterUpdate update = RosterUpdate.parse(UPDATE.replace(entry, both));
         assertEquals(update.malformedEntries(), 1);
-        assertEquals(update.listings().get(0).host(), new HostId("s-2"));
+        assertEquals(update.entries().get(0).host(), new HostId("s-2"));
     }
 
     @DataProvider
--- a/rig/src/main/java/embershift/rig/scale/ListCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/ListCosts.java
@@ -49,7 +49,7 @@
         long from = Cpu.now();
         try {
             for (int i = 0; i < TIMES; i++) {
-                if (RosterUpdate.parse(page).listings().size() != hosts) {
+                if (RosterUpdate.parse(page).entries().size() != hosts) {
                     throw new IllegalStateException("not all hosts were read");
                 }
             }
--- a/rig/src/test/java/embershift/rig/ScaleTest.java
+++ b/rig/src/test/java/embershift/rig/ScaleTest.java
@@ -71,8 +71,8 @@
             {
                 "lists",
                 "node/src/main/java/embershift/protocol/RosterUpdate.java",
-                "listings.add(listing);",
-                "listings.add(listing);\n                listings.toString();"
+                "entries.add(entry);",
+                "entries.add(entry);\n                entries.toString();"
             },
             {
                 "record",
