--- a/node/src/main/java/embershift/routing/DescriptorShare.java
+++ b/node/src/main/java/embershift/routing/DescriptorShare.java
@@ -1,45 +1,46 @@
 package embershift.routing;
 
 /**
- * How the processes at one address share one limit on descriptors, hearing of each other a moment
- * late. Each keeps what it holds and may grow to an even part, and beyond that only into what the
- * others have left: so two that fill up at once stay below the limit together, once both know that
- * they are two.
+ * Shares one limit on descriptors among the processes at one address, which learn of each other's
+ * use with a delay. Each keeps what it holds and may grow to an even part of the limit, and beyond
+ * that only into what the others leave free. So two processes that fill up at the same time stay
+ * below the limit together, once each knows of the other.
  */
 final class DescriptorShare {
 
     private int share = Integer.MAX_VALUE;
 
     /**
-     * The others, so many, have told that they hold or may yet take so many descriptors; this one
-     * holds {@code held}. Returns whether that changes its share.
+     * Takes the number of other processes, and the number of descriptors that they together hold or
+     * may still take, while this one holds {@code held}. Returns whether that changes this
+     * process's share.
      */
     boolean update(int limit, int held, int others, int processes) {
-        int part = limit / (processes + 1);
+        int evenPart = limit / (processes + 1);
         int next =
                 processes == 0
                         ? Integer.MAX_VALUE
-                        : others < part * processes
+                        : others < evenPart * processes
                                 ? limit - others
-                                : Math.min(limit - others, Math.max(held, part));
+                                : Math.min(limit - others, Math.max(held, evenPart));
         boolean changed = next != share;
         share = next;
         return changed;
     }
 
-    /** Descriptors that this process may hold. */
+    /** Number of descriptors that this process may hold. */
     int allowed(int limit) {
         return Math.min(limit, share);
     }
 
     /**
-     * What this process tells the others that it holds or may yet take: one that leaves takes
-     * {@code few}; one that is alone leaves half to who comes, and keeps to that once it has heard
-     * of it.
+     * Number of descriptors that this process announces to the others as held or still to be taken.
+     * One that leaves may still take {@code spare}; one that is alone leaves half of the limit to a
+     * process that may start, and keeps to that once it has learned of it.
      */
-    int claimed(int limit, int held, boolean leaving, int few) {
+    int claimed(int limit, int held, boolean leaving, int spare) {
         return leaving
-                ? held + few
+                ? held + spare
                 : Math.max(held, share == Integer.MAX_VALUE ? limit / 2 : share);
     }
 }
--- a/node/src/main/java/embershift/routing/HostEndpoint.java
+++ b/node/src/main/java/embershift/routing/HostEndpoint.java
@@ -11,39 +11,41 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
-/** How this node reaches one host: its address, and one kept connection on which it is asked. */
+/** How this node reaches one host: its address, and a persistent connection for probes. */
 final class HostEndpoint implements Link.Events {
 
     private static final ByteBuffer STATS_REQUEST = Line.of("STATS").asReadOnlyBuffer();
 
     final HostId host;
 
-    /** Setups sent there since this node's start. */
+    /** Number of setups sent to this host since this node started. */
     long setupsSent;
 
     /**
-     * Whether it is listed as ready, and whether staff have it out: what was decided before either
-     * changed may still wait.
+     * Whether the host is listed as ready. Kept here, with {@link #outOfService}, because a
+     * decision made before either changed may still be waiting.
      */
     boolean listedReady;
 
+    /** Whether an operator has taken the host out of service. */
     boolean outOfService;
+
     private final Router router;
     private InetSocketAddress address;
     private Link link;
     private boolean connected;
     private Line lineReader = new Line();
 
-    /** When the question now out was asked; NaN for none. */
+    /** When the probe in progress was started; NaN if there is none. */
     private double probeStartedAt = Double.NaN;
 
     /**
-     * Whether it has been written to the connection that there is; before that, what comes is no
+     * Whether the probe has been written to the current connection; what arrives before that is no
      * answer to it.
      */
     private boolean probeWritten;
 
-    /** When this connection brought its last answer; negative infinity for none yet. */
+    /** When the last answer arrived on this connection; negative infinity if none has. */
     private double lastAnswerAt = Double.NEGATIVE_INFINITY;
 
     private Loop.Timer probeTimer;
@@ -64,13 +66,13 @@
         return listedReady && !outOfService;
     }
 
-    /** The roster's latest word on where the host is; at a new address it is another process. */
-    void setAddress(InetSocketAddress now) {
-        if (!now.equals(address)) {
-            address = now;
+    /** Sets the host's address as on the latest roster; at a new address it is another process. */
+    void setAddress(InetSocketAddress latest) {
+        if (!latest.equals(address)) {
+            address = latest;
             if (link != null && !Double.isNaN(probeStartedAt)) {
-                // Another process is asked instead: that the one before has not answered tells
-                // nothing of it.
+                // Probe the new process instead: a missing answer of the previous one says nothing
+                // about it.
                 reconnect();
             } else if (link != null) {
                 disconnect();
@@ -100,8 +102,8 @@
     }
 
     /**
-     * Opens a connection for the question that is out, or waits in line for a place: until then no
-     * time of the host's runs.
+     * Opens a connection for the probe in progress, or queues for one; the host's time to answer
+     * only starts with the connection.
      */
     void connectForProbe() {
         if (router.probeConnections().tryAcquire(this)) {
@@ -115,7 +117,7 @@
         probeTimer = router.loop().after(router.probeTimeout(), () -> endProbe(false, Report.NONE));
     }
 
-    /** Gives the connection up, and its place. */
+    /** Closes the connection and returns its place to the pool. */
     private void releaseConnection() {
         if (link != null) {
             link.close();
@@ -125,7 +127,7 @@
         }
     }
 
-    /** In the place of the connection that there may be. */
+    /** Opens a new connection in place of the current one, if any. */
     private void reconnect() {
         if (link != null) {
             link.close();
@@ -138,20 +140,22 @@
     }
 
     /**
-     * Asks; not just after an answer, as that one's double may still come and would be taken for
-     * the answer to this.
+     * Sends the probe. Waits if the last answer was just received, as a duplicate of that one may
+     * still arrive and would be taken for the answer to this probe.
      */
     private void sendProbe() {
-        double settled = lastAnswerAt + router.duplicateAnswerWindow();
+        double notBefore = lastAnswerAt + router.duplicateAnswerWindow();
         double now = router.now();
-        if (now < settled) {
-            Link of = link;
-            double asked = probeStartedAt;
+        if (now < notBefore) {
+            Link current = link;
+            double startedAt = probeStartedAt;
             router.loop()
                     .after(
-                            settled - now,
+                            notBefore - now,
                             () -> {
-                                if (link == of && probeStartedAt == asked && !probeWritten) {
+                                if (link == current
+                                        && probeStartedAt == startedAt
+                                        && !probeWritten) {
                                     sendProbe();
                                 }
                             });
@@ -161,7 +165,7 @@
         link.write(STATS_REQUEST.duplicate());
     }
 
-    /** Ends the kept connection; a question still out counts as not answered. */
+    /** Closes the probe connection; a probe in progress counts as not answered. */
     void disconnect() {
         if (link != null || router.probeConnections().cancelWait(this)) {
             releaseConnection();
@@ -184,7 +188,7 @@
             probeTimer = null;
         }
         if (!answered) {
-            // A late answer would be taken for that to the next question.
+            // A late answer would be taken for the answer to the next probe.
             releaseConnection();
         } else {
             router.probeConnections().setIdle(this, link != null);
@@ -202,7 +206,7 @@
                 });
     }
 
-    /** Whether the host left the latest question unanswered. */
+    /** Whether the host did not answer the latest probe. */
     boolean isUnresponsive() {
         return unresponsive;
     }
@@ -215,8 +219,8 @@
     }
 
     /**
-     * A message on an open tunnel took this long: slow ones are told once a second, and their end
-     * once.
+     * Records how long a message on an open tunnel took. Slow messages are reported to the policy
+     * at most once a second, and the first fast one after them once.
      */
     void recordMessageDelay(double delay, double now) {
         boolean slow = delay > router.slowMessageDelay();
@@ -251,8 +255,8 @@
             if (line == null) {
                 return;
             }
-            HostLine said = HostLine.read(Line.text(line));
-            endProbe(said.word() == HostLine.Word.PONG, said.report());
+            HostLine answer = HostLine.read(Line.text(line));
+            endProbe(answer.word() == HostLine.Word.PONG, answer.report());
             if (bytes.hasRemaining() && link != null) {
                 handleUnexpectedBytes();
             }
@@ -263,8 +267,9 @@
     }
 
     /**
-     * What nobody asked for, as a second answer: whatever comes on this connection later may belong
-     * to an earlier question.
+     * Handles bytes that answer no probe, such as a second answer. Anything that arrives later on
+     * this connection may belong to an earlier probe, so the connection is closed, or replaced if a
+     * probe is in progress.
      */
     private void handleUnexpectedBytes() {
         router.tally().count("probe connections out of step");
@@ -281,9 +286,9 @@
     }
 
     /**
-     * A kept connection may be ended by the other side just as a question goes out on it: that is
-     * asked again, on a new one, in what is left of its time. Only there does no answer tell
-     * something of the host.
+     * The host may close a persistent connection just as a probe is sent on it. The probe is then
+     * repeated on a new connection within its remaining time, as only a missing answer there says
+     * something about the host.
      */
     @Override
     public void broken() {
--- a/node/src/main/java/embershift/routing/Peers.java
+++ b/node/src/main/java/embershift/routing/Peers.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The other nodes, as far as this one may speak to them. */
+/**
+ * Sends and receives datagrams to and from those other nodes that this one may communicate with.
+ */
 final class Peers {
 
     private static final int MAX_DATAGRAM_BYTES = 256;
@@ -32,14 +34,14 @@
                                         this::received);
     }
 
-    /** Hears and says nothing more: another process does, at the same address. */
+    /** Stops sending and receiving, as another process at the same address does so now. */
     void close() {
         if (socket != null) {
             socket.close();
         }
     }
 
-    /** Where the other nodes are, at the start and when that has changed. */
+    /** Sets the addresses of the other nodes, at the start and after a change of configuration. */
     void setAddresses(NodeConfiguration configuration) {
         addresses = configuration.peers();
         broadcastAddress = configuration.peersAll();
@@ -53,6 +55,7 @@
         return addresses;
     }
 
+    /** The address at which datagrams are received, or null where there is none. */
     InetSocketAddress address() {
         return socket == null ? null : socket.address();
     }
--- a/node/src/main/java/embershift/routing/ProbeConnectionPool.java
+++ b/node/src/main/java/embershift/routing/ProbeConnectionPool.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * Who of the hosts may keep a connection on which it is asked. So many are reserved, whatever
- * clients hold; beyond those one is kept only where there is room, else it takes the place of one
- * that rests, or waits for a place.
+ * Decides which hosts may have a connection for probes. A number of them is reserved, whatever
+ * clients hold. Beyond the reserve a host gets one only if there is room; otherwise it takes the
+ * place of an idle one, or waits.
  *
- * @param <T> one host
+ * @param <T> the type that identifies a host
  */
 final class ProbeConnectionPool<T> {
 
@@ -19,30 +19,31 @@
     private int reserved;
     private int open;
 
-    /** Those with a connection on which nothing is out, the longest resting first. */
+    /** Hosts with a connection and no probe in progress, the longest idle first. */
     private final Set<T> idle = new LinkedHashSet<>();
 
+    /** Hosts that wait for a connection, the longest waiting first. */
     private final Set<T> waiting = new LinkedHashSet<>();
 
     /**
-     * {@code room}: whether one more may be opened than is reserved; {@code close}: has one give
-     * its connection up.
+     * {@code hasRoomBeyondReserve} tells whether a connection may be opened beyond the reserve;
+     * {@code close} closes a host's connection.
      */
-    ProbeConnectionPool(BooleanSupplier room, Consumer<T> close) {
-        this.hasRoomBeyondReserve = room;
+    ProbeConnectionPool(BooleanSupplier hasRoomBeyondReserve, Consumer<T> close) {
+        this.hasRoomBeyondReserve = hasRoomBeyondReserve;
         this.close = close;
     }
 
-    void reserve(int many) {
-        reserved = many;
+    void reserve(int count) {
+        reserved = count;
     }
 
-    /** Reserved descriptors that are not taken now. */
+    /** Number of reserved descriptors that are not in use. */
     int unusedReserve() {
         return Math.max(0, reserved - open);
     }
 
-    /** Whether it may open a connection now; else it is in line. */
+    /** Returns whether the host may open a connection now; if not, it is queued. */
     boolean tryAcquire(T host) {
         if (open >= reserved && !hasRoomBeyondReserve.getAsBoolean()) {
             if (idle.isEmpty()) {
@@ -56,27 +57,27 @@
         return true;
     }
 
-    /** Its connection is closed. */
+    /** Removes the host's connection, which has been closed. */
     void released(T host) {
         open--;
         idle.remove(host);
     }
 
-    /** Nothing is out on its connection, or something is. */
-    void setIdle(T host, boolean does) {
-        if (does) {
+    /** Sets whether the host's connection is idle, or has a probe in progress. */
+    void setIdle(T host, boolean isIdle) {
+        if (isIdle) {
             idle.add(host);
         } else {
             idle.remove(host);
         }
     }
 
-    /** Whether it was in line, which it leaves. */
+    /** Removes the host from the queue; returns whether it was waiting. */
     boolean cancelWait(T host) {
         return waiting.remove(host);
     }
 
-    /** Who waits the longest, or null. */
+    /** The host that has waited longest, or null. */
     T firstWaiting() {
         return waiting.isEmpty() ? null : waiting.iterator().next();
     }
--- a/node/src/main/java/embershift/routing/RosterClient.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -13,9 +13,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The calls to discovery, one after the other on a kept connection. When they begin and are given
- * up is decided by {@link WatchSchedule}; where the module is the one to ask, it may have them
- * begin sooner after a failure.
+ * Calls discovery, one call at a time on a persistent connection. {@link WatchSchedule} decides
+ * when a call starts and when it is given up; if the policy requests lists itself, it may start one
+ * sooner after a failure.
  */
 final class RosterClient implements Link.Events {
 
@@ -29,39 +29,45 @@
     private Loop.Timer timer;
     private long generation = -1;
     private boolean watching;
+
+    /** Whether the policy or a new generation count requires a full list. */
     private boolean fullListWanted;
 
-    /** Whether the call that is out asks for the whole list. */
+    /** Whether the call in progress asks for the full list. */
     private boolean fullListRequested;
 
+    /** Whether the call in progress was started on a connection that was open already. */
     private boolean reusedConnection;
 
-    /** Lists come from elsewhere: discovery is not asked. */
+    /** Whether lists come from another source, so that discovery is not called. */
     private boolean external;
 
-    /** {@code byItself}: the module counts on news that come unasked, and never asks for them. */
-    RosterClient(Router router, InetSocketAddress address, boolean byItself, long seed) {
+    /**
+     * With {@code alwaysWatches} the policy relies on lists being delivered without a request, and
+     * never requests one.
+     */
+    RosterClient(Router router, InetSocketAddress address, boolean alwaysWatches, long seed) {
         this.router = router;
-        this.alwaysWatches = byItself;
-        schedule = new WatchSchedule(byItself, new Chance(~seed)::nextApart);
+        this.alwaysWatches = alwaysWatches;
+        schedule = new WatchSchedule(alwaysWatches, new Chance(~seed)::nextApart);
         setAddress(address);
     }
 
-    private void setAddress(InetSocketAddress where) {
-        address = where;
-        hostHeader = "Host: " + where.getAddress().getHostAddress() + ":" + where.getPort();
+    private void setAddress(InetSocketAddress next) {
+        address = next;
+        hostHeader = "Host: " + next.getAddress().getHostAddress() + ":" + next.getPort();
     }
 
     /**
-     * Discovery is elsewhere from now on: what is still out at the old address is given up, as
-     * nothing more is told there, and the watch goes on here at once. Versions are those of the old
-     * one, so the whole list is asked for.
+     * Changes the address of discovery. A call to the old address is given up, as nothing new is
+     * published there, and the watch goes on at the new one at once. The known generation belongs
+     * to the old address, so the full list is requested.
      */
-    void moveTo(InetSocketAddress where) {
-        if (where.equals(address)) {
+    void moveTo(InetSocketAddress next) {
+        if (next.equals(address)) {
             return;
         }
-        setAddress(where);
+        setAddress(next);
         stop();
         generation = -1;
         watch(true);
@@ -72,8 +78,8 @@
     }
 
     /**
-     * Lists come from elsewhere from now on, or do no more: then discovery is asked again, for all
-     * of it.
+     * Switches to lists from another source, or back to discovery, which is then asked for the full
+     * list.
      */
     void useExternalRoster(boolean on) {
         external = on;
@@ -116,7 +122,7 @@
         }
     }
 
-    /** Looks at the schedule again when something is due. */
+    /** Sets the timer for what the schedule has due next. */
     private void scheduleNext() {
         if (timer != null) {
             timer.cancel();
@@ -212,16 +218,16 @@
                         && schedule.early(router.now());
         if (reusedConnection
                 && (page.generation() < generation || (!fullListRequested && sameAgain))) {
-            // On one connection versions only grow: this is an earlier answer that came once more,
-            // and the call that is
-            // out still waits there.
+            // On one connection generations only grow: this is a duplicate of an earlier answer,
+            // and discovery still holds the call in progress.
             repeatOnNewConnection();
             return;
         }
-        // A discovery that came back may count anew: what has changed since its first version is
-        // not all that has.
-        boolean counted = page.whole() || page.generation() >= generation;
-        fullListWanted = (fullListWanted && !page.whole() && !fullListRequested) || !counted;
+        // Discovery may count generations from the start again after a restart: changes since its
+        // first generation are then not all that has changed, so the full list is needed.
+        boolean coversAllChanges = page.whole() || page.generation() >= generation;
+        fullListWanted =
+                (fullListWanted && !page.whole() && !fullListRequested) || !coversAllChanges;
         schedule.answered(router.now(), page.generation() != generation);
         generation = page.generation();
         router.discoveryAnswered(page);
@@ -244,8 +250,8 @@
     }
 
     /**
-     * What comes on this connection answers other calls than the one that is out: that one is made
-     * anew.
+     * Repeats the call in progress on a new connection, as replies on this one belong to earlier
+     * calls.
      */
     private void repeatOnNewConnection() {
         router.tally().count("roster connections out of step");
@@ -275,8 +281,7 @@
         try {
             if (reply.take(bytes)) {
                 if (bytes.hasRemaining()) {
-                    // More than was asked for, as a second answer: the rest of it would be taken
-                    // for the next one.
+                    // More than one reply: the rest would be taken for the next call's reply.
                     closeConnection();
                 }
                 replyReceived();
@@ -304,7 +309,7 @@
         if (reply.end()) {
             replyReceived();
         } else if (reusedConnection && !reply.begun()) {
-            // A kept connection may be ended by the other side just as a call goes out on it.
+            // Discovery may close a persistent connection just as a call is sent on it.
             startCall();
         } else {
             callFailed();
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -27,59 +27,71 @@
 import java.util.function.Consumer;
 
 /**
- * The module on sockets: what happens on them becomes its news, and its decisions are carried out
- * on them directly. All news of one wake-up of the loop goes into one round.
+ * Connects the placement policy to the node's sockets: turns socket events into news for the policy
+ * and carries out its decisions. All news of one wake-up of the loop is processed in one policy
+ * round.
  */
 public final class Router implements Decisions {
 
     /**
-     * By how much a client's wait is taken shorter, as a part of it, and in seconds at the most:
-     * its line was under way, and a node that starts or shares its core may be late by that much.
+     * Safety margin subtracted from a client's timeout, as a fraction of it and at most {@link
+     * #MAX_MARGIN_SECONDS}: the opening line has spent time on the network, and a node that is
+     * starting or shares its core may be late by that much.
      */
     private static final double MARGIN_FRACTION = 0.1;
 
     private static final double MAX_MARGIN_SECONDS = 0.1;
 
     /**
-     * Seconds until a tunnel that stood before is sent to its host again, where that did not take
-     * it.
+     * Seconds until the setup of a tunnel that was open before this node started is sent to its
+     * host again, if the previous one certainly did not run there.
      */
     private static final double RESUME_RETRY_SECONDS = 0.25;
 
     /**
-     * Seconds after which a line that brought none back is looked into, as its host may have
-     * vanished.
+     * Seconds without a line from the host after a client's line, after which the host is checked,
+     * as it may have vanished.
      */
     static final double QUIET_SECONDS = 1.5;
 
-    /** Seconds more after which its tunnel is ended in any case. */
+    /** Further seconds without a line from the host after which the tunnel is ended in any case. */
     private static final double SILENCE_SECONDS = 2.5;
 
+    /**
+     * Seconds for which a host may take to end its side of a tunnel whose client has ended its own.
+     */
     private static final double CLOSING_SECONDS = 0.8;
+
     private static final double SWEEP_SECONDS = 0.1;
     private static final double MIN_WAKE_SECONDS = 0.002;
     private static final int MAX_LOGGED_FAULTS = 20;
 
-    /** Descriptors kept for operators, which neither tunnels nor strangers may take. */
+    /**
+     * Descriptors reserved for operators' connections, which neither tunnels nor client connections
+     * without a tunnel may take.
+     */
     public static final int OPERATOR_DESCRIPTORS = 32;
 
     /**
-     * Part of the connect time-out, and its multiple, that setups given up and probes are waited
-     * for.
+     * Time allowed for a host to end a setup that this node has given up, as a fraction of the
+     * connect timeout; {@link #PROBE_TIMEOUT_FACTOR} is the same for the answer to a probe.
      */
     private static final double GIVE_UP_FRACTION = 0.4;
 
     private static final double PROBE_TIMEOUT_FACTOR = 1.6;
 
-    /** Part of it within which a host's answer may come a second time. */
+    /**
+     * Time within which a host's answer may arrive a second time, as a fraction of the connect
+     * timeout.
+     */
     private static final double DUPLICATE_ANSWER_FRACTION = 0.2;
 
-    /** Part of the shortest setup goal from which a message counts as slow. */
+    /** Delay from which a message counts as slow, as a fraction of the shortest setup goal. */
     private static final double SLOW_MESSAGE_FRACTION = 1 / 3.0;
 
     /**
-     * Part of the descriptors, and their least number, that are for the connections on which hosts
-     * are asked.
+     * One in this many descriptors is reserved for probe connections, but at least {@link
+     * #MIN_PROBE_DESCRIPTORS}.
      */
     private static final int PROBE_DESCRIPTORS_DIVISOR = 8;
 
@@ -93,20 +105,31 @@
     private final Tally tally;
 
     /**
-     * By the names that the module knows; those that clients gave, of the same passages, beside it.
+     * Relays by the unique ids under which the policy knows their tunnels; the ids that clients
+     * gave to the same tunnels are in {@link #idsInUse}.
      */
     private final Map<TunnelId, TunnelRelay> relays = new HashMap<>();
 
     private final Set<TunnelId> idsInUse = new HashSet<>();
     private long relayCount;
     private final Map<HostId, HostEndpoint> endpoints = new HashMap<>();
+
+    /** Tunnels that were open before this node started and whose host is not known yet. */
     private final List<TunnelRelay> unresumed = new ArrayList<>();
+
     private final UnopenedConnections unopenedConnections;
     private final ProbeConnectionPool<HostEndpoint> probeConnections;
     private boolean probeRetryDue;
+
+    /** Tunnels with a client's line to which the host has not sent a line yet. */
     private final TimeoutQueue<TunnelRelay> awaitingReply = new TimeoutQueue<>(QUIET_SECONDS);
+
+    /** Those of them that have waited for more than {@link #QUIET_SECONDS}. */
     private final TimeoutQueue<TunnelRelay> quietTunnels = new TimeoutQueue<>(SILENCE_SECONDS);
+
+    /** Tunnels whose client has ended its sending, while the host has not. */
     private final TimeoutQueue<TunnelRelay> closingTunnels = new TimeoutQueue<>(CLOSING_SECONDS);
+
     private final RosterClient roster;
     private final Peers peers;
     private ExternalRoster externalRoster;
@@ -115,21 +138,21 @@
     private List<Consumer<News>> pendingNews = new ArrayList<>();
     private boolean roundDue;
 
-    /** Places in the code whose faults have been told: each is told once. */
+    /** Code locations whose faults have been logged; each is logged once. */
     private final Set<String> loggedFaults = new HashSet<>();
 
     private boolean leaving;
     private boolean replaced;
     private Loop.Listening listening;
 
-    /** Whether operators have an address, and so descriptors of their own. */
+    /** Whether operators have an address to connect to, and therefore reserved descriptors. */
     private final boolean hasOperators;
 
     private int descriptorLimit;
 
     /**
-     * Tunnels that wait and have no connection to a host, but will have one: in one wake-up many
-     * may be taken in.
+     * Pending tunnels that will need a connection to a host but have none yet; many may be accepted
+     * in one wake-up, before any of them connects.
      */
     private int neededHostConnections;
 
@@ -181,29 +204,34 @@
         sweep();
     }
 
-    /** Lists of hosts that come from elsewhere than discovery. */
+    /** A source of host lists other than discovery. */
     public interface ExternalRoster {
 
-        /** Discovery has said something itself, of this generation. */
+        /** Discovery itself has answered, with a list of this generation. */
         void discoveryAnswered(long generation);
 
-        /** The whole list, as it was told last. */
+        /** The full list as last received. */
         RosterPage fullList();
     }
 
-    /** Who may tell lists from now on, once {@link #useExternalRoster} says that they hold. */
-    public void setExternalRoster(ExternalRoster others) {
-        externalRoster = others;
+    /**
+     * Sets the source that may provide lists; they apply once {@link #useExternalRoster} is called.
+     */
+    public void setExternalRoster(ExternalRoster source) {
+        externalRoster = source;
     }
 
-    /** Whether lists come from elsewhere now, and discovery is not asked. */
+    /**
+     * Switches between lists from the external source, with discovery not being called, and
+     * discovery.
+     */
     public void useExternalRoster(boolean on) {
         roster.useExternalRoster(on);
     }
 
-    /** The module wants the whole list. */
+    /** Applies the external source's full list again, as the policy has asked for it. */
     void applyExternalRoster() {
-        // After the round in which it asked.
+        // After the policy's round that asked for it.
         loop.execute(() -> applyRoster(externalRoster.fullList()));
     }
 
@@ -214,11 +242,12 @@
         applyRoster(page);
     }
 
-    /** Where discovery is asked, and how many descriptors may be held, as this node goes by it. */
+    /** The address of discovery that is in use. */
     public InetSocketAddress discoveryAddress() {
         return roster.address();
     }
 
+    /** The limit on descriptors that is in use, before it is shared with other processes. */
     public int descriptorLimit() {
         return descriptorLimit;
     }
@@ -227,10 +256,10 @@
         return peers.addresses();
     }
 
-    /** Setups sent to that host since this node's start. */
+    /** Number of setups sent to the host since this node started. */
     public long setupsSent(HostId host) {
-        HostEndpoint contact = endpoints.get(host);
-        return contact == null ? 0 : contact.setupsSent;
+        HostEndpoint endpoint = endpoints.get(host);
+        return endpoint == null ? 0 : endpoint.setupsSent;
     }
 
     private void connectionAccepted(Link link) {
@@ -239,8 +268,8 @@
     }
 
     /**
-     * Listens for clients; where operators have an address, beside another process that may do so
-     * as well.
+     * Listens for clients; where operators have an address, another process may listen at the same
+     * address too.
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         listening =
@@ -248,7 +277,7 @@
         return listening.address();
     }
 
-    /** Goes by a new configuration, as far as that can change while tunnels stand. */
+    /** Applies those parts of a new configuration that can change while tunnels are open. */
     public void reconfigure(NodeConfiguration next) {
         roster.moveTo(next.discovery());
         peers.setAddresses(next);
@@ -257,28 +286,31 @@
     }
 
     /**
-     * Tunnels that fill a host, as far as this process has learned: one that follows wants to know.
+     * Number of tunnels that fill a host, as learned by this process; passed on to the process that
+     * replaces it.
      */
     public double tunnelsPerFullHost() {
         return filling.tunnels();
     }
 
-    /** What another process at this address has learned of that. */
+    /**
+     * Takes the number of tunnels that fill a host, as learned by another process at this address.
+     */
     public void learnTunnelsPerFullHost(double tunnels) {
         filling.told(tunnels);
     }
 
     /**
-     * So many descriptors other processes at this node's address hold or may yet take, and so many
-     * they are.
+     * Reports how many other processes share this node's address, and the number of descriptors
+     * that they hold or may still take together.
      */
-    public void setDescriptorsHeldElsewhere(int many, int processes) {
-        if (descriptorShare.update(descriptorLimit, loop.descriptors(), many, processes)) {
+    public void setDescriptorsHeldElsewhere(int descriptors, int processes) {
+        if (descriptorShare.update(descriptorLimit, loop.descriptors(), descriptors, processes)) {
             applyDescriptorLimits();
         }
     }
 
-    /** Descriptors that this process tells others at its address to be its own. */
+    /** Descriptors that this process claims for itself towards others at its address. */
     public int claimedDescriptors() {
         return descriptorShare.claimed(
                 descriptorLimit, loop.descriptors(), leaving, OPERATOR_DESCRIPTORS);
@@ -294,7 +326,7 @@
                 allowedDescriptors() - (hasOperators ? OPERATOR_DESCRIPTORS : 0));
     }
 
-    /** Descriptors that this process may hold now. */
+    /** Number of descriptors that this process may hold now. */
     public int allowedDescriptors() {
         return descriptorShare.allowed(descriptorLimit);
     }
@@ -303,15 +335,15 @@
         return probeConnections;
     }
 
-    /**
-     * Whether one more host may be reached for a question than there are descriptors for that
-     * alone.
-     */
+    /** Whether a probe connection may be opened beyond the reserved descriptors. */
     private boolean hasRoomForProbe() {
         return unopenedConnections.makeRoom();
     }
 
-    /** Has the next in line for a kept connection try again, behind what is under way. */
+    /**
+     * Schedules another attempt for the first host that waits for a probe connection, after the
+     * work in progress.
+     */
     void retryWaitingProbe() {
         if (probeConnections.firstWaiting() != null && !probeRetryDue) {
             probeRetryDue = true;
@@ -326,8 +358,9 @@
     }
 
     /**
-     * The node is to stop: the module moves what is here. Where it is replaced nothing more comes
-     * in here: what has been accepted is still read and answered, the rest finds the other process.
+     * Prepares to stop the node: the policy moves its tunnels away. If another process replaces it,
+     * this one stops listening: accepted connections are still read and answered, later ones reach
+     * the other process.
      */
     public void leave(boolean replaced) {
         leaving = true;
@@ -340,16 +373,18 @@
     }
 
     /**
-     * Whether the node is about to stop: its front must not take it for one that has just started.
-     * Where another process serves in its place it still is what the front takes it for.
+     * Whether the node is about to stop, so that the front, which distributes clients over the
+     * nodes, must not take it for one that has just started. False if another process serves in its
+     * place, as the node stays in service for the front then.
      */
     boolean isStopping() {
         return leaving && !replaced;
     }
 
     /**
-     * Whether no tunnel is left, nor anybody whose first line has begun; where the node is
-     * replaced, nobody whose first line may still come: its front sends it nothing more.
+     * Whether no tunnel is left, and no connection whose first line has partly arrived. If the node
+     * is replaced, no connection may be left on which a first line may still arrive either, as the
+     * front sends this process nothing new.
      */
     public boolean isDrained() {
         return relays.isEmpty()
@@ -358,39 +393,42 @@
                         : unopenedConnections.hasPartialFirstLine());
     }
 
-    /** Whether a list or a ban has named this host. */
+    /** Whether a host list or a ban has named this host. */
     public boolean knows(HostId host) {
         return endpoints.containsKey(host);
     }
 
-    /** Staff take a host out, or back; {@code done} runs once that holds. */
-    public void setOutOfService(HostId host, boolean out, Runnable done) {
-        endpoint(host).outOfService = out;
-        enqueueNews(news -> news.hostByHand(host, out));
-        log.accept("by hand: " + host.name() + (out ? " out" : " back"));
-        // Behind the round that takes it.
+    /**
+     * Takes a host out of service by an operator's order, or back; {@code done} runs once that is
+     * in effect.
+     */
+    public void setOutOfService(HostId host, boolean outOfService, Runnable done) {
+        endpoint(host).outOfService = outOfService;
+        enqueueNews(news -> news.hostByHand(host, outOfService));
+        log.accept("by hand: " + host.name() + (outOfService ? " out" : " back"));
+        // After the round that processes this news.
         loop.execute(done);
     }
 
-    /** Tunnels taken and not ended. */
+    /** Number of tunnels accepted and not ended, those without a final answer included. */
     public int openTunnels() {
         return relays.size();
     }
 
-    /** Hosts on the list as last told. */
+    /** Number of hosts on the latest list, as of the last sweep. */
     public int listedHosts() {
         return listedHosts;
     }
 
     /**
-     * Listed hosts that the module gives nothing new now, by hand or by its choice; up to SWEEP
-     * old.
+     * Number of listed hosts to which the policy sends no new tunnels, by an operator's order or
+     * its own decision; at most {@link #SWEEP_SECONDS} old.
      */
     public int avoidedHosts() {
         return avoidedHosts;
     }
 
-    /** Ends what is still here. */
+    /** Ends all remaining tunnels and connections. */
     public void stop() {
         if (listening != null) {
             listening.handOverAll();
@@ -399,7 +437,9 @@
         unopenedConnections.closeAll();
     }
 
-    /** Where datagrams of other nodes come in; null where there are none. */
+    /**
+     * The address at which datagrams from other nodes are received, or null where there is none.
+     */
     InetSocketAddress peerListenAddress() {
         return peers.address();
     }
@@ -428,7 +468,7 @@
         return connectTimeout * GIVE_UP_FRACTION;
     }
 
-    /** Seconds for which an answer may be followed by its own double. */
+    /** Seconds after an answer within which a duplicate of it may arrive. */
     double duplicateAnswerWindow() {
         return connectTimeout * DUPLICATE_ANSWER_FRACTION;
     }
@@ -465,11 +505,11 @@
         loop.after(SWEEP_SECONDS, this::sweep);
     }
 
-    // ---- News ----
+    // ---- News for the policy ----
 
-    /** Keeps a piece of news for the round that follows this wake-up. */
-    void enqueueNews(Consumer<News> arrival) {
-        pendingNews.add(arrival);
+    /** Queues a piece of news for the policy round after this wake-up. */
+    void enqueueNews(Consumer<News> news) {
+        pendingNews.add(news);
         if (!roundDue) {
             roundDue = true;
             loop.execute(this::runRound);
@@ -478,19 +518,22 @@
 
     private void runRound() {
         roundDue = false;
-        List<Consumer<News>> news = pendingNews;
+        List<Consumer<News>> batch = pendingNews;
         pendingNews = new ArrayList<>();
         try {
-            policy.round(now(), heard -> news.forEach(arrival -> deliver(heard, arrival)), this);
+            policy.round(now(), receiver -> batch.forEach(news -> deliver(receiver, news)), this);
         } catch (RuntimeException e) {
             logFault(e);
         }
     }
 
-    /** Guards the rest of a round's news from a piece that the module stumbles over. */
-    private void deliver(News heard, Consumer<News> arrival) {
+    /**
+     * Delivers one piece of news; if the policy throws, the rest of the round's news is still
+     * delivered.
+     */
+    private void deliver(News receiver, Consumer<News> news) {
         try {
-            arrival.accept(heard);
+            news.accept(receiver);
         } catch (RuntimeException e) {
             logFault(e);
         }
@@ -502,26 +545,27 @@
         if (loggedFaults.size() < MAX_LOGGED_FAULTS
                 && loggedFaults.add(trace.length == 0 ? "" : trace[0].toString())) {
             log.accept("fault: " + e);
-            for (StackTraceElement at : trace) {
-                log.accept("    at " + at);
+            for (StackTraceElement frame : trace) {
+                log.accept("    at " + frame);
             }
         }
     }
 
     /**
-     * A host has left a question unanswered: tunnels there that bring no line back have lost it.
+     * Ends the tunnels to this host that have waited long for a line: as the host has not answered
+     * a probe either, it counts as vanished.
      */
-    void hostUnresponsive(HostEndpoint contact) {
-        for (TunnelRelay passage : quietTunnels.snapshot()) {
-            if (passage.isAt(contact)) {
-                passage.onHostSilent();
+    void hostUnresponsive(HostEndpoint endpoint) {
+        for (TunnelRelay relay : quietTunnels.snapshot()) {
+            if (relay.isAt(endpoint)) {
+                relay.onHostSilent();
             }
         }
     }
 
-    /** A tunnel has come to want a connection to a host, or wants it no more. */
-    void hostConnectionNeeded(boolean does) {
-        neededHostConnections += does ? 1 : -1;
+    /** Counts a tunnel that has come to need a connection to a host, or needs it no longer. */
+    void hostConnectionNeeded(boolean needed) {
+        neededHostConnections += needed ? 1 : -1;
     }
 
     boolean knows(TunnelId id) {
@@ -529,50 +573,50 @@
     }
 
     /**
-     * A name for a tunnel that no other has had here: what is still told of one that is over
-     * reaches none of the same id.
+     * Makes an id that no other tunnel has had in this process, so that late news of an ended
+     * tunnel does not reach a later one that the client gave the same id.
      */
     TunnelId uniqueId(TunnelId id) {
         return new TunnelId(id.name() + "." + ++relayCount);
     }
 
     /**
-     * A client has opened: its tunnel is the module's to place, or stood at a host before this
-     * start.
+     * Accepts a tunnel: the policy places it, or it is resumed at its host if it was open before
+     * this node started.
      */
-    void tunnelAccepted(TunnelRelay passage) {
-        Opening opening = passage.opening();
-        relays.put(passage.id(), passage);
+    void tunnelAccepted(TunnelRelay relay) {
+        Opening opening = relay.opening();
+        relays.put(relay.id(), relay);
         idsInUse.add(opening.id());
         tally.count("tunnels taken");
         if (!(opening.standingAt() == null
                 ? unopenedConnections.makeRoom()
                 : unopenedConnections.makeRoomForStanding())) {
-            // Guards the descriptors: with none left, nothing could be taken in or answered at all.
+            // With no descriptors left, no connection could be accepted or answered at all.
             tally.count(Tally.DECLINED_FOR_DESCRIPTORS);
-            passage.sendFinalAnswer("BUSY", Tally.Outcome.DECLINED);
+            relay.sendFinalAnswer("BUSY", Tally.Outcome.DECLINED);
             return;
         }
         if (opening.standingAt() != null) {
-            if (!resume(passage)) {
-                unresumed.add(passage);
+            if (!resume(relay)) {
+                unresumed.add(relay);
             }
             return;
         }
         if (profile(opening.profile()).isEmpty()) {
-            remove(passage);
-            passage.rejectFirstLine("unknown profile " + opening.profile().name());
+            remove(relay);
+            relay.rejectFirstLine("unknown profile " + opening.profile().name());
             return;
         }
         enqueueNews(
                 news ->
                         news.tunnelArrived(
-                                passage.id(),
+                                relay.id(),
                                 opening.profile(),
                                 opening.participant(),
                                 opening.subject(),
                                 opening.group(),
-                                passage.timeLeft(now()),
+                                relay.timeLeft(now()),
                                 false));
     }
 
@@ -583,7 +627,8 @@
     }
 
     /**
-     * Seconds from its first setup for which a tunnel that may have run may be sent again (rule 2).
+     * Seconds from a tunnel's first setup within which a setup that may have run may be repeated
+     * (rule 2: no effect may take place twice).
      */
     double repeatWindow(ProfileId id) {
         return profile(id)
@@ -592,53 +637,57 @@
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
+    /** Seconds before the client's timeout by which a tunnel should have its final answer. */
     static double answerMargin(double clientTimeout) {
         return Math.min(MAX_MARGIN_SECONDS, MARGIN_FRACTION * clientTimeout);
     }
 
     /**
-     * Guards standing tunnels against a list that is old: their host may be at another address by
-     * now.
+     * Resumes a tunnel again after a delay: its host may have moved to an address that is not on
+     * the current, outdated list.
      */
-    void resumeLater(TunnelRelay passage) {
-        loop.after(RESUME_RETRY_SECONDS, () -> resume(passage));
+    void resumeLater(TunnelRelay relay) {
+        loop.after(RESUME_RETRY_SECONDS, () -> resume(relay));
     }
 
-    /** Sends a tunnel that stood before back to its host, if that is known by now. */
-    private boolean resume(TunnelRelay passage) {
-        HostEndpoint contact = endpoints.get(passage.opening().standingAt());
-        if (contact == null) {
+    /**
+     * Resumes a tunnel that was open before this node started at its host; returns false if the
+     * host is not known yet.
+     */
+    private boolean resume(TunnelRelay relay) {
+        HostEndpoint endpoint = endpoints.get(relay.opening().standingAt());
+        if (endpoint == null) {
             return false;
         }
-        passage.sendSetup(contact, 0);
+        relay.sendSetup(endpoint, 0);
         return true;
     }
 
-    void tunnelOpened(TunnelRelay passage, HostEndpoint contact, int setup, double took) {
-        Opening opening = passage.opening();
+    void tunnelOpened(TunnelRelay relay, HostEndpoint endpoint, int setup, double took) {
+        Opening opening = relay.opening();
         if (opening.standingAt() != null) {
             enqueueNews(
                     news ->
                             news.tunnelStanding(
-                                    passage.id(),
+                                    relay.id(),
                                     opening.profile(),
                                     opening.participant(),
                                     opening.subject(),
                                     opening.group(),
-                                    contact.host));
+                                    endpoint.host));
         } else {
-            enqueueNews(news -> news.tunnelOpened(passage.id(), setup, contact.host, took));
+            enqueueNews(news -> news.tunnelOpened(relay.id(), setup, endpoint.host, took));
         }
     }
 
-    void remove(TunnelRelay passage) {
-        if (relays.remove(passage.id()) != null) {
-            idsInUse.remove(passage.opening().id());
-            unresumed.remove(passage);
+    void remove(TunnelRelay relay) {
+        if (relays.remove(relay.id()) != null) {
+            idsInUse.remove(relay.opening().id());
+            unresumed.remove(relay);
         }
     }
 
-    /** A list of hosts, or what is new in one. */
+    /** Applies a full list of hosts or changes to it. */
     public void applyRoster(RosterPage page) {
         tally.add("roster entries unreadable", page.unreadable());
         updateEndpoints(page);
@@ -646,10 +695,10 @@
                 page.whole()
                         ? news -> news.rosterListed(page.listings(), false)
                         : news -> news.rosterChanged(page.listings()));
-        // Over a copy: a client that is found to have left takes its tunnel off the list by itself.
-        for (TunnelRelay passage : List.copyOf(unresumed)) {
-            if (resume(passage)) {
-                unresumed.remove(passage);
+        // Over a copy: resuming may remove a tunnel from the list, if its client has left.
+        for (TunnelRelay relay : List.copyOf(unresumed)) {
+            if (resume(relay)) {
+                unresumed.remove(relay);
             }
         }
     }
@@ -661,63 +710,63 @@
     private void updateEndpoints(RosterPage page) {
         if (page.whole()) {
             endpoints.forEach(
-                    (host, contact) -> {
-                        contact.listedReady = false;
+                    (host, endpoint) -> {
+                        endpoint.listedReady = false;
                         if (!page.addresses().containsKey(host)) {
-                            contact.disconnect();
+                            endpoint.disconnect();
                         }
                     });
         }
         page.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
         for (Listing listing : page.listings()) {
-            HostEndpoint contact = endpoint(listing.host());
-            contact.listedReady = listing.state() == Listing.State.READY;
+            HostEndpoint endpoint = endpoint(listing.host());
+            endpoint.listedReady = listing.state() == Listing.State.READY;
             if (listing.state() == Listing.State.GONE) {
-                contact.disconnect();
+                endpoint.disconnect();
             }
         }
     }
 
-    // ---- Decisions ----
+    // ---- Decisions of the policy ----
 
     @Override
     public void setUp(TunnelId id, HostId host, double timeOut) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null && passage.sendSetup(endpoint(host), timeOut)) {
+        TunnelRelay relay = relays.get(id);
+        if (relay != null && relay.sendSetup(endpoint(host), timeOut)) {
             endpoint(host).setupsSent++;
         }
     }
 
     @Override
     public void cancel(TunnelId id, int setup) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
-            passage.cancel(setup);
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
+            relay.cancel(setup);
         }
     }
 
     @Override
     public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
             long millis = (long) Math.ceil(returnAfter * 1000);
-            passage.decline(millis > 0 ? "BUSY " + millis : "BUSY", reason);
+            relay.decline(millis > 0 ? "BUSY " + millis : "BUSY", reason);
         }
     }
 
     @Override
     public void closeWithError(TunnelId id) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
-            passage.sendFinalAnswer("ERR no host took it", Tally.Outcome.CLOSED_WITH_ERROR);
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
+            relay.sendFinalAnswer("ERR no host took it", Tally.Outcome.CLOSED_WITH_ERROR);
         }
     }
 
     @Override
     public void move(TunnelId id) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
-            passage.move();
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
+            relay.move();
         }
     }
 
@@ -728,9 +777,9 @@
 
     @Override
     public void closeIdle(HostId host) {
-        HostEndpoint contact = endpoints.get(host);
-        if (contact != null) {
-            contact.disconnect();
+        HostEndpoint endpoint = endpoints.get(host);
+        if (endpoint != null) {
+            endpoint.disconnect();
         }
     }
 
@@ -756,7 +805,7 @@
 
     @Override
     public void wakeAfter(double delay) {
-        // Guards the sockets: a module that asks for rounds without a pause would let none be read.
+        // A policy that asks for rounds without a pause would keep the sockets from being read.
         loop.after(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueNews(news -> {}));
     }
 
--- a/node/src/main/java/embershift/routing/Tally.java
+++ b/node/src/main/java/embershift/routing/Tally.java
@@ -12,14 +12,17 @@
 import java.util.TreeMap;
 
 /**
- * What the node takes in, sends and answers, counted by name, and what is told of each profile:
- * operators see the same counters that the node prints at its end.
+ * The node's counters by name, and the outcomes of tunnels by profile. Operators see the same
+ * counters that the node prints when it ends.
  */
 public final class Tally {
 
-    /** What is counted for each profile, each at the one place at which it happens. */
+    /**
+     * Outcomes that are counted for each profile, each at the only place in the code where it
+     * occurs.
+     */
     public enum Outcome {
-        /** A host's {@code UP} was handed over to the client. */
+        /** A host's {@code UP} was passed to the client. */
         OPENED("tunnels opened"),
         DECLINED("tunnels declined"),
         CLOSED_WITH_ERROR("tunnels closed with error");
@@ -31,16 +34,19 @@
         }
     }
 
-    /** Setups whose line was written whole to a host. */
+    /** Counts setups whose first line was written to a host completely. */
     public static final String SETUPS_WRITTEN = "setups written whole";
 
-    /** Tunnels that the node itself declined, unseen by the module. */
+    /** Counts tunnels that the node declined itself, without the policy. */
     public static final String DECLINED_FOR_DESCRIPTORS =
             "tunnels declined for want of descriptors";
 
     private final Map<String, long[]> counts = new TreeMap<>();
 
-    /** The profiles of the deployment, in its order; others are counted for none. */
+    /**
+     * Outcomes for each profile of the deployment, in its order; those of other profiles count in
+     * the totals only.
+     */
     private final Map<ProfileId, Map<Outcome, Long>> profiles = new LinkedHashMap<>();
 
     Tally(Deployment deployment) {
@@ -55,9 +61,9 @@
 
     void count(Outcome outcome, ProfileId profile) {
         count(outcome.name);
-        Map<Outcome, Long> own = profiles.get(profile);
-        if (own != null) {
-            own.merge(outcome, 1L, Long::sum);
+        Map<Outcome, Long> outcomes = profiles.get(profile);
+        if (outcomes != null) {
+            outcomes.merge(outcome, 1L, Long::sum);
         }
     }
 
@@ -65,16 +71,16 @@
         count(name(reason));
     }
 
-    /** What a reason is counted by. */
+    /** The name of the counter for a decline reason. */
     static String name(DeclineReason reason) {
         return "tunnels declined: " + reason.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
-    void add(String name, long many) {
-        counts.computeIfAbsent(name, key -> new long[1])[0] += many;
+    void add(String name, long amount) {
+        counts.computeIfAbsent(name, key -> new long[1])[0] += amount;
     }
 
-    /** What was counted by this name. */
+    /** The value of the counter of this name. */
     public long of(String name) {
         long[] count = counts.get(name);
         return count == null ? 0 : count[0];
@@ -93,14 +99,14 @@
         return profiles.get(profile).getOrDefault(outcome, 0L);
     }
 
-    /** One line for each count, by name, then those of each profile. */
+    /** One line for each counter, by name, then one for each outcome of each profile. */
     @Override
     public String toString() {
         StringBuilder out = new StringBuilder();
         counts.forEach((name, count) -> out.append(name).append(' ').append(count[0]).append('\n'));
         profiles.forEach(
-                (profile, own) ->
-                        own.forEach(
+                (profile, outcomes) ->
+                        outcomes.forEach(
                                 (outcome, count) ->
                                         out.append(outcome.name)
                                                 .append(" of ")
--- a/node/src/main/java/embershift/routing/TimeoutQueue.java
+++ b/node/src/main/java/embershift/routing/TimeoutQueue.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * Things that may wait for the same time each, oldest first: looking for those that waited too long
- * costs nothing for the others.
+ * Elements that all have the same timeout, in the order in which they were added, so that a search
+ * for expired ones does not visit the others.
  */
 final class TimeoutQueue<T> {
 
@@ -20,50 +20,51 @@
         this.timeout = patience;
     }
 
-    /** Begins to wait, unless it does already. */
-    void add(T thing, double now) {
-        addedAt.putIfAbsent(thing, now);
+    /** Adds the element, unless it is in the queue already. */
+    void add(T element, double now) {
+        addedAt.putIfAbsent(element, now);
     }
 
-    /** Ends the wait; returns when it began, or NaN. */
-    double remove(T thing) {
-        Double begun = addedAt.remove(thing);
-        return begun == null ? Double.NaN : begun;
+    /** Removes the element; returns when it was added, or NaN if it was not in the queue. */
+    double remove(T element) {
+        Double added = addedAt.remove(element);
+        return added == null ? Double.NaN : added;
     }
 
-    boolean contains(T thing) {
-        return addedAt.containsKey(thing);
+    boolean contains(T element) {
+        return addedAt.containsKey(element);
     }
 
-    /** When the wait of that one began. */
-    double addedAt(T thing) {
-        return addedAt.get(thing);
+    /** When the element was added, which must be in the queue. */
+    double addedAt(T element) {
+        return addedAt.get(element);
     }
 
     int size() {
         return addedAt.size();
     }
 
-    /** The one that waits the longest, or null. */
+    /** The element that was added first, or null. */
     T oldest() {
         return addedAt.isEmpty() ? null : addedAt.keySet().iterator().next();
     }
 
-    /** Those that wait now, oldest first. */
+    /** A copy of the elements, oldest first. */
     List<T> snapshot() {
         return new ArrayList<>(addedAt.keySet());
     }
 
-    void expire(double now, Consumer<T> tooLong) {
+    /** Removes all elements that have reached the timeout, and passes each on. */
+    void expire(double now, Consumer<T> onTimeout) {
         while (!addedAt.isEmpty()) {
             Iterator<Map.Entry<T, Double>> oldest = addedAt.entrySet().iterator();
             Map.Entry<T, Double> entry = oldest.next();
             if (now < entry.getValue() + timeout) {
                 return;
             }
-            T thing = entry.getKey();
+            T element = entry.getKey();
             oldest.remove();
-            tooLong.accept(thing);
+            onTimeout.accept(element);
         }
     }
 }
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -16,12 +16,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * One tunnel on this node, from its client's connection to its end: both sides, and what is
- * between.
+ * Relays one tunnel on this node, from the accept of its client's connection to the end of both
+ * connections.
  */
 final class TunnelRelay {
 
-    /** Where a tunnel is: its first line, with the module, open, on its way out, or over. */
+    /**
+     * Stage of a tunnel: no OPEN line yet, with the policy and without a final answer, open, ended
+     * by the client but not yet by the host, or closed.
+     */
     private enum State {
         AWAITING_OPEN,
         PENDING,
@@ -31,12 +34,16 @@
     }
 
     /**
-     * What a client may send ahead of its host's answer: who sends more is not waiting, and must
-     * still be read to its end.
+     * Maximum number of bytes that a client may send before its host's answer. They are buffered,
+     * as only a connection that is read to its end shows that the client has left; a client that
+     * sends more is not waiting for the answer.
      */
     private static final int MAX_EARLY_BYTES = 8 * 1024;
 
-    /** Questions that one connection may ask before it opens: hundreds at once are no front's. */
+    /**
+     * Maximum number of PING lines on one connection before its OPEN line; no front sends hundreds
+     * at once.
+     */
     private static final int MAX_PINGS = 16;
 
     private final Router router;
@@ -47,8 +54,8 @@
     private Opening opening;
 
     /**
-     * What the module calls this tunnel: no other has it, so that late news of this one reaches
-     * none that has its id.
+     * The policy's id of this tunnel. It is unique, so that late news of this tunnel does not reach
+     * a later one that the client gave the same id.
      */
     private TunnelId id;
 
@@ -58,15 +65,15 @@
     private boolean moveRequested;
     private boolean needsHostConnection;
 
-    /** The setup that was sent last, and all that is known of it. */
+    /** The latest setup, or null before the first. */
     private Setup setup;
 
     private int setupCount;
     private double firstSetupSentAt;
 
     /**
-     * Until when it may be sent again, once it may have run: the module's word is older than a
-     * host's late connection.
+     * Time until which a setup may be sent again once an earlier one may have run. Checked here as
+     * well, because a connection to a host may be established long after the policy's decision.
      */
     private double repeatableUntil = Double.POSITIVE_INFINITY;
 
@@ -79,7 +86,7 @@
         client.events(new ClientSide());
     }
 
-    // ---- The client's first lines ----
+    // ---- The client's lines up to OPEN ----
 
     private void readFirstLines(ByteBuffer bytes) {
         try {
@@ -128,7 +135,9 @@
         router.tunnelAccepted(this);
     }
 
-    /** Guards rule 1 whatever befalls the module: the client hears before it stops waiting. */
+    /**
+     * Sends a final answer before the client stops waiting (rule 1), even if the policy fails to.
+     */
     private void answerOverdue() {
         if (state == State.PENDING) {
             failLocally("tunnels overdue", "out of time");
@@ -136,45 +145,48 @@
     }
 
     /**
-     * Ends a tunnel that still waits, without the module, which hears of it; a setup that is out is
-     * given up.
+     * Ends a pending tunnel without a decision of the policy, which is only notified; a setup in
+     * progress is given up.
      */
-    private void failLocally(String counted, String why) {
-        router.tally().count(counted);
+    private void failLocally(String counter, String reason) {
+        router.tally().count(counter);
         router.enqueueNews(news -> news.tunnelLeft(id));
-        sendFinalAnswer("ERR " + why, Outcome.CLOSED_WITH_ERROR);
+        sendFinalAnswer("ERR " + reason, Outcome.CLOSED_WITH_ERROR);
     }
 
-    /** Says what is wrong with a first line, and ends the connection. */
-    void rejectFirstLine(String why) {
+    /** Answers a first line that is not accepted with an error, and ends the connection. */
+    void rejectFirstLine(String reason) {
         router.tally().count("first lines refused");
-        client.write(Line.of("ERR " + why));
+        client.write(Line.of("ERR " + reason));
         markClosed();
         client.finish();
     }
 
-    /** Reads what it has sent by now; whether no tunnel has come of that. */
+    /**
+     * Reads what the client has sent so far, and returns whether it still has not opened a tunnel.
+     */
     boolean isUnopenedAfterRead() {
         client.look();
         return state == State.AWAITING_OPEN;
     }
 
     /**
-     * No whole first line has come in time, or others need the room: who only asked needs no word.
+     * Ends a connection without a tunnel because its first line is late or its descriptor is
+     * needed. A client that has only sent PING lines gets no final line.
      */
-    void closeUnopened(String word) {
+    void closeUnopened(String line) {
         if (pings == 0 || firstLineReader.begun()) {
-            client.write(Line.of(word));
+            client.write(Line.of(line));
         }
         markClosed();
         client.finish();
     }
 
-    /** Whether it still needs a connection to a host that it does not have. */
-    private void setNeedsHostConnection(boolean is) {
-        if (needsHostConnection != is) {
-            needsHostConnection = is;
-            router.hostConnectionNeeded(is);
+    /** Sets whether this tunnel needs a connection to a host and does not have one. */
+    private void setNeedsHostConnection(boolean needed) {
+        if (needsHostConnection != needed) {
+            needsHostConnection = needed;
+            router.hostConnectionNeeded(needed);
         }
     }
 
@@ -192,6 +204,10 @@
         earlyBytes = null;
     }
 
+    /**
+     * Stops waiting for a line from the host; returns when the wait began, or NaN if there was
+     * none.
+     */
     private double stopReplyTimeouts() {
         router.quietTunnels().remove(this);
         return router.awaitingReply().remove(this);
@@ -205,7 +221,7 @@
         return id;
     }
 
-    /** Whether a first line has begun to come, and may still become a tunnel. */
+    /** Whether part of a first line has arrived that may still open a tunnel. */
     boolean hasPartialFirstLine() {
         return state == State.AWAITING_OPEN && firstLineReader.begun();
     }
@@ -214,17 +230,16 @@
         return clientTimeoutAt - now;
     }
 
-    // ---- Decisions ----
+    // ---- Decisions of the policy ----
 
     /**
-     * Sends the next setup, unless the client has left; {@code timeOut} 0 waits as long as the
-     * client does.
+     * Sends the next setup and returns true, unless the client has left. A {@code timeOut} of 0
+     * means that only the client's timeout applies.
      */
-    boolean sendSetup(HostEndpoint contact, double timeOut) {
-        // What was decided may be late: a list that came in the same wake-up, a round behind a
-        // pause of the process. A host
-        // may count an attempt from its connection on, so the client is looked at before that is
-        // begun.
+    boolean sendSetup(HostEndpoint endpoint, double timeOut) {
+        // The decision may be late, after a list in the same wake-up or a pause of the process. A
+        // host may count an attempt from its connection on, so check first whether the client has
+        // left.
         if (state == State.PENDING) {
             client.look();
         }
@@ -232,7 +247,7 @@
             return false;
         }
         double left = timeLeft(router.now());
-        setup = new Setup(contact, setupCount++);
+        setup = new Setup(endpoint, setupCount++);
         firstSetupSentAt = setupCount == 1 ? setup.sentAt : firstSetupSentAt;
         setup.start(timeOut == 0 ? left : Math.min(left, timeOut));
         return true;
@@ -244,11 +259,7 @@
         }
     }
 
-    /**
-     * The final answer of a tunnel that no host took; nothing goes on for it after that, though a
-     * setup be out.
-     */
-    /** The final answer that the module declines it. */
+    /** Sends the final answer of a tunnel that the policy declines. */
     void decline(String line, DeclineReason reason) {
         if (state == State.PENDING) {
             router.tally().count(reason);
@@ -256,6 +267,10 @@
         sendFinalAnswer(line, Outcome.DECLINED);
     }
 
+    /**
+     * Sends the final answer of a tunnel that no host accepted, and ends it; a setup in progress is
+     * given up.
+     */
     void sendFinalAnswer(String line, Outcome outcome) {
         if (state != State.PENDING) {
             return;
@@ -270,7 +285,10 @@
         router.remove(this);
     }
 
-    /** Tells an open tunnel's client to come again, as soon as no line is in the middle. */
+    /**
+     * Tells an open tunnel's client to open it again (MOVE), as soon as the host's stream is
+     * between two lines.
+     */
     void move() {
         if (state != State.OPEN || moveRequested) {
             return;
@@ -290,31 +308,32 @@
     }
 
     /**
-     * No line has come back for a while. Where the host does not answer questions either, it has
-     * vanished; else the module hears of it, which asks the host, and the tunnel waits for longer.
+     * Handles a host that has not sent a line for a while. If it did not answer the latest probe
+     * either, it counts as vanished; otherwise the delay is reported to the policy, which probes
+     * the host, and the tunnel goes on waiting.
      */
     void onHostQuiet() {
         if (client.backedUp()) {
-            // A client that does not read keeps its host's lines from coming; that is no host's
-            // silence.
+            // A client that does not read keeps its host's lines from arriving; the host is not
+            // silent.
             return;
         }
-        if (setup.contact.isUnresponsive()) {
+        if (setup.endpoint.isUnresponsive()) {
             onHostSilent();
         } else {
             double now = router.now();
-            setup.contact.recordMessageDelay(Router.QUIET_SECONDS, now);
+            setup.endpoint.recordMessageDelay(Router.QUIET_SECONDS, now);
             router.quietTunnels().add(this, now);
         }
     }
 
-    boolean isAt(HostEndpoint contact) {
-        return setup != null && setup.contact == contact;
+    boolean isAt(HostEndpoint endpoint) {
+        return setup != null && setup.endpoint == endpoint;
     }
 
     /**
-     * No line has come back from the host for too long: as it says nothing, its client is sent
-     * away.
+     * Ends an open tunnel whose host has not sent a line for too long, and tells its client to
+     * move.
      */
     void onHostSilent() {
         if (state == State.OPEN) {
@@ -328,24 +347,24 @@
         }
     }
 
-    /** The open tunnel has ended; the module hears it once. */
+    /** Marks an open tunnel as ended, and reports that to the policy once. */
     private void endTunnel(SetupEnd end, Report report) {
         markClosed();
         reportSetupEnd(setup, end, report, true);
         router.remove(this);
     }
 
-    private void reportSetupEnd(Setup of, SetupEnd end, Report report, boolean last) {
-        double took = router.now() - of.sentAt;
+    private void reportSetupEnd(Setup ended, SetupEnd end, Report report, boolean last) {
+        double took = router.now() - ended.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
         router.enqueueNews(
                 news -> {
-                    of.contact.reportLoad(news, report);
-                    news.setupEnded(id, of.number, of.contact.host, end, took, last);
+                    ended.endpoint.reportLoad(news, report);
+                    news.setupEnded(id, ended.number, ended.endpoint.host, end, took, last);
                 });
     }
 
-    // ---- The two sides ----
+    // ---- Events of the two connections ----
 
     private final class ClientSide implements Link.Events {
 
@@ -386,7 +405,7 @@
             }
             earlyBytes = grown.put(bytes).flip();
             if (earlyBytes.remaining() > MAX_EARLY_BYTES) {
-                // Left unread until a host answers, its end would go unseen.
+                // If reading stopped until a host answers, the client's end would go unnoticed.
                 failLocally("tunnels closed for what was sent ahead", "too much before the answer");
             }
         }
@@ -395,8 +414,7 @@
         public void ended() {
             switch (state) {
                 case OPEN -> {
-                    // The host may still say BYE; what ends the tunnel is the end of its
-                    // connection.
+                    // The host may still send BYE; the tunnel ends when its connection does.
                     state = State.CLOSING;
                     stopReplyTimeouts();
                     setup.link.endSending();
@@ -420,7 +438,7 @@
         }
     }
 
-    /** The client is gone. */
+    /** The client has closed or reset its connection. */
     private void clientLeft(boolean reset) {
         State was = state;
         if (was == State.OPEN || was == State.CLOSING) {
@@ -448,7 +466,10 @@
         }
     }
 
-    /** The node stops: what is still here ends now, as politely as may be. */
+    /**
+     * Ends this tunnel because the node stops, with a final answer if it is pending and with MOVE
+     * where possible if it is open.
+     */
     void stop() {
         switch (state) {
             case PENDING -> sendFinalAnswer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
@@ -460,14 +481,14 @@
                 client.finish();
                 setup.link.close();
             }
-            // Its client has taken its leave: the end goes on to both sides, as it would when the
-            // host answers.
+            // The client has ended its sending: end both connections, as when the host ends its
+            // own.
             case CLOSING -> close();
             default -> {}
         }
     }
 
-    /** An ending that the host does not answer. */
+    /** Ends a tunnel whose client has ended its sending and whose host has not followed in time. */
     void onClosingTimeout() {
         if (state == State.CLOSING) {
             close();
@@ -481,7 +502,7 @@
         setup.link.finish();
     }
 
-    /** The host has ended its sending, or its connection broke, on an open tunnel. */
+    /** The host of an open tunnel has ended its sending, or reset the connection. */
     private void hostEnded(boolean reset) {
         if (state == State.CLOSED) {
             return;
@@ -494,18 +515,18 @@
                 hostLineTracker.betweenLines()
                         ? hostLineTracker.last().word()
                         : HostLine.Word.OTHER;
-        // A host that takes its leave while a client's line is under way has its end turned into a
-        // reset.
-        boolean tookLeave = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
+        // If a host closes after BYE or MOVE while a client's line is in flight, its end arrives as
+        // a reset.
+        boolean closedNormally = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
         SetupEnd end =
                 last == HostLine.Word.BYE
                         ? SetupEnd.COMPLETED
-                        : tookLeave || (state == State.CLOSING && !reset)
+                        : closedNormally || (state == State.CLOSING && !reset)
                                 ? SetupEnd.CANCELLED
                                 : SetupEnd.BROKEN;
         router.closingTunnels().remove(this);
         endTunnel(end, end == SetupEnd.COMPLETED ? hostLineTracker.last().report() : Report.NONE);
-        if (reset && !tookLeave) {
+        if (reset && !closedNormally) {
             client.reset();
         } else {
             client.finish();
@@ -513,9 +534,9 @@
         setup.link.finish();
     }
 
-    /** A setup, and the tunnel that comes of it, on the connection to its host. */
+    /** One setup on its connection to the host, and the open tunnel if the host accepts it. */
     private final class Setup implements Link.Events {
-        final HostEndpoint contact;
+        final HostEndpoint endpoint;
         final int number;
         final double sentAt = router.now();
         Link link;
@@ -524,32 +545,34 @@
         private double deadline;
 
         /**
-         * Whether the last byte of the first line has been handed over: from then on it may have
-         * run.
+         * Whether the whole first line has been handed to the system; from then on the setup may
+         * have run.
          */
         private boolean firstLineWritten;
 
+        /** Whether the setup has opened its tunnel or ended. */
         private boolean resolved;
 
         /**
-         * How it will end once its connection has, where this node has given it up; null before.
+         * The end to report once the host has ended its connection, if this node has given the
+         * setup up; else null.
          */
         private SetupEnd pendingEnd;
 
-        Setup(HostEndpoint contact, int number) {
-            this.contact = contact;
+        Setup(HostEndpoint endpoint, int number) {
+            this.endpoint = endpoint;
             this.number = number;
         }
 
         void start(double wait) {
             router.tally().count("setups sent");
             deadline = sentAt + wait;
-            if (wait <= 0 || contact.address() == null) {
+            if (wait <= 0 || endpoint.address() == null) {
                 router.loop().execute(() -> end(SetupEnd.NOT_SENT, Report.NONE));
                 return;
             }
             setNeedsHostConnection(false);
-            link = router.loop().connect(contact.address(), this);
+            link = router.loop().connect(endpoint.address(), this);
             timer =
                     router.loop()
                             .after(
@@ -562,18 +585,16 @@
             timer.cancel();
             client.look();
             if (resolved) {
-                // The client had left: nothing goes on for it.
+                // The client has left, and this setup has been cancelled.
                 return;
             }
             double wait = deadline - router.now();
             if (wait <= 0
-                    || (!standing() && !contact.acceptsNewTunnels())
+                    || (!standing() && !endpoint.acceptsNewTunnels())
                     || router.now() >= repeatableUntil) {
-                // This node came late to it, or was told meanwhile that the host drains or is gone:
-                // by the time that the
-                // connection took, the grace may be over, and so may the time in which a repeat is
-                // dropped (rule 2).
-                // None of these is a host out of reach.
+                // The timeout has passed, or meanwhile the host drains or is gone. The connection
+                // may have outlasted the host's grace and the time in which the host drops a repeat
+                // (rule 2: no effect twice). In none of these cases is the host unreachable.
                 end(SetupEnd.NOT_SENT, Report.NONE);
                 return;
             }
@@ -584,8 +605,8 @@
         }
 
         /**
-         * A line whose rest waits for a host that does not read: its client may have left
-         * meanwhile.
+         * The rest of the first line has waited for a host that did not read; the client may have
+         * left meanwhile.
          */
         @Override
         public void draining() {
@@ -594,7 +615,7 @@
             }
         }
 
-        /** How far it has come, for the tally. */
+        /** How far the setup has come, as part of a counter's name. */
         String stage() {
             return standing()
                     ? "standing before"
@@ -629,22 +650,23 @@
         }
 
         /**
-         * Ends the sending and waits a moment for the host's end: a setup is out until then, and no
-         * other may follow before. A final answer that is due does not wait.
+         * Gives the setup up: ends the sending and waits a moment for the host to end its side, as
+         * no other setup may follow while this one is in progress. Does not wait if the client's
+         * final answer is due.
          */
-        private void giveUp(SetupEnd as) {
+        private void giveUp(SetupEnd reason) {
             if (resolved) {
                 return;
             }
             if (!firstLineWritten
                     || state != State.PENDING
                     || timeLeft(router.now()) < router.giveUpTimeout()) {
-                end(firstLineWritten ? as : SetupEnd.NO_CONNECTION, Report.NONE);
+                end(firstLineWritten ? reason : SetupEnd.NO_CONNECTION, Report.NONE);
                 return;
             }
-            pendingEnd = as;
+            pendingEnd = reason;
             timer.cancel();
-            timer = router.loop().after(router.giveUpTimeout(), () -> end(as, Report.NONE));
+            timer = router.loop().after(router.giveUpTimeout(), () -> end(reason, Report.NONE));
             link.endSending();
         }
 
@@ -677,6 +699,7 @@
             reportSetupEnd(this, end, report, state != State.PENDING);
         }
 
+        /** Whether the tunnel was open at a host before this node started. */
         private boolean standing() {
             return opening.standingAt() != null;
         }
@@ -705,18 +728,17 @@
             if (line == null) {
                 return;
             }
-            HostLine said = HostLine.read(Line.text(line));
-            switch (said.word()) {
+            HostLine answer = HostLine.read(Line.text(line));
+            switch (answer.word()) {
                 case UP -> openTunnel(line);
-                case BUSY -> end(SetupEnd.FULL, said.report());
-                default -> end(SetupEnd.ERROR, said.report());
+                case BUSY -> end(SetupEnd.FULL, answer.report());
+                default -> end(SetupEnd.ERROR, answer.report());
             }
         }
 
         private void openTunnel(byte[] line) {
             if (pendingEnd != null || state != State.PENDING) {
-                // It came too late: this node has ended its sending, and the tunnel could not live
-                // so.
+                // Too late: this node has ended its sending, so the tunnel could not be used.
                 end(pendingEnd == null ? SetupEnd.CANCELLED : pendingEnd, Report.NONE);
                 return;
             }
@@ -734,7 +756,7 @@
             }
             router.tally().count(Outcome.OPENED, opening.profile());
             client.write(ByteBuffer.wrap(line));
-            router.tunnelOpened(TunnelRelay.this, contact, number, took);
+            router.tunnelOpened(TunnelRelay.this, endpoint, number, took);
             if (earlyBytes != null) {
                 link.write(earlyBytes);
                 earlyBytes = null;
@@ -746,7 +768,7 @@
             double now = router.now();
             double since = stopReplyTimeouts();
             if (!Double.isNaN(since)) {
-                contact.recordMessageDelay(now - since, now);
+                endpoint.recordMessageDelay(now - since, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
             partialLineBuffer.pass(bytes, this::writeToClient);
--- a/node/src/main/java/embershift/routing/UnopenedConnections.java
+++ b/node/src/main/java/embershift/routing/UnopenedConnections.java
@@ -4,35 +4,35 @@
 import java.util.function.IntSupplier;
 
 /**
- * The connections from which no tunnel has come yet, and what they may hold: a time, and of the
- * descriptors only what tunnels leave. When these run short, who was turned away goes first, then
- * who says nothing.
+ * Client connections that have not opened a tunnel yet. They have a limited time for that, and may
+ * use only descriptors that tunnels leave free. When descriptors run short, connections that were
+ * already rejected are closed first, then those that have waited longest without opening a tunnel.
  */
 final class UnopenedConnections implements Loop.Admission {
 
     /**
-     * Seconds from the accept within which a whole first line must have come, however many
-     * questions come before it. Clients send theirs at once; within three seconds all others must
-     * have heard.
+     * Seconds from the accept within which the whole OPEN line must have arrived, however many PING
+     * lines come before it. Clients send it at once; all others must have had an answer within
+     * three seconds.
      */
     private static final double FIRST_LINE_SECONDS = 2;
 
-    /**
-     * Descriptors that no tunnel takes, so that clients can still be read and answered; and those
-     * that no client takes, for discovery and for what the loop has accepted and not yet handed
-     * over.
-     */
+    /** Descriptors that no tunnel takes, so that clients can still be read and answered. */
     private static final int CLIENT_RESERVE = 32;
 
+    /**
+     * Descriptors that no client takes: for discovery, and for connections that the loop has
+     * accepted and not yet handed over.
+     */
     private static final int NODE_RESERVE = CLIENT_RESERVE / 2;
 
     /**
-     * Clients that are read and answered even where others, as tunnels after a lower limit, hold
-     * all there is.
+     * Number of clients that are always read and answered, even if others hold all descriptors,
+     * such as tunnels after the limit was lowered.
      */
     private static final int MIN_CLIENTS = 4;
 
-    /** Seconds for which they are left alone then, so that what they have sent is read. */
+    /** Seconds for which those are not evicted then, so that what they have sent is read. */
     private static final double READ_GRACE_SECONDS = 0.02;
 
     private final Loop loop;
@@ -41,16 +41,16 @@
     private int descriptorLimit;
 
     /**
-     * Whether one is being read on its way out: a tunnel that comes of that sends no other away in
-     * turn.
+     * Whether a connection is being read before its eviction: a tunnel that this opens must not
+     * evict another connection in turn.
      */
     private boolean readingOldest;
 
     private final TimeoutQueue<TunnelRelay> waiting = new TimeoutQueue<>(FIRST_LINE_SECONDS);
 
     /**
-     * {@code promised}: descriptors that tunnels taken in will need, or that are for hosts, and are
-     * not taken yet.
+     * {@code promised} gives the number of descriptors not taken yet that accepted tunnels will
+     * need or that are reserved for probe connections.
      */
     UnopenedConnections(Loop loop, Tally tally, IntSupplier promised) {
         this.loop = loop;
@@ -59,69 +59,74 @@
     }
 
     /**
-     * The limit on descriptors from now on; what strangers hold beyond it they give back at once.
+     * Sets the limit on descriptors; connections beyond it are closed at once, until fewer than
+     * {@link #MIN_CLIENTS} are left.
      */
-    void setDescriptorLimit(int most) {
-        descriptorLimit = most;
+    void setDescriptorLimit(int limit) {
+        descriptorLimit = limit;
         while (heldDescriptors() > descriptorLimit - NODE_RESERVE
                 && waiting.size() + loop.lingering() >= MIN_CLIENTS
                 && evictOne()) {
-            // One after the other.
+            // Evict one at a time.
         }
     }
 
-    void add(TunnelRelay passage) {
-        waiting.add(passage, loop.now());
+    void add(TunnelRelay relay) {
+        waiting.add(relay, loop.now());
     }
 
     boolean hasAny() {
         return waiting.oldest() != null;
     }
 
-    /** Whether part of a first line has come from one of them. */
+    /** Whether part of a first line has arrived on any of them. */
     boolean hasPartialFirstLine() {
         return waiting.snapshot().stream().anyMatch(TunnelRelay::hasPartialFirstLine);
     }
 
-    /** The node stops: whoever is still here hears so, rather than an end without a word. */
+    /** Closes all connections because the node stops, with BUSY rather than without an answer. */
     void closeAll() {
-        waiting.snapshot().forEach(passage -> passage.closeUnopened("BUSY"));
+        waiting.snapshot().forEach(relay -> relay.closeUnopened("BUSY"));
     }
 
-    void remove(TunnelRelay passage) {
-        waiting.remove(passage);
+    void remove(TunnelRelay relay) {
+        waiting.remove(relay);
     }
 
     void expire(double now) {
         waiting.expire(
                 now,
-                passage -> {
-                    // What it has sent by now has come in time, also where the loop stood still
-                    // over it.
-                    if (passage.isUnopenedAfterRead()) {
+                relay -> {
+                    // What the client has sent by now is in time, even if the loop was stalled
+                    // and has not read it.
+                    if (relay.isUnopenedAfterRead()) {
                         tally.count("connections silent for too long");
-                        passage.closeUnopened("ERR no first line came");
+                        relay.closeUnopened("ERR no first line came");
                     }
                 });
     }
 
-    /** Whether a tunnel may take the descriptors that it needs, once strangers have made room. */
+    /**
+     * Evicts connections as needed so that a tunnel can take its descriptors; returns whether it
+     * can.
+     */
     boolean makeRoom() {
         return makeRoomLeaving(CLIENT_RESERVE);
     }
 
     /**
-     * The same for a tunnel that stood before, whose place has been promised. Any client can say
-     * that it is such a one, so it does not get those that no client takes either.
+     * The same for a tunnel that was open before this node started and is to keep its place. It may
+     * use descriptors that other tunnels must leave free, but not the node's own reserve, as any
+     * client can claim to be such a tunnel.
      */
     boolean makeRoomForStanding() {
         return makeRoomLeaving(NODE_RESERVE);
     }
 
     /**
-     * Has strangers make room, so that a further connection may come in. A few always may: even one
-     * that is only to be declined has to be read, or it would wait at the system until its client's
-     * time is out.
+     * Evicts connections as needed so that another may be accepted. A few always may: even a
+     * connection that is only to be declined has to be read, or it would wait in the system's
+     * backlog until its client's timeout.
      */
     @Override
     public boolean mayAccept() {
@@ -150,8 +155,8 @@
         return loop.descriptors() + promised.getAsInt();
     }
 
-    private boolean makeRoomLeaving(int free) {
-        while (heldDescriptors() > descriptorLimit - free) {
+    private boolean makeRoomLeaving(int reserve) {
+        while (heldDescriptors() > descriptorLimit - reserve) {
             if (!evictOne()) {
                 return false;
             }
@@ -160,27 +165,27 @@
     }
 
     /**
-     * Who was turned away goes first, then who says nothing; whether there was one, or one has
-     * spoken after all.
+     * Closes a connection that was already rejected, or else the oldest without a tunnel. Returns
+     * false if there was none; true also if the oldest has opened a tunnel after all.
      */
     private boolean evictOne() {
         if (loop.closeLingering()) {
             return true;
         }
-        TunnelRelay silent = waiting.oldest();
-        if (silent == null || readingOldest) {
+        TunnelRelay oldest = waiting.oldest();
+        if (oldest == null || readingOldest) {
             return false;
         }
-        // What it has sent may be unread, as after a pause of the process; closed over that, it
-        // would hear nothing.
+        // Its input may be unread, as after a pause of the process; if it were closed with unread
+        // input, the client would not receive the answer.
         readingOldest = true;
-        boolean stranger = silent.isUnopenedAfterRead();
+        boolean unopened = oldest.isUnopenedAfterRead();
         readingOldest = false;
-        if (!stranger) {
+        if (!unopened) {
             return true;
         }
         tally.count("connections turned away for want of descriptors");
-        silent.closeUnopened("BUSY");
+        oldest.closeUnopened("BUSY");
         return true;
     }
 }
