--- a/node/src/main/java/embershift/routing/HostEndpoint.java
+++ b/node/src/main/java/embershift/routing/HostEndpoint.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
 import embershift.model.HostId;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.protocol.HostLine;
 import embershift.protocol.Line;
 import embershift.protocol.Report;
@@ -199,10 +199,10 @@
         if (unresponsive) {
             router.hostUnresponsive(this);
         }
-        router.enqueueNews(
-                news -> {
-                    news.probeEnded(host, answered, took);
-                    reportLoad(news, report);
+        router.enqueueEvent(
+                events -> {
+                    events.probeEnded(host, answered, took);
+                    reportLoad(events, report);
                 });
     }
 
@@ -211,9 +211,9 @@
         return unresponsive;
     }
 
-    void reportLoad(News news, Report report) {
+    void reportLoad(NodeEvents events, Report report) {
         if (!report.empty()) {
-            news.hostReported(
+            events.hostReported(
                     host, report.loadOverCapacity(), report.openTunnels(), report.queued());
         }
     }
@@ -227,7 +227,7 @@
         if (slow ? now >= messageDelayReportedAt + 1 : messagesSlow) {
             messagesSlow = slow;
             messageDelayReportedAt = now;
-            router.enqueueNews(news -> news.messageDelayNoted(host, delay));
+            router.enqueueEvent(events -> events.messageDelayMeasured(host, delay));
         }
     }
 
--- a/node/src/main/java/embershift/routing/Peers.java
+++ b/node/src/main/java/embershift/routing/Peers.java
@@ -67,7 +67,7 @@
             return;
         }
         router.tally().count("datagrams received");
-        router.enqueueNews(news -> news.nodeHeard(node, content));
+        router.enqueueEvent(events -> events.nodeMessageReceived(node, content));
     }
 
     void sendTo(int node, byte[] content) {
--- a/node/src/main/java/embershift/routing/RosterClient.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
-import embershift.model.News;
-import embershift.policy.Chance;
+import embershift.model.NodeEvents;
+import embershift.policy.SeededRandom;
 import embershift.protocol.HttpReply;
 import embershift.protocol.RosterPage;
 import embershift.protocol.Unreadable;
@@ -49,7 +49,8 @@
     RosterClient(Router router, InetSocketAddress address, boolean alwaysWatches, long seed) {
         this.router = router;
         this.alwaysWatches = alwaysWatches;
-        schedule = new WatchSchedule(alwaysWatches, new Chance(~seed)::nextApart);
+        schedule =
+                new WatchSchedule(alwaysWatches, new SeededRandom(~seed)::nextDecorrelatedDouble);
         setAddress(address);
     }
 
@@ -193,7 +194,7 @@
         router.tally().count("roster calls failed");
         continueWatch();
         if (!alwaysWatches) {
-            router.enqueueNews(News::rosterLost);
+            router.enqueueEvent(NodeEvents::rosterWatchLost);
         }
     }
 
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -4,11 +4,11 @@
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ProfileId;
+import embershift.model.RosterEntry;
 import embershift.model.TunnelId;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import embershift.protocol.NodeConfiguration;
 import embershift.protocol.Opening;
@@ -27,9 +27,9 @@
 import java.util.function.Consumer;
 
 /**
- * Connects the placement policy to the node's sockets: turns socket events into news for the policy
- * and carries out its decisions. All news of one wake-up of the loop is processed in one policy
- * round.
+ * Connects the placement policy to the node's sockets: turns what happens on them into events for
+ * the policy and carries out its decisions. All events of one wake-up of the loop are processed in
+ * one policy round.
  */
 public final class Router implements Decisions {
 
@@ -99,7 +99,7 @@
 
     private final Loop loop;
     private final Deployment deployment;
-    private final Filling filling;
+    private final HostCapacityEstimate capacityEstimate;
     private final Policy policy;
     private final Consumer<String> log;
     private final Tally tally;
@@ -135,7 +135,7 @@
     private ExternalRoster externalRoster;
     private final double connectTimeout;
     private final double slowMessageDelay;
-    private List<Consumer<News>> pendingNews = new ArrayList<>();
+    private List<Consumer<NodeEvents>> pendingEvents = new ArrayList<>();
     private boolean roundDue;
 
     /** Code locations whose faults have been logged; each is logged once. */
@@ -165,8 +165,8 @@
         this.loop = loop;
         this.log = log;
         deployment = configuration.deployment();
-        filling = new Filling(deployment);
-        policy = new Policy(deployment, filling);
+        capacityEstimate = new HostCapacityEstimate(deployment);
+        policy = new Policy(deployment, capacityEstimate);
         tally = new Tally(deployment);
         connectTimeout = deployment.connectTimeout() > 0 ? deployment.connectTimeout() : 0.25;
         slowMessageDelay =
@@ -196,7 +196,7 @@
             RosterPage known = configuration.known();
             roster.setGeneration(known.generation());
             updateEndpoints(known);
-            enqueueNews(news -> news.rosterListed(known.listings(), true));
+            enqueueEvent(events -> events.rosterReplaced(known.listings(), true));
         }
         if (!deployment.rosterOnRequest()) {
             roster.watch(true);
@@ -289,15 +289,15 @@
      * Number of tunnels that fill a host, as learned by this process; passed on to the process that
      * replaces it.
      */
-    public double tunnelsPerFullHost() {
-        return filling.tunnels();
+    public double tunnelsPerWarmHost() {
+        return capacityEstimate.tunnelsPerWarmHost();
     }
 
     /**
      * Takes the number of tunnels that fill a host, as learned by another process at this address.
      */
-    public void learnTunnelsPerFullHost(double tunnels) {
-        filling.told(tunnels);
+    public void adoptTunnelsPerWarmHost(double tunnels) {
+        capacityEstimate.adopt(tunnels);
     }
 
     /**
@@ -369,7 +369,7 @@
             listening.close();
             peers.close();
         }
-        enqueueNews(news -> news.nodeLeaving(replaced));
+        enqueueEvent(events -> events.nodeLeaving(replaced));
     }
 
     /**
@@ -404,9 +404,9 @@
      */
     public void setOutOfService(HostId host, boolean outOfService, Runnable done) {
         endpoint(host).outOfService = outOfService;
-        enqueueNews(news -> news.hostByHand(host, outOfService));
+        enqueueEvent(events -> events.hostAdminStateChanged(host, outOfService));
         log.accept("by hand: " + host.name() + (outOfService ? " out" : " back"));
-        // After the round that processes this news.
+        // After the round that processes this event.
         loop.execute(done);
     }
 
@@ -499,17 +499,17 @@
         awaitingReply.expire(now, TunnelRelay::onHostQuiet);
         quietTunnels.expire(now, TunnelRelay::onHostSilent);
         closingTunnels.expire(now, TunnelRelay::onClosingTimeout);
-        listedHosts = policy.listed(false);
-        avoidedHosts = policy.listed(true);
+        listedHosts = policy.listedHostCount(false);
+        avoidedHosts = policy.listedHostCount(true);
         retryWaitingProbe();
         loop.after(SWEEP_SECONDS, this::sweep);
     }
 
-    // ---- News for the policy ----
+    // ---- Events for the policy ----
 
-    /** Queues a piece of news for the policy round after this wake-up. */
-    void enqueueNews(Consumer<News> news) {
-        pendingNews.add(news);
+    /** Queues an event for the policy round after this wake-up. */
+    void enqueueEvent(Consumer<NodeEvents> event) {
+        pendingEvents.add(event);
         if (!roundDue) {
             roundDue = true;
             loop.execute(this::runRound);
@@ -518,22 +518,21 @@
 
     private void runRound() {
         roundDue = false;
-        List<Consumer<News>> batch = pendingNews;
-        pendingNews = new ArrayList<>();
+        List<Consumer<NodeEvents>> batch = pendingEvents;
+        pendingEvents = new ArrayList<>();
         try {
-            policy.round(now(), receiver -> batch.forEach(news -> deliver(receiver, news)), this);
+            policy.round(now(), receiver -> batch.forEach(event -> deliver(receiver, event)), this);
         } catch (RuntimeException e) {
             logFault(e);
         }
     }
 
     /**
-     * Delivers one piece of news; if the policy throws, the rest of the round's news is still
-     * delivered.
+     * Delivers one event; if the policy throws, the rest of the round's events are still delivered.
      */
-    private void deliver(News receiver, Consumer<News> news) {
+    private void deliver(NodeEvents receiver, Consumer<NodeEvents> event) {
         try {
-            news.accept(receiver);
+            event.accept(receiver);
         } catch (RuntimeException e) {
             logFault(e);
         }
@@ -573,7 +572,7 @@
     }
 
     /**
-     * Makes an id that no other tunnel has had in this process, so that late news of an ended
+     * Makes an id that no other tunnel has had in this process, so that a late event of an ended
      * tunnel does not reach a later one that the client gave the same id.
      */
     TunnelId uniqueId(TunnelId id) {
@@ -608,9 +607,9 @@
             relay.rejectFirstLine("unknown profile " + opening.profile().name());
             return;
         }
-        enqueueNews(
-                news ->
-                        news.tunnelArrived(
+        enqueueEvent(
+                events ->
+                        events.tunnelArrived(
                                 relay.id(),
                                 opening.profile(),
                                 opening.participant(),
@@ -666,9 +665,9 @@
     void tunnelOpened(TunnelRelay relay, HostEndpoint endpoint, int setup, double took) {
         Opening opening = relay.opening();
         if (opening.standingAt() != null) {
-            enqueueNews(
-                    news ->
-                            news.tunnelStanding(
+            enqueueEvent(
+                    events ->
+                            events.tunnelResumed(
                                     relay.id(),
                                     opening.profile(),
                                     opening.participant(),
@@ -676,7 +675,7 @@
                                     opening.group(),
                                     endpoint.host));
         } else {
-            enqueueNews(news -> news.tunnelOpened(relay.id(), setup, endpoint.host, took));
+            enqueueEvent(events -> events.tunnelOpened(relay.id(), setup, endpoint.host, took));
         }
     }
 
@@ -691,10 +690,10 @@
     public void applyRoster(RosterPage page) {
         tally.add("roster entries unreadable", page.unreadable());
         updateEndpoints(page);
-        enqueueNews(
+        enqueueEvent(
                 page.whole()
-                        ? news -> news.rosterListed(page.listings(), false)
-                        : news -> news.rosterChanged(page.listings()));
+                        ? events -> events.rosterReplaced(page.listings(), false)
+                        : events -> events.rosterChanged(page.listings()));
         // Over a copy: resuming may remove a tunnel from the list, if its client has left.
         for (TunnelRelay relay : List.copyOf(unresumed)) {
             if (resume(relay)) {
@@ -718,10 +717,10 @@
                     });
         }
         page.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
-        for (Listing listing : page.listings()) {
-            HostEndpoint endpoint = endpoint(listing.host());
-            endpoint.listedReady = listing.state() == Listing.State.READY;
-            if (listing.state() == Listing.State.GONE) {
+        for (RosterEntry entry : page.listings()) {
+            HostEndpoint endpoint = endpoint(entry.host());
+            endpoint.listedReady = entry.state() == RosterEntry.State.READY;
+            if (entry.state() == RosterEntry.State.GONE) {
                 endpoint.disconnect();
             }
         }
@@ -730,7 +729,7 @@
     // ---- Decisions of the policy ----
 
     @Override
-    public void setUp(TunnelId id, HostId host, double timeOut) {
+    public void sendSetup(TunnelId id, HostId host, double timeOut) {
         TunnelRelay relay = relays.get(id);
         if (relay != null && relay.sendSetup(endpoint(host), timeOut)) {
             endpoint(host).setupsSent++;
@@ -738,10 +737,10 @@
     }
 
     @Override
-    public void cancel(TunnelId id, int setup) {
+    public void cancelSetup(TunnelId id, int setup) {
         TunnelRelay relay = relays.get(id);
         if (relay != null) {
-            relay.cancel(setup);
+            relay.cancelSetup(setup);
         }
     }
 
@@ -789,28 +788,28 @@
     }
 
     @Override
-    public void askRoster() {
+    public void requestRoster() {
         roster.requestFullList();
     }
 
     @Override
-    public void tellNode(int node, byte[] content) {
+    public void sendToNode(int node, byte[] content) {
         peers.sendTo(node, content);
     }
 
     @Override
-    public void tellAllNodes(byte[] content) {
+    public void sendToAllNodes(byte[] content) {
         peers.sendToAll(content);
     }
 
     @Override
     public void wakeAfter(double delay) {
         // A policy that asks for rounds without a pause would keep the sockets from being read.
-        loop.after(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueNews(news -> {}));
+        loop.after(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueEvent(events -> {}));
     }
 
     @Override
-    public void note(String line) {
+    public void logForOperators(String line) {
         log.accept(line);
     }
 }
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -1,7 +1,7 @@
 package embershift.routing;
 
 import embershift.model.DeclineReason;
-import embershift.model.SetupEnd;
+import embershift.model.SetupOutcome;
 import embershift.model.TunnelId;
 import embershift.protocol.HostLine;
 import embershift.protocol.Line;
@@ -54,8 +54,8 @@
     private Opening opening;
 
     /**
-     * The policy's id of this tunnel. It is unique, so that late news of this tunnel does not reach
-     * a later one that the client gave the same id.
+     * The policy's id of this tunnel. It is unique, so that a late event of this tunnel does not
+     * reach a later one that the client gave the same id.
      */
     private TunnelId id;
 
@@ -150,7 +150,7 @@
      */
     private void failLocally(String counter, String reason) {
         router.tally().count(counter);
-        router.enqueueNews(news -> news.tunnelLeft(id));
+        router.enqueueEvent(events -> events.tunnelAbandoned(id));
         sendFinalAnswer("ERR " + reason, Outcome.CLOSED_WITH_ERROR);
     }
 
@@ -253,7 +253,7 @@
         return true;
     }
 
-    void cancel(int number) {
+    void cancelSetup(int number) {
         if (setup != null && setup.number == number) {
             setup.cancel();
         }
@@ -301,7 +301,7 @@
         if (moveRequested && state == State.OPEN && hostLineTracker.betweenLines()) {
             router.tally().count("tunnels moved");
             client.write(Line.of("MOVE"));
-            endTunnel(SetupEnd.CANCELLED, Report.NONE);
+            endTunnel(SetupOutcome.CANCELLED, Report.NONE);
             client.finish();
             setup.link.finish();
         }
@@ -341,26 +341,26 @@
             if (hostLineTracker.betweenLines()) {
                 client.write(Line.of("MOVE"));
             }
-            endTunnel(SetupEnd.BROKEN, Report.NONE);
+            endTunnel(SetupOutcome.BROKEN, Report.NONE);
             client.finish();
             setup.link.close();
         }
     }
 
     /** Marks an open tunnel as ended, and reports that to the policy once. */
-    private void endTunnel(SetupEnd end, Report report) {
+    private void endTunnel(SetupOutcome end, Report report) {
         markClosed();
         reportSetupEnd(setup, end, report, true);
         router.remove(this);
     }
 
-    private void reportSetupEnd(Setup ended, SetupEnd end, Report report, boolean last) {
+    private void reportSetupEnd(Setup ended, SetupOutcome end, Report report, boolean last) {
         double took = router.now() - ended.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
-        router.enqueueNews(
-                news -> {
-                    ended.endpoint.reportLoad(news, report);
-                    news.setupEnded(id, ended.number, ended.endpoint.host, end, took, last);
+        router.enqueueEvent(
+                events -> {
+                    ended.endpoint.reportLoad(events, report);
+                    events.setupEnded(id, ended.number, ended.endpoint.host, end, took, last);
                 });
     }
 
@@ -443,7 +443,7 @@
         State was = state;
         if (was == State.OPEN || was == State.CLOSING) {
             router.closingTunnels().remove(this);
-            endTunnel(SetupEnd.CANCELLED, Report.NONE);
+            endTunnel(SetupOutcome.CANCELLED, Report.NONE);
             if (reset) {
                 setup.link.reset();
             } else {
@@ -458,7 +458,7 @@
             router.tally().count("tunnels left early");
             router.tally()
                     .count("tunnels left early " + (setup == null ? "unplaced" : setup.stage()));
-            router.enqueueNews(news -> news.tunnelLeft(id));
+            router.enqueueEvent(events -> events.tunnelAbandoned(id));
             if (setup != null) {
                 setup.cancel();
             }
@@ -477,7 +477,7 @@
                 if (hostLineTracker.betweenLines()) {
                     client.write(Line.of("MOVE"));
                 }
-                endTunnel(SetupEnd.CANCELLED, Report.NONE);
+                endTunnel(SetupOutcome.CANCELLED, Report.NONE);
                 client.finish();
                 setup.link.close();
             }
@@ -497,7 +497,7 @@
 
     private void close() {
         router.closingTunnels().remove(this);
-        endTunnel(SetupEnd.CANCELLED, Report.NONE);
+        endTunnel(SetupOutcome.CANCELLED, Report.NONE);
         client.finish();
         setup.link.finish();
     }
@@ -518,14 +518,15 @@
         // If a host closes after BYE or MOVE while a client's line is in flight, its end arrives as
         // a reset.
         boolean closedNormally = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
-        SetupEnd end =
+        SetupOutcome end =
                 last == HostLine.Word.BYE
-                        ? SetupEnd.COMPLETED
+                        ? SetupOutcome.COMPLETED
                         : closedNormally || (state == State.CLOSING && !reset)
-                                ? SetupEnd.CANCELLED
-                                : SetupEnd.BROKEN;
+                                ? SetupOutcome.CANCELLED
+                                : SetupOutcome.BROKEN;
         router.closingTunnels().remove(this);
-        endTunnel(end, end == SetupEnd.COMPLETED ? hostLineTracker.last().report() : Report.NONE);
+        endTunnel(
+                end, end == SetupOutcome.COMPLETED ? hostLineTracker.last().report() : Report.NONE);
         if (reset && !closedNormally) {
             client.reset();
         } else {
@@ -557,7 +558,7 @@
          * The end to report once the host has ended its connection, if this node has given the
          * setup up; else null.
          */
-        private SetupEnd pendingEnd;
+        private SetupOutcome pendingEnd;
 
         Setup(HostEndpoint endpoint, int number) {
             this.endpoint = endpoint;
@@ -568,7 +569,7 @@
             router.tally().count("setups sent");
             deadline = sentAt + wait;
             if (wait <= 0 || endpoint.address() == null) {
-                router.loop().execute(() -> end(SetupEnd.NOT_SENT, Report.NONE));
+                router.loop().execute(() -> end(SetupOutcome.NOT_SENT, Report.NONE));
                 return;
             }
             setNeedsHostConnection(false);
@@ -577,7 +578,7 @@
                     router.loop()
                             .after(
                                     Math.min(wait, router.connectTimeout()),
-                                    () -> end(SetupEnd.NO_CONNECTION, Report.NONE));
+                                    () -> end(SetupOutcome.NO_CONNECTION, Report.NONE));
         }
 
         @Override
@@ -595,7 +596,7 @@
                 // The timeout has passed, or meanwhile the host drains or is gone. The connection
                 // may have outlasted the host's grace and the time in which the host drops a repeat
                 // (rule 2: no effect twice). In none of these cases is the host unreachable.
-                end(SetupEnd.NOT_SENT, Report.NONE);
+                end(SetupOutcome.NOT_SENT, Report.NONE);
                 return;
             }
             timer = router.loop().after(wait, this::timedOut);
@@ -636,16 +637,16 @@
         @Override
         public void notConnected() {
             link = null;
-            end(SetupEnd.NO_CONNECTION, Report.NONE);
+            end(SetupOutcome.NO_CONNECTION, Report.NONE);
         }
 
         private void timedOut() {
-            giveUp(SetupEnd.TIMED_OUT);
+            giveUp(SetupOutcome.TIMED_OUT);
         }
 
         void cancel() {
             if (!resolved && pendingEnd == null) {
-                giveUp(SetupEnd.CANCELLED);
+                giveUp(SetupOutcome.CANCELLED);
             }
         }
 
@@ -654,14 +655,14 @@
          * no other setup may follow while this one is in progress. Does not wait if the client's
          * final answer is due.
          */
-        private void giveUp(SetupEnd reason) {
+        private void giveUp(SetupOutcome reason) {
             if (resolved) {
                 return;
             }
             if (!firstLineWritten
                     || state != State.PENDING
                     || timeLeft(router.now()) < router.giveUpTimeout()) {
-                end(firstLineWritten ? reason : SetupEnd.NO_CONNECTION, Report.NONE);
+                end(firstLineWritten ? reason : SetupOutcome.NO_CONNECTION, Report.NONE);
                 return;
             }
             pendingEnd = reason;
@@ -670,7 +671,7 @@
             link.endSending();
         }
 
-        private void end(SetupEnd end, Report report) {
+        private void end(SetupOutcome end, Report report) {
             if (resolved) {
                 return;
             }
@@ -722,7 +723,7 @@
             try {
                 line = lineReader.next(bytes);
             } catch (Unreadable e) {
-                end(SetupEnd.ERROR, Report.NONE);
+                end(SetupOutcome.ERROR, Report.NONE);
                 return;
             }
             if (line == null) {
@@ -731,15 +732,15 @@
             HostLine answer = HostLine.read(Line.text(line));
             switch (answer.word()) {
                 case UP -> openTunnel(line);
-                case BUSY -> end(SetupEnd.FULL, answer.report());
-                default -> end(SetupEnd.ERROR, answer.report());
+                case BUSY -> end(SetupOutcome.FULL, answer.report());
+                default -> end(SetupOutcome.ERROR, answer.report());
             }
         }
 
         private void openTunnel(byte[] line) {
             if (pendingEnd != null || state != State.PENDING) {
                 // Too late: this node has ended its sending, so the tunnel could not be used.
-                end(pendingEnd == null ? SetupEnd.CANCELLED : pendingEnd, Report.NONE);
+                end(pendingEnd == null ? SetupOutcome.CANCELLED : pendingEnd, Report.NONE);
                 return;
             }
             resolved = true;
@@ -782,7 +783,7 @@
             hostLineTracker.follow(bytes);
             double load = hostLineTracker.takeLoad();
             if (!Double.isNaN(load)) {
-                router.enqueueNews(news -> news.tunnelLoadNoted(id, load * 1e-6));
+                router.enqueueEvent(events -> events.tunnelLoadMeasured(id, load * 1e-6));
             }
             client.write(bytes);
         }
@@ -793,7 +794,9 @@
                 end(
                         pendingEnd != null
                                 ? pendingEnd
-                                : firstLineWritten ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                                : firstLineWritten
+                                        ? SetupOutcome.BROKEN
+                                        : SetupOutcome.NO_CONNECTION,
                         Report.NONE);
             } else {
                 hostEnded(false);
@@ -806,7 +809,9 @@
                 end(
                         pendingEnd != null
                                 ? pendingEnd
-                                : firstLineWritten ? SetupEnd.BROKEN : SetupEnd.NO_CONNECTION,
+                                : firstLineWritten
+                                        ? SetupOutcome.BROKEN
+                                        : SetupOutcome.NO_CONNECTION,
                         Report.NONE);
             } else {
                 hostEnded(true);
