--- a/node/src/main/java/embershift/routing/HostEndpoint.java
+++ b/node/src/main/java/embershift/routing/HostEndpoint.java
@@ -3,18 +3,18 @@
 import embershift.model.HostId;
 import embershift.model.NodeEvents;
 import embershift.protocol.HostLine;
-import embershift.protocol.Line;
-import embershift.protocol.Report;
-import embershift.protocol.Unreadable;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.LineCodec;
+import embershift.protocol.LoadReport;
+import embershift.protocol.MalformedDataException;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 
 /** How this node reaches one host: its address, and a persistent connection for probes. */
-final class HostEndpoint implements Link.Events {
+final class HostEndpoint implements TcpConnection.Listener {
 
-    private static final ByteBuffer STATS_REQUEST = Line.of("STATS").asReadOnlyBuffer();
+    private static final ByteBuffer STATS_REQUEST = LineCodec.encode("STATS").asReadOnlyBuffer();
 
     final HostId host;
 
@@ -32,9 +32,9 @@
 
     private final Router router;
     private InetSocketAddress address;
-    private Link link;
+    private TcpConnection connection;
     private boolean connected;
-    private Line lineReader = new Line();
+    private LineCodec lineReader = new LineCodec();
 
     /** When the probe in progress was started; NaN if there is none. */
     private double probeStartedAt = Double.NaN;
@@ -48,7 +48,7 @@
     /** When the last answer arrived on this connection; negative infinity if none has. */
     private double lastAnswerAt = Double.NEGATIVE_INFINITY;
 
-    private Loop.Timer probeTimer;
+    private EventLoop.Timer probeTimer;
     private boolean unresponsive;
     private double messageDelayReportedAt = Double.NEGATIVE_INFINITY;
     private boolean messagesSlow;
@@ -70,11 +70,11 @@
     void setAddress(InetSocketAddress latest) {
         if (!latest.equals(address)) {
             address = latest;
-            if (link != null && !Double.isNaN(probeStartedAt)) {
+            if (connection != null && !Double.isNaN(probeStartedAt)) {
                 // Probe the new process instead: a missing answer of the previous one says nothing
                 // about it.
                 reconnect();
-            } else if (link != null) {
+            } else if (connection != null) {
                 disconnect();
             }
         }
@@ -87,10 +87,10 @@
         probeStartedAt = router.now();
         router.tally().count("probes sent");
         if (address == null) {
-            router.loop().execute(() -> endProbe(false, Report.NONE));
+            router.loop().execute(() -> endProbe(false, LoadReport.NONE));
             return;
         }
-        if (link == null) {
+        if (connection == null) {
             connectForProbe();
             return;
         }
@@ -114,14 +114,16 @@
     }
 
     private void startProbeTimer() {
-        probeTimer = router.loop().after(router.probeTimeout(), () -> endProbe(false, Report.NONE));
+        probeTimer =
+                router.loop()
+                        .schedule(router.probeTimeout(), () -> endProbe(false, LoadReport.NONE));
     }
 
     /** Closes the connection and returns its place to the pool. */
     private void releaseConnection() {
-        if (link != null) {
-            link.close();
-            link = null;
+        if (connection != null) {
+            connection.close();
+            connection = null;
             router.probeConnections().released(this);
             router.retryWaitingProbe();
         }
@@ -129,14 +131,14 @@
 
     /** Opens a new connection in place of the current one, if any. */
     private void reconnect() {
-        if (link != null) {
-            link.close();
+        if (connection != null) {
+            connection.close();
         }
-        lineReader = new Line();
+        lineReader = new LineCodec();
         connected = false;
         probeWritten = false;
         lastAnswerAt = Double.NEGATIVE_INFINITY;
-        link = router.loop().connect(address, this);
+        connection = router.loop().connect(address, this);
     }
 
     /**
@@ -147,13 +149,13 @@
         double notBefore = lastAnswerAt + router.duplicateAnswerWindow();
         double now = router.now();
         if (now < notBefore) {
-            Link current = link;
+            TcpConnection current = connection;
             double startedAt = probeStartedAt;
             router.loop()
-                    .after(
+                    .schedule(
                             notBefore - now,
                             () -> {
-                                if (link == current
+                                if (connection == current
                                         && probeStartedAt == startedAt
                                         && !probeWritten) {
                                     sendProbe();
@@ -162,20 +164,20 @@
             return;
         }
         probeWritten = true;
-        link.write(STATS_REQUEST.duplicate());
+        connection.write(STATS_REQUEST.duplicate());
     }
 
     /** Closes the probe connection; a probe in progress counts as not answered. */
     void disconnect() {
-        if (link != null || router.probeConnections().cancelWait(this)) {
+        if (connection != null || router.probeConnections().cancelWait(this)) {
             releaseConnection();
             if (!Double.isNaN(probeStartedAt)) {
-                router.loop().execute(() -> endProbe(false, Report.NONE));
+                router.loop().execute(() -> endProbe(false, LoadReport.NONE));
             }
         }
     }
 
-    private void endProbe(boolean answered, Report report) {
+    private void endProbe(boolean answered, LoadReport report) {
         if (Double.isNaN(probeStartedAt)) {
             return;
         }
@@ -191,7 +193,7 @@
             // A late answer would be taken for the answer to the next probe.
             releaseConnection();
         } else {
-            router.probeConnections().setIdle(this, link != null);
+            router.probeConnections().setIdle(this, connection != null);
             router.retryWaitingProbe();
         }
         unresponsive = !answered;
@@ -211,8 +213,8 @@
         return unresponsive;
     }
 
-    void reportLoad(NodeEvents events, Report report) {
-        if (!report.empty()) {
+    void reportLoad(NodeEvents events, LoadReport report) {
+        if (!report.isEmpty()) {
             events.hostReported(
                     host, report.loadOverCapacity(), report.openTunnels(), report.queued());
         }
@@ -240,8 +242,8 @@
     }
 
     @Override
-    public void notConnected() {
-        connectionLost();
+    public void connectFailed() {
+        failProbe();
     }
 
     @Override
@@ -255,14 +257,14 @@
             if (line == null) {
                 return;
             }
-            HostLine answer = HostLine.read(Line.text(line));
-            endProbe(answer.word() == HostLine.Word.PONG, answer.report());
-            if (bytes.hasRemaining() && link != null) {
+            HostLine answer = HostLine.parse(LineCodec.decode(line));
+            endProbe(answer.type() == HostLine.Type.PONG, answer.report());
+            if (bytes.hasRemaining() && connection != null) {
                 handleUnexpectedBytes();
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             router.tally().count("probes unreadable");
-            connectionLost();
+            failProbe();
         }
     }
 
@@ -281,8 +283,8 @@
     }
 
     @Override
-    public void ended() {
-        broken();
+    public void inputEnded() {
+        connectionLost();
     }
 
     /**
@@ -291,19 +293,19 @@
      * something about the host.
      */
     @Override
-    public void broken() {
+    public void connectionLost() {
         if (!Double.isNaN(probeStartedAt)
                 && lastAnswerAt > Double.NEGATIVE_INFINITY
-                && !lineReader.begun()) {
+                && !lineReader.hasPartialLine()) {
             router.tally().count("probes asked again");
             reconnect();
         } else {
-            connectionLost();
+            failProbe();
         }
     }
 
-    private void connectionLost() {
+    private void failProbe() {
         releaseConnection();
-        endProbe(false, Report.NONE);
+        endProbe(false, LoadReport.NONE);
     }
 }
--- a/node/src/main/java/embershift/routing/RosterClient.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -2,12 +2,12 @@
 
 import embershift.model.NodeEvents;
 import embershift.policy.SeededRandom;
-import embershift.protocol.HttpReply;
-import embershift.protocol.RosterPage;
-import embershift.protocol.Unreadable;
+import embershift.protocol.HttpResponseParser;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.RosterUpdate;
 import embershift.protocol.WatchSchedule;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -17,16 +17,16 @@
  * when a call starts and when it is given up; if the policy requests lists itself, it may start one
  * sooner after a failure.
  */
-final class RosterClient implements Link.Events {
+final class RosterClient implements TcpConnection.Listener {
 
     private final Router router;
     private final boolean alwaysWatches;
     private final WatchSchedule schedule;
     private InetSocketAddress address;
     private String hostHeader;
-    private Link link;
-    private HttpReply reply;
-    private Loop.Timer timer;
+    private TcpConnection connection;
+    private HttpResponseParser response;
+    private EventLoop.Timer timer;
     private long generation = -1;
     private boolean watching;
 
@@ -101,13 +101,13 @@
 
     private void stop() {
         closeConnection();
-        schedule.stopped();
+        schedule.stop();
         scheduleNext();
     }
 
     void watch(boolean on) {
         watching = on;
-        if (on && !schedule.calling() && !external) {
+        if (on && !schedule.isCalling() && !external) {
             startCall();
         }
     }
@@ -118,7 +118,7 @@
             return;
         }
         fullListWanted = true;
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             startCall();
         }
     }
@@ -129,13 +129,13 @@
             timer.cancel();
             timer = null;
         }
-        if (schedule.due() < Double.POSITIVE_INFINITY) {
+        if (schedule.nextActionAt() < Double.POSITIVE_INFINITY) {
             timer =
                     router.loop()
-                            .after(
-                                    Math.max(0, schedule.due() - router.now()),
+                            .schedule(
+                                    Math.max(0, schedule.nextActionAt() - router.now()),
                                     () -> {
-                                        if (schedule.calling()) {
+                                        if (schedule.isCalling()) {
                                             callFailed();
                                         } else {
                                             startCall();
@@ -145,13 +145,13 @@
     }
 
     private void startCall() {
-        reply = new HttpReply();
+        response = new HttpResponseParser();
         router.tally().count("roster calls");
-        reusedConnection = link != null;
-        schedule.called(router.now(), reusedConnection);
+        reusedConnection = connection != null;
+        schedule.callStarted(router.now(), reusedConnection);
         scheduleNext();
-        if (link == null) {
-            link = router.loop().connect(address, this);
+        if (connection == null) {
+            connection = router.loop().connect(address, this);
         } else {
             sendRequest();
         }
@@ -162,8 +162,8 @@
         String query =
                 fullListRequested
                         ? ""
-                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.mayWait() * 1000);
-        link.write(
+                        : "?after=" + generation + "&wait_ms=" + (long) (schedule.maxWait() * 1000);
+        connection.write(
                 ByteBuffer.wrap(
                         ("GET /api/targets"
                                         + query
@@ -174,22 +174,22 @@
     }
 
     private void closeConnection() {
-        if (link != null) {
-            link.close();
-            link = null;
+        if (connection != null) {
+            connection.close();
+            connection = null;
         }
     }
 
     private void callFailed() {
         closeConnection();
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             return;
         }
         fullListWanted = false;
         if (watching) {
-            schedule.failed(router.now());
+            schedule.callFailed(router.now());
         } else {
-            schedule.stopped();
+            schedule.stop();
         }
         router.tally().count("roster calls failed");
         continueWatch();
@@ -198,27 +198,27 @@
         }
     }
 
-    private void replyReceived() {
-        if (!reply.keptOpen()) {
+    private void responseReceived() {
+        if (!response.keepAlive()) {
             closeConnection();
         }
-        if (reply.status() != 200) {
+        if (response.status() != 200) {
             callFailed();
             return;
         }
-        RosterPage page;
+        RosterUpdate update;
         try {
-            page = RosterPage.read(reply.body());
-        } catch (Unreadable e) {
+            update = RosterUpdate.parse(response.body());
+        } catch (MalformedDataException e) {
             callFailed();
             return;
         }
         boolean sameAgain =
-                page.generation() == generation
-                        && !page.listings().isEmpty()
-                        && schedule.early(router.now());
+                update.generation() == generation
+                        && !update.listings().isEmpty()
+                        && schedule.isEarly(router.now());
         if (reusedConnection
-                && (page.generation() < generation || (!fullListRequested && sameAgain))) {
+                && (update.generation() < generation || (!fullListRequested && sameAgain))) {
             // On one connection generations only grow: this is a duplicate of an earlier answer,
             // and discovery still holds the call in progress.
             repeatOnNewConnection();
@@ -226,14 +226,14 @@
         }
         // Discovery may count generations from the start again after a restart: changes since its
         // first generation are then not all that has changed, so the full list is needed.
-        boolean coversAllChanges = page.whole() || page.generation() >= generation;
+        boolean coversAllChanges = update.full() || update.generation() >= generation;
         fullListWanted =
-                (fullListWanted && !page.whole() && !fullListRequested) || !coversAllChanges;
-        schedule.answered(router.now(), page.generation() != generation);
-        generation = page.generation();
-        router.discoveryAnswered(page);
+                (fullListWanted && !update.full() && !fullListRequested) || !coversAllChanges;
+        schedule.callAnswered(router.now(), update.generation() != generation);
+        generation = update.generation();
+        router.discoveryAnswered(update);
         if (external || (!watching && !fullListWanted)) {
-            schedule.stopped();
+            schedule.stop();
             scheduleNext();
         } else if (fullListWanted) {
             startCall();
@@ -243,7 +243,7 @@
     }
 
     private void continueWatch() {
-        if (schedule.due() <= router.now()) {
+        if (schedule.nextActionAt() <= router.now()) {
             startCall();
         } else {
             scheduleNext();
@@ -262,54 +262,54 @@
 
     @Override
     public void connected() {
-        if (schedule.calling()) {
+        if (schedule.isCalling()) {
             sendRequest();
         }
     }
 
     @Override
-    public void notConnected() {
-        link = null;
+    public void connectFailed() {
+        connection = null;
         callFailed();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             closeConnection();
             return;
         }
         try {
-            if (reply.take(bytes)) {
+            if (response.feed(bytes)) {
                 if (bytes.hasRemaining()) {
                     // More than one reply: the rest would be taken for the next call's reply.
                     closeConnection();
                 }
-                replyReceived();
+                responseReceived();
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             callFailed();
         }
     }
 
     @Override
-    public void ended() {
+    public void inputEnded() {
         connectionEnded();
     }
 
     @Override
-    public void broken() {
+    public void connectionLost() {
         connectionEnded();
     }
 
     private void connectionEnded() {
         closeConnection();
-        if (!schedule.calling()) {
+        if (!schedule.isCalling()) {
             return;
         }
-        if (reply.end()) {
-            replyReceived();
-        } else if (reusedConnection && !reply.begun()) {
+        if (response.endOfInput()) {
+            responseReceived();
+        } else if (reusedConnection && !response.hasStarted()) {
             // Discovery may close a persistent connection just as a call is sent on it.
             startCall();
         } else {
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -11,10 +11,10 @@
 import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
 import embershift.protocol.NodeConfiguration;
-import embershift.protocol.Opening;
-import embershift.protocol.RosterPage;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.protocol.OpenRequest;
+import embershift.protocol.RosterUpdate;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -35,7 +35,7 @@
 
     /**
      * Safety margin subtracted from a client's timeout, as a fraction of it and at most {@link
-     * #MAX_MARGIN_SECONDS}: the opening line has spent time on the network, and a node that is
+     * #MAX_MARGIN_SECONDS}: the OPEN line has spent time on the network, and a node that is
      * starting or shares its core may be late by that much.
      */
     private static final double MARGIN_FRACTION = 0.1;
@@ -97,7 +97,7 @@
 
     private static final int MIN_PROBE_DESCRIPTORS = 8;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Deployment deployment;
     private final HostCapacityEstimate capacityEstimate;
     private final Policy policy;
@@ -143,7 +143,7 @@
 
     private boolean leaving;
     private boolean replaced;
-    private Loop.Listening listening;
+    private EventLoop.Acceptor acceptor;
 
     /** Whether operators have an address to connect to, and therefore reserved descriptors. */
     private final boolean hasOperators;
@@ -160,7 +160,7 @@
     private int listedHosts;
     private int avoidedHosts;
 
-    public Router(Loop loop, NodeConfiguration configuration, Consumer<String> log)
+    public Router(EventLoop loop, NodeConfiguration configuration, Consumer<String> log)
             throws IOException {
         this.loop = loop;
         this.log = log;
@@ -175,7 +175,7 @@
                                 .mapToDouble(Deployment.Profile::setupGoal)
                                 .min()
                                 .orElse(1);
-        hasOperators = configuration.operated();
+        hasOperators = configuration.hasManagement();
         descriptorLimit = configuration.sockets();
         probeConnections =
                 new ProbeConnectionPool<>(this::hasRoomForProbe, HostEndpoint::disconnect);
@@ -192,8 +192,8 @@
                         !deployment.rosterOnRequest(),
                         deployment.seed());
         peers = new Peers(this, configuration);
-        if (configuration.known() != null) {
-            RosterPage known = configuration.known();
+        if (configuration.initialRoster() != null) {
+            RosterUpdate known = configuration.initialRoster();
             roster.setGeneration(known.generation());
             updateEndpoints(known);
             enqueueEvent(events -> events.rosterReplaced(known.listings(), true));
@@ -211,7 +211,7 @@
         void discoveryAnswered(long generation);
 
         /** The full list as last received. */
-        RosterPage fullList();
+        RosterUpdate fullList();
     }
 
     /**
@@ -235,11 +235,11 @@
         loop.execute(() -> applyRoster(externalRoster.fullList()));
     }
 
-    void discoveryAnswered(RosterPage page) {
+    void discoveryAnswered(RosterUpdate update) {
         if (externalRoster != null) {
-            externalRoster.discoveryAnswered(page.generation());
+            externalRoster.discoveryAnswered(update.generation());
         }
-        applyRoster(page);
+        applyRoster(update);
     }
 
     /** The address of discovery that is in use. */
@@ -262,9 +262,9 @@
         return endpoint == null ? 0 : endpoint.setupsSent;
     }
 
-    private void connectionAccepted(Link link) {
+    private void connectionAccepted(TcpConnection connection) {
         tally.count("connections taken in");
-        unopenedConnections.add(new TunnelRelay(this, link));
+        unopenedConnections.add(new TunnelRelay(this, connection));
     }
 
     /**
@@ -272,9 +272,9 @@
      * address too.
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        listening =
+        acceptor =
                 loop.listen(address, hasOperators, unopenedConnections, this::connectionAccepted);
-        return listening.address();
+        return acceptor.localAddress();
     }
 
     /** Applies those parts of a new configuration that can change while tunnels are open. */
@@ -305,7 +305,8 @@
      * that they hold or may still take together.
      */
     public void setDescriptorsHeldElsewhere(int descriptors, int processes) {
-        if (descriptorShare.update(descriptorLimit, loop.descriptors(), descriptors, processes)) {
+        if (descriptorShare.update(
+                descriptorLimit, loop.openDescriptors(), descriptors, processes)) {
             applyDescriptorLimits();
         }
     }
@@ -313,7 +314,7 @@
     /** Descriptors that this process claims for itself towards others at its address. */
     public int claimedDescriptors() {
         return descriptorShare.claimed(
-                descriptorLimit, loop.descriptors(), leaving, OPERATOR_DESCRIPTORS);
+                descriptorLimit, loop.openDescriptors(), leaving, OPERATOR_DESCRIPTORS);
     }
 
     private void applyDescriptorLimits() {
@@ -366,7 +367,7 @@
         leaving = true;
         this.replaced = replaced;
         if (replaced) {
-            listening.close();
+            acceptor.close();
             peers.close();
         }
         enqueueEvent(events -> events.nodeLeaving(replaced));
@@ -389,7 +390,7 @@
     public boolean isDrained() {
         return relays.isEmpty()
                 && !(replaced
-                        ? unopenedConnections.hasAny() || listening.waiting() > 0
+                        ? unopenedConnections.hasAny() || acceptor.queuedConnections() > 0
                         : unopenedConnections.hasPartialFirstLine());
     }
 
@@ -430,8 +431,8 @@
 
     /** Ends all remaining tunnels and connections. */
     public void stop() {
-        if (listening != null) {
-            listening.handOverAll();
+        if (acceptor != null) {
+            acceptor.handOverAll();
         }
         new ArrayList<>(relays.values()).forEach(TunnelRelay::stop);
         unopenedConnections.closeAll();
@@ -448,7 +449,7 @@
         return tally;
     }
 
-    Loop loop() {
+    EventLoop loop() {
         return loop;
     }
 
@@ -502,7 +503,7 @@
         listedHosts = policy.listedHostCount(false);
         avoidedHosts = policy.listedHostCount(true);
         retryWaitingProbe();
-        loop.after(SWEEP_SECONDS, this::sweep);
+        loop.schedule(SWEEP_SECONDS, this::sweep);
     }
 
     // ---- Events for the policy ----
@@ -584,37 +585,37 @@
      * this node started.
      */
     void tunnelAccepted(TunnelRelay relay) {
-        Opening opening = relay.opening();
+        OpenRequest openRequest = relay.openRequest();
         relays.put(relay.id(), relay);
-        idsInUse.add(opening.id());
+        idsInUse.add(openRequest.id());
         tally.count("tunnels taken");
-        if (!(opening.standingAt() == null
+        if (!(openRequest.resumeHost() == null
                 ? unopenedConnections.makeRoom()
-                : unopenedConnections.makeRoomForStanding())) {
+                : unopenedConnections.makeRoomForResumed())) {
             // With no descriptors left, no connection could be accepted or answered at all.
             tally.count(Tally.DECLINED_FOR_DESCRIPTORS);
             relay.sendFinalAnswer("BUSY", Tally.Outcome.DECLINED);
             return;
         }
-        if (opening.standingAt() != null) {
+        if (openRequest.resumeHost() != null) {
             if (!resume(relay)) {
                 unresumed.add(relay);
             }
             return;
         }
-        if (profile(opening.profile()).isEmpty()) {
+        if (profile(openRequest.profile()).isEmpty()) {
             remove(relay);
-            relay.rejectFirstLine("unknown profile " + opening.profile().name());
+            relay.rejectFirstLine("unknown profile " + openRequest.profile().name());
             return;
         }
         enqueueEvent(
                 events ->
                         events.tunnelArrived(
                                 relay.id(),
-                                opening.profile(),
-                                opening.participant(),
-                                opening.subject(),
-                                opening.group(),
+                                openRequest.profile(),
+                                openRequest.participant(),
+                                openRequest.subject(),
+                                openRequest.group(),
                                 relay.timeLeft(now()),
                                 false));
     }
@@ -646,7 +647,7 @@
      * the current, outdated list.
      */
     void resumeLater(TunnelRelay relay) {
-        loop.after(RESUME_RETRY_SECONDS, () -> resume(relay));
+        loop.schedule(RESUME_RETRY_SECONDS, () -> resume(relay));
     }
 
     /**
@@ -654,7 +655,7 @@
      * host is not known yet.
      */
     private boolean resume(TunnelRelay relay) {
-        HostEndpoint endpoint = endpoints.get(relay.opening().standingAt());
+        HostEndpoint endpoint = endpoints.get(relay.openRequest().resumeHost());
         if (endpoint == null) {
             return false;
         }
@@ -663,16 +664,16 @@
     }
 
     void tunnelOpened(TunnelRelay relay, HostEndpoint endpoint, int setup, double took) {
-        Opening opening = relay.opening();
-        if (opening.standingAt() != null) {
+        OpenRequest openRequest = relay.openRequest();
+        if (openRequest.resumeHost() != null) {
             enqueueEvent(
                     events ->
                             events.tunnelResumed(
                                     relay.id(),
-                                    opening.profile(),
-                                    opening.participant(),
-                                    opening.subject(),
-                                    opening.group(),
+                                    openRequest.profile(),
+                                    openRequest.participant(),
+                                    openRequest.subject(),
+                                    openRequest.group(),
                                     endpoint.host));
         } else {
             enqueueEvent(events -> events.tunnelOpened(relay.id(), setup, endpoint.host, took));
@@ -681,19 +682,19 @@
 
     void remove(TunnelRelay relay) {
         if (relays.remove(relay.id()) != null) {
-            idsInUse.remove(relay.opening().id());
+            idsInUse.remove(relay.openRequest().id());
             unresumed.remove(relay);
         }
     }
 
     /** Applies a full list of hosts or changes to it. */
-    public void applyRoster(RosterPage page) {
-        tally.add("roster entries unreadable", page.unreadable());
-        updateEndpoints(page);
+    public void applyRoster(RosterUpdate update) {
+        tally.add("roster entries unreadable", update.malformedEntries());
+        updateEndpoints(update);
         enqueueEvent(
-                page.whole()
-                        ? events -> events.rosterReplaced(page.listings(), false)
-                        : events -> events.rosterChanged(page.listings()));
+                update.full()
+                        ? events -> events.rosterReplaced(update.listings(), false)
+                        : events -> events.rosterChanged(update.listings()));
         // Over a copy: resuming may remove a tunnel from the list, if its client has left.
         for (TunnelRelay relay : List.copyOf(unresumed)) {
             if (resume(relay)) {
@@ -706,18 +707,18 @@
         return endpoints.computeIfAbsent(host, id -> new HostEndpoint(this, id));
     }
 
-    private void updateEndpoints(RosterPage page) {
-        if (page.whole()) {
+    private void updateEndpoints(RosterUpdate update) {
+        if (update.full()) {
             endpoints.forEach(
                     (host, endpoint) -> {
                         endpoint.listedReady = false;
-                        if (!page.addresses().containsKey(host)) {
+                        if (!update.addresses().containsKey(host)) {
                             endpoint.disconnect();
                         }
                     });
         }
-        page.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
-        for (RosterEntry entry : page.listings()) {
+        update.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
+        for (RosterEntry entry : update.listings()) {
             HostEndpoint endpoint = endpoint(entry.host());
             endpoint.listedReady = entry.state() == RosterEntry.State.READY;
             if (entry.state() == RosterEntry.State.GONE) {
@@ -805,7 +806,7 @@
     @Override
     public void wakeAfter(double delay) {
         // A policy that asks for rounds without a pause would keep the sockets from being read.
-        loop.after(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueEvent(events -> {}));
+        loop.schedule(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueEvent(events -> {}));
     }
 
     @Override
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -4,15 +4,15 @@
 import embershift.model.SetupOutcome;
 import embershift.model.TunnelId;
 import embershift.protocol.HostLine;
-import embershift.protocol.Line;
-import embershift.protocol.Opening;
-import embershift.protocol.Report;
-import embershift.protocol.Tail;
-import embershift.protocol.Trail;
-import embershift.protocol.Unreadable;
+import embershift.protocol.HostLineTracker;
+import embershift.protocol.LineCodec;
+import embershift.protocol.LoadReport;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.OpenRequest;
+import embershift.protocol.PartialLineBuffer;
 import embershift.routing.Tally.Outcome;
-import embershift.transport.Link;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
+import embershift.transport.TcpConnection;
 import java.nio.ByteBuffer;
 
 /**
@@ -47,11 +47,11 @@
     private static final int MAX_PINGS = 16;
 
     private final Router router;
-    private final Link client;
+    private final TcpConnection client;
     private State state = State.AWAITING_OPEN;
-    private Line firstLineReader = new Line();
+    private LineCodec firstLineReader = new LineCodec();
     private int pings;
-    private Opening opening;
+    private OpenRequest openRequest;
 
     /**
      * The policy's id of this tunnel. It is unique, so that a late event of this tunnel does not
@@ -61,7 +61,7 @@
 
     private double clientTimeoutAt;
     private ByteBuffer earlyBytes;
-    private Loop.Timer answerTimer;
+    private EventLoop.Timer answerTimer;
     private boolean moveRequested;
     private boolean needsHostConnection;
 
@@ -77,13 +77,13 @@
      */
     private double repeatableUntil = Double.POSITIVE_INFINITY;
 
-    private Trail hostLineTracker;
-    private Tail partialLineBuffer;
+    private HostLineTracker hostLineTracker;
+    private PartialLineBuffer partialLineBuffer;
 
-    TunnelRelay(Router router, Link client) {
+    TunnelRelay(Router router, TcpConnection client) {
         this.router = router;
         this.client = client;
-        client.events(new ClientSide());
+        client.setListener(new ClientSide());
     }
 
     // ---- The client's lines up to OPEN ----
@@ -97,41 +97,42 @@
                 }
                 handleFirstLine(line);
             }
-        } catch (Unreadable e) {
+        } catch (MalformedDataException e) {
             rejectFirstLine(e.getMessage());
         }
     }
 
-    private void handleFirstLine(byte[] line) throws Unreadable {
-        String text = Line.text(line);
+    private void handleFirstLine(byte[] line) throws MalformedDataException {
+        String text = LineCodec.decode(line);
         if (text.equals("PING")) {
             if (router.isStopping()) {
-                throw new Unreadable("this node stops");
+                throw new MalformedDataException("this node stops");
             }
             if (++pings > MAX_PINGS) {
-                throw new Unreadable("too many questions");
+                throw new MalformedDataException("too many questions");
             }
             router.tally().count("pings answered");
-            client.write(Line.of("PONG"));
+            client.write(LineCodec.encode("PONG"));
             return;
         }
-        if (!Opening.isOne(text)) {
-            throw new Unreadable("a connection begins with OPEN or PING");
+        if (!OpenRequest.isOpenLine(text)) {
+            throw new MalformedDataException("a connection begins with OPEN or PING");
         }
-        opening = Opening.read(line);
-        if (router.knows(opening.id())) {
-            opening = null;
-            throw new Unreadable("this id has been used");
+        openRequest = OpenRequest.parse(line);
+        if (router.knows(openRequest.id())) {
+            openRequest = null;
+            throw new MalformedDataException("this id has been used");
         }
-        id = router.uniqueId(opening.id());
+        id = router.uniqueId(openRequest.id());
         firstLineReader = null;
         router.unopenedConnections().remove(this);
-        double margin = Router.answerMargin(opening.clientTimeout());
-        clientTimeoutAt = router.now() + opening.clientTimeout() - margin;
+        double margin = Router.answerMargin(openRequest.clientTimeout());
+        clientTimeoutAt = router.now() + openRequest.clientTimeout() - margin;
         state = State.PENDING;
         setNeedsHostConnection(true);
         answerTimer =
-                router.loop().after(opening.clientTimeout() - margin / 2, this::answerOverdue);
+                router.loop()
+                        .schedule(openRequest.clientTimeout() - margin / 2, this::answerOverdue);
         router.tunnelAccepted(this);
     }
 
@@ -157,16 +158,16 @@
     /** Answers a first line that is not accepted with an error, and ends the connection. */
     void rejectFirstLine(String reason) {
         router.tally().count("first lines refused");
-        client.write(Line.of("ERR " + reason));
+        client.write(LineCodec.encode("ERR " + reason));
         markClosed();
-        client.finish();
+        client.closeGracefully();
     }
 
     /**
      * Reads what the client has sent so far, and returns whether it still has not opened a tunnel.
      */
     boolean isUnopenedAfterRead() {
-        client.look();
+        client.readAvailable();
         return state == State.AWAITING_OPEN;
     }
 
@@ -175,11 +176,11 @@
      * needed. A client that has only sent PING lines gets no final line.
      */
     void closeUnopened(String line) {
-        if (pings == 0 || firstLineReader.begun()) {
-            client.write(Line.of(line));
+        if (pings == 0 || firstLineReader.hasPartialLine()) {
+            client.write(LineCodec.encode(line));
         }
         markClosed();
-        client.finish();
+        client.closeGracefully();
     }
 
     /** Sets whether this tunnel needs a connection to a host and does not have one. */
@@ -213,8 +214,8 @@
         return router.awaitingReply().remove(this);
     }
 
-    Opening opening() {
-        return opening;
+    OpenRequest openRequest() {
+        return openRequest;
     }
 
     TunnelId id() {
@@ -223,7 +224,7 @@
 
     /** Whether part of a first line has arrived that may still open a tunnel. */
     boolean hasPartialFirstLine() {
-        return state == State.AWAITING_OPEN && firstLineReader.begun();
+        return state == State.AWAITING_OPEN && firstLineReader.hasPartialLine();
     }
 
     double timeLeft(double now) {
@@ -241,7 +242,7 @@
         // host may count an attempt from its connection on, so check first whether the client has
         // left.
         if (state == State.PENDING) {
-            client.look();
+            client.readAvailable();
         }
         if (state != State.PENDING) {
             return false;
@@ -275,10 +276,10 @@
         if (state != State.PENDING) {
             return;
         }
-        router.tally().count(outcome, opening.profile());
-        client.write(Line.of(line));
+        router.tally().count(outcome, openRequest.profile());
+        client.write(LineCodec.encode(line));
         markClosed();
-        client.finish();
+        client.closeGracefully();
         if (setup != null) {
             setup.cancel();
         }
@@ -298,12 +299,12 @@
     }
 
     private void moveIfBetweenLines() {
-        if (moveRequested && state == State.OPEN && hostLineTracker.betweenLines()) {
+        if (moveRequested && state == State.OPEN && hostLineTracker.atLineBoundary()) {
             router.tally().count("tunnels moved");
-            client.write(Line.of("MOVE"));
-            endTunnel(SetupOutcome.CANCELLED, Report.NONE);
-            client.finish();
-            setup.link.finish();
+            client.write(LineCodec.encode("MOVE"));
+            endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
+            client.closeGracefully();
+            setup.connection.closeGracefully();
         }
     }
 
@@ -313,7 +314,7 @@
      * the host, and the tunnel goes on waiting.
      */
     void onHostQuiet() {
-        if (client.backedUp()) {
+        if (client.hasPendingWrites()) {
             // A client that does not read keeps its host's lines from arriving; the host is not
             // silent.
             return;
@@ -338,23 +339,23 @@
     void onHostSilent() {
         if (state == State.OPEN) {
             router.tally().count("tunnels at silent hosts");
-            if (hostLineTracker.betweenLines()) {
-                client.write(Line.of("MOVE"));
+            if (hostLineTracker.atLineBoundary()) {
+                client.write(LineCodec.encode("MOVE"));
             }
-            endTunnel(SetupOutcome.BROKEN, Report.NONE);
-            client.finish();
-            setup.link.close();
+            endTunnel(SetupOutcome.BROKEN, LoadReport.NONE);
+            client.closeGracefully();
+            setup.connection.close();
         }
     }
 
     /** Marks an open tunnel as ended, and reports that to the policy once. */
-    private void endTunnel(SetupOutcome end, Report report) {
+    private void endTunnel(SetupOutcome end, LoadReport report) {
         markClosed();
         reportSetupEnd(setup, end, report, true);
         router.remove(this);
     }
 
-    private void reportSetupEnd(Setup ended, SetupOutcome end, Report report, boolean last) {
+    private void reportSetupEnd(Setup ended, SetupOutcome end, LoadReport report, boolean last) {
         double took = router.now() - ended.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
         router.enqueueEvent(
@@ -366,7 +367,7 @@
 
     // ---- Events of the two connections ----
 
-    private final class ClientSide implements Link.Events {
+    private final class ClientSide implements TcpConnection.Listener {
 
         @Override
         public void received(ByteBuffer bytes) {
@@ -379,18 +380,19 @@
                 }
                 case PENDING -> keepEarlyBytes(bytes);
                 case OPEN -> {
-                    if (!router.quietTunnels().contains(TunnelRelay.this) && Line.endsIn(bytes)) {
+                    if (!router.quietTunnels().contains(TunnelRelay.this)
+                            && LineCodec.containsLineEnd(bytes)) {
                         router.awaitingReply().add(TunnelRelay.this, router.now());
                     }
                     router.tally().add("bytes to hosts", bytes.remaining());
-                    setup.link.write(bytes);
-                    if (setup.link.backedUp()) {
-                        client.receive(false);
+                    setup.connection.write(bytes);
+                    if (setup.connection.hasPendingWrites()) {
+                        client.setReading(false);
                     }
                 }
                 default -> {
                     if (state == State.CLOSING && setup != null) {
-                        setup.link.write(bytes);
+                        setup.connection.write(bytes);
                     }
                 }
             }
@@ -411,13 +413,13 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             switch (state) {
                 case OPEN -> {
                     // The host may still send BYE; the tunnel ends when its connection does.
                     state = State.CLOSING;
                     stopReplyTimeouts();
-                    setup.link.endSending();
+                    setup.connection.shutdownOutput();
                     router.closingTunnels().add(TunnelRelay.this, router.now());
                 }
                 case CLOSING -> close();
@@ -426,14 +428,14 @@
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             clientLeft(true);
         }
 
         @Override
-        public void drained() {
-            if (setup != null && setup.link != null) {
-                setup.link.receive(true);
+        public void flushed() {
+            if (setup != null && setup.connection != null) {
+                setup.connection.setReading(true);
             }
         }
     }
@@ -443,11 +445,11 @@
         State was = state;
         if (was == State.OPEN || was == State.CLOSING) {
             router.closingTunnels().remove(this);
-            endTunnel(SetupOutcome.CANCELLED, Report.NONE);
+            endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
             if (reset) {
-                setup.link.reset();
+                setup.connection.reset();
             } else {
-                setup.link.finish();
+                setup.connection.closeGracefully();
             }
             client.close();
             return;
@@ -474,12 +476,12 @@
         switch (state) {
             case PENDING -> sendFinalAnswer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
             case OPEN -> {
-                if (hostLineTracker.betweenLines()) {
-                    client.write(Line.of("MOVE"));
+                if (hostLineTracker.atLineBoundary()) {
+                    client.write(LineCodec.encode("MOVE"));
                 }
-                endTunnel(SetupOutcome.CANCELLED, Report.NONE);
-                client.finish();
-                setup.link.close();
+                endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
+                client.closeGracefully();
+                setup.connection.close();
             }
             // The client has ended its sending: end both connections, as when the host ends its
             // own.
@@ -497,9 +499,9 @@
 
     private void close() {
         router.closingTunnels().remove(this);
-        endTunnel(SetupOutcome.CANCELLED, Report.NONE);
-        client.finish();
-        setup.link.finish();
+        endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
+        client.closeGracefully();
+        setup.connection.closeGracefully();
     }
 
     /** The host of an open tunnel has ended its sending, or reset the connection. */
@@ -507,42 +509,45 @@
         if (state == State.CLOSED) {
             return;
         }
-        ByteBuffer rest = reset ? null : partialLineBuffer.rest();
+        ByteBuffer rest = reset ? null : partialLineBuffer.takeRemainder();
         if (rest != null) {
             setup.writeToClient(rest);
         }
-        HostLine.Word last =
-                hostLineTracker.betweenLines()
-                        ? hostLineTracker.last().word()
-                        : HostLine.Word.OTHER;
+        HostLine.Type last =
+                hostLineTracker.atLineBoundary()
+                        ? hostLineTracker.lastLine().type()
+                        : HostLine.Type.OTHER;
         // If a host closes after BYE or MOVE while a client's line is in flight, its end arrives as
         // a reset.
-        boolean closedNormally = last == HostLine.Word.BYE || last == HostLine.Word.MOVE;
+        boolean closedNormally = last == HostLine.Type.BYE || last == HostLine.Type.MOVE;
         SetupOutcome end =
-                last == HostLine.Word.BYE
+                last == HostLine.Type.BYE
                         ? SetupOutcome.COMPLETED
                         : closedNormally || (state == State.CLOSING && !reset)
                                 ? SetupOutcome.CANCELLED
                                 : SetupOutcome.BROKEN;
         router.closingTunnels().remove(this);
         endTunnel(
-                end, end == SetupOutcome.COMPLETED ? hostLineTracker.last().report() : Report.NONE);
+                end,
+                end == SetupOutcome.COMPLETED
+                        ? hostLineTracker.lastLine().report()
+                        : LoadReport.NONE);
         if (reset && !closedNormally) {
             client.reset();
         } else {
-            client.finish();
+            client.closeGracefully();
         }
-        setup.link.finish();
+        setup.connection.closeGracefully();
     }
 
     /** One setup on its connection to the host, and the open tunnel if the host accepts it. */
-    private final class Setup implements Link.Events {
+    private final class Setup implements TcpConnection.Listener {
         final HostEndpoint endpoint;
         final int number;
         final double sentAt = router.now();
-        Link link;
-        private Line lineReader = new Line();
-        private Loop.Timer timer;
+        TcpConnection connection;
+        private LineCodec lineReader = new LineCodec();
+        private EventLoop.Timer timer;
         private double deadline;
 
         /**
@@ -569,38 +574,39 @@
             router.tally().count("setups sent");
             deadline = sentAt + wait;
             if (wait <= 0 || endpoint.address() == null) {
-                router.loop().execute(() -> end(SetupOutcome.NOT_SENT, Report.NONE));
+                router.loop().execute(() -> end(SetupOutcome.NOT_SENT, LoadReport.NONE));
                 return;
             }
             setNeedsHostConnection(false);
-            link = router.loop().connect(endpoint.address(), this);
+            connection = router.loop().connect(endpoint.address(), this);
             timer =
                     router.loop()
-                            .after(
+                            .schedule(
                                     Math.min(wait, router.connectTimeout()),
-                                    () -> end(SetupOutcome.NO_CONNECTION, Report.NONE));
+                                    () -> end(SetupOutcome.NO_CONNECTION, LoadReport.NONE));
         }
 
         @Override
         public void connected() {
             timer.cancel();
-            client.look();
+            client.readAvailable();
             if (resolved) {
                 // The client has left, and this setup has been cancelled.
                 return;
             }
             double wait = deadline - router.now();
             if (wait <= 0
-                    || (!standing() && !endpoint.acceptsNewTunnels())
+                    || (!isResuming() && !endpoint.acceptsNewTunnels())
                     || router.now() >= repeatableUntil) {
                 // The timeout has passed, or meanwhile the host drains or is gone. The connection
                 // may have outlasted the host's grace and the time in which the host drops a repeat
                 // (rule 2: no effect twice). In none of these cases is the host unreachable.
-                end(SetupOutcome.NOT_SENT, Report.NONE);
+                end(SetupOutcome.NOT_SENT, LoadReport.NONE);
                 return;
             }
-            timer = router.loop().after(wait, this::timedOut);
-            if (link.write(opening.toHost(wait)) && !link.backedUp()) {
+            timer = router.loop().schedule(wait, this::timedOut);
+            if (connection.write(openRequest.encodeForHost(wait))
+                    && !connection.hasPendingWrites()) {
                 markFirstLineWritten();
             }
         }
@@ -610,15 +616,15 @@
          * left meanwhile.
          */
         @Override
-        public void draining() {
+        public void beforeFlush() {
             if (!firstLineWritten) {
-                client.look();
+                client.readAvailable();
             }
         }
 
         /** How far the setup has come, as part of a counter's name. */
         String stage() {
-            return standing()
+            return isResuming()
                     ? "standing before"
                     : resolved
                             ? "between setups"
@@ -635,9 +641,9 @@
         }
 
         @Override
-        public void notConnected() {
-            link = null;
-            end(SetupOutcome.NO_CONNECTION, Report.NONE);
+        public void connectFailed() {
+            connection = null;
+            end(SetupOutcome.NO_CONNECTION, LoadReport.NONE);
         }
 
         private void timedOut() {
@@ -662,16 +668,18 @@
             if (!firstLineWritten
                     || state != State.PENDING
                     || timeLeft(router.now()) < router.giveUpTimeout()) {
-                end(firstLineWritten ? reason : SetupOutcome.NO_CONNECTION, Report.NONE);
+                end(firstLineWritten ? reason : SetupOutcome.NO_CONNECTION, LoadReport.NONE);
                 return;
             }
             pendingEnd = reason;
             timer.cancel();
-            timer = router.loop().after(router.giveUpTimeout(), () -> end(reason, Report.NONE));
-            link.endSending();
+            timer =
+                    router.loop()
+                            .schedule(router.giveUpTimeout(), () -> end(reason, LoadReport.NONE));
+            connection.shutdownOutput();
         }
 
-        private void end(SetupOutcome end, Report report) {
+        private void end(SetupOutcome end, LoadReport report) {
             if (resolved) {
                 return;
             }
@@ -679,15 +687,15 @@
             if (timer != null) {
                 timer.cancel();
             }
-            if (link != null) {
-                link.close();
+            if (connection != null) {
+                connection.close();
             }
             setNeedsHostConnection(state == State.PENDING);
-            if (standing() && end.neverRan() && state == State.PENDING) {
+            if (isResuming() && end.neverRan() && state == State.PENDING) {
                 router.resumeLater(TunnelRelay.this);
                 return;
             }
-            if (standing()) {
+            if (isResuming()) {
                 router.tally().count("standing tunnels lost");
                 sendFinalAnswer(
                         "ERR host " + end.name().toLowerCase(java.util.Locale.ROOT),
@@ -695,14 +703,14 @@
                 return;
             }
             if (!end.neverRan()) {
-                repeatableUntil = firstSetupSentAt + router.repeatWindow(opening.profile());
+                repeatableUntil = firstSetupSentAt + router.repeatWindow(openRequest.profile());
             }
             reportSetupEnd(this, end, report, state != State.PENDING);
         }
 
         /** Whether the tunnel was open at a host before this node started. */
-        private boolean standing() {
-            return opening.standingAt() != null;
+        private boolean isResuming() {
+            return openRequest.resumeHost() != null;
         }
 
         @Override
@@ -722,15 +730,15 @@
             byte[] line;
             try {
                 line = lineReader.next(bytes);
-            } catch (Unreadable e) {
-                end(SetupOutcome.ERROR, Report.NONE);
+            } catch (MalformedDataException e) {
+                end(SetupOutcome.ERROR, LoadReport.NONE);
                 return;
             }
             if (line == null) {
                 return;
             }
-            HostLine answer = HostLine.read(Line.text(line));
-            switch (answer.word()) {
+            HostLine answer = HostLine.parse(LineCodec.decode(line));
+            switch (answer.type()) {
                 case UP -> openTunnel(line);
                 case BUSY -> end(SetupOutcome.FULL, answer.report());
                 default -> end(SetupOutcome.ERROR, answer.report());
@@ -740,7 +748,7 @@
         private void openTunnel(byte[] line) {
             if (pendingEnd != null || state != State.PENDING) {
                 // Too late: this node has ended its sending, so the tunnel could not be used.
-                end(pendingEnd == null ? SetupOutcome.CANCELLED : pendingEnd, Report.NONE);
+                end(pendingEnd == null ? SetupOutcome.CANCELLED : pendingEnd, LoadReport.NONE);
                 return;
             }
             resolved = true;
@@ -749,19 +757,19 @@
             answerTimer.cancel();
             answerTimer = null;
             state = State.OPEN;
-            hostLineTracker = new Trail();
-            partialLineBuffer = new Tail();
+            hostLineTracker = new HostLineTracker();
+            partialLineBuffer = new PartialLineBuffer();
             double took = router.now() - sentAt;
-            if (standing()) {
+            if (isResuming()) {
                 router.tally().count("standing tunnels resumed");
             }
-            router.tally().count(Outcome.OPENED, opening.profile());
+            router.tally().count(Outcome.OPENED, openRequest.profile());
             client.write(ByteBuffer.wrap(line));
             router.tunnelOpened(TunnelRelay.this, endpoint, number, took);
             if (earlyBytes != null) {
-                link.write(earlyBytes);
+                connection.write(earlyBytes);
                 earlyBytes = null;
-                client.receive(true);
+                client.setReading(true);
             }
         }
 
@@ -772,15 +780,15 @@
                 endpoint.recordMessageDelay(now - since, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
-            partialLineBuffer.pass(bytes, this::writeToClient);
-            if (client.backedUp()) {
-                link.receive(false);
+            partialLineBuffer.forward(bytes, this::writeToClient);
+            if (client.hasPendingWrites()) {
+                connection.setReading(false);
             }
             moveIfBetweenLines();
         }
 
         private void writeToClient(ByteBuffer bytes) {
-            hostLineTracker.follow(bytes);
+            hostLineTracker.observe(bytes);
             double load = hostLineTracker.takeLoad();
             if (!Double.isNaN(load)) {
                 router.enqueueEvent(events -> events.tunnelLoadMeasured(id, load * 1e-6));
@@ -789,7 +797,7 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             if (!resolved) {
                 end(
                         pendingEnd != null
@@ -797,14 +805,14 @@
                                 : firstLineWritten
                                         ? SetupOutcome.BROKEN
                                         : SetupOutcome.NO_CONNECTION,
-                        Report.NONE);
+                        LoadReport.NONE);
             } else {
                 hostEnded(false);
             }
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             if (!resolved) {
                 end(
                         pendingEnd != null
@@ -812,18 +820,18 @@
                                 : firstLineWritten
                                         ? SetupOutcome.BROKEN
                                         : SetupOutcome.NO_CONNECTION,
-                        Report.NONE);
+                        LoadReport.NONE);
             } else {
                 hostEnded(true);
             }
         }
 
         @Override
-        public void drained() {
+        public void flushed() {
             if (!firstLineWritten) {
                 markFirstLineWritten();
             }
-            client.receive(true);
+            client.setReading(true);
         }
     }
 }
--- a/node/src/main/java/embershift/routing/UnopenedConnections.java
+++ b/node/src/main/java/embershift/routing/UnopenedConnections.java
@@ -1,6 +1,6 @@
 package embershift.routing;
 
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.function.IntSupplier;
 
 /**
@@ -8,7 +8,7 @@
  * use only descriptors that tunnels leave free. When descriptors run short, connections that were
  * already rejected are closed first, then those that have waited longest without opening a tunnel.
  */
-final class UnopenedConnections implements Loop.Admission {
+final class UnopenedConnections implements EventLoop.Admission {
 
     /**
      * Seconds from the accept within which the whole OPEN line must have arrived, however many PING
@@ -35,7 +35,7 @@
     /** Seconds for which those are not evicted then, so that what they have sent is read. */
     private static final double READ_GRACE_SECONDS = 0.02;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Tally tally;
     private final IntSupplier promised;
     private int descriptorLimit;
@@ -52,7 +52,7 @@
      * {@code promised} gives the number of descriptors not taken yet that accepted tunnels will
      * need or that are reserved for probe connections.
      */
-    UnopenedConnections(Loop loop, Tally tally, IntSupplier promised) {
+    UnopenedConnections(EventLoop loop, Tally tally, IntSupplier promised) {
         this.loop = loop;
         this.promised = promised;
         this.tally = tally;
@@ -65,7 +65,7 @@
     void setDescriptorLimit(int limit) {
         descriptorLimit = limit;
         while (heldDescriptors() > descriptorLimit - NODE_RESERVE
-                && waiting.size() + loop.lingering() >= MIN_CLIENTS
+                && waiting.size() + loop.lingeringCount() >= MIN_CLIENTS
                 && evictOne()) {
             // Evict one at a time.
         }
@@ -119,7 +119,7 @@
      * use descriptors that other tunnels must leave free, but not the node's own reserve, as any
      * client can claim to be such a tunnel.
      */
-    boolean makeRoomForStanding() {
+    boolean makeRoomForResumed() {
         return makeRoomLeaving(NODE_RESERVE);
     }
 
@@ -131,11 +131,11 @@
     @Override
     public boolean mayAccept() {
         while (heldDescriptors() > descriptorLimit - NODE_RESERVE) {
-            if (waiting.size() + loop.lingering() < MIN_CLIENTS) {
+            if (waiting.size() + loop.lingeringCount() < MIN_CLIENTS) {
                 tally.count("connections let in beyond the descriptors");
                 return true;
             }
-            if (loop.lingering() == 0
+            if (loop.lingeringCount() == 0
                     && waiting.size() <= MIN_CLIENTS
                     && loop.now() < waiting.addedAt(waiting.oldest()) + READ_GRACE_SECONDS) {
                 tally.count("accepts paused");
@@ -147,12 +147,12 @@
     }
 
     @Override
-    public int free() {
+    public int freeDescriptors() {
         return descriptorLimit - NODE_RESERVE - heldDescriptors();
     }
 
     private int heldDescriptors() {
-        return loop.descriptors() + promised.getAsInt();
+        return loop.openDescriptors() + promised.getAsInt();
     }
 
     private boolean makeRoomLeaving(int reserve) {
@@ -169,7 +169,7 @@
      * false if there was none; true also if the oldest has opened a tunnel after all.
      */
     private boolean evictOne() {
-        if (loop.closeLingering()) {
+        if (loop.closeOldestLingering()) {
             return true;
         }
         TunnelRelay oldest = waiting.oldest();
--- a/node/src/test/java/embershift/transport/LastWordsTest.java
+++ b/node/src/test/java/embershift/transport/LastWordsTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertEquals;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -16,10 +16,10 @@
 import org.testng.annotations.Test;
 
 /** What a peer said before its connection broke. */
-public class LastWordsTest extends Loopback {
+public class LastWordsTest extends LoopbackTestBase {
 
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
-    private Link host;
+    private TcpConnection host;
 
     private static byte[] text(ByteBuffer bytes) {
         byte[] all = new byte[bytes.remaining()];
@@ -34,46 +34,46 @@
      */
     @Test
     public void lastWordsAreHeardThoughAWriteFoundTheResetThatFollowsThem() throws Exception {
-        CompletableFuture<Link> taken = new CompletableFuture<>();
-        Loop.Listening listening =
+        CompletableFuture<TcpConnection> taken = new CompletableFuture<>();
+        EventLoop.Acceptor listening =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         taken::complete);
-        Socket peer = talk(listening.address(), "");
-        host = taken.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        on(
+        Socket peer = connect(listening.localAddress(), "");
+        host = taken.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        callOnLoop(
                 () -> {
-                    host.events(
-                            new Link.Events() {
+                    host.setListener(
+                            new TcpConnection.Listener() {
                                 @Override
                                 public void received(ByteBuffer bytes) {
                                     seen.add(new String(text(bytes), StandardCharsets.ISO_8859_1));
                                 }
 
                                 @Override
-                                public void ended() {
+                                public void inputEnded() {
                                     seen.add("ended");
                                 }
 
                                 @Override
-                                public void broken() {
+                                public void connectionLost() {
                                     seen.add("broken");
                                 }
                             });
                     return null;
                 });
-        Loop.Listening other =
+        EventLoop.Acceptor other =
                 loop.listen(
                         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                         () -> true,
                         link ->
-                                link.events(
-                                        new Link.Events() {
+                                link.setListener(
+                                        new TcpConnection.Listener() {
                                             @Override
                                             public void received(ByteBuffer bytes) {
                                                 try {
-                                                    say(peer, "BYE\r\n");
+                                                    send(peer, "BYE\r\n");
                                                     reset(peer);
                                                 } catch (IOException e) {
                                                     seen.add(e.toString());
@@ -82,17 +82,17 @@
                                             }
 
                                             @Override
-                                            public void ended() {
+                                            public void inputEnded() {
                                                 // The test is over.
                                             }
 
                                             @Override
-                                            public void broken() {
+                                            public void connectionLost() {
                                                 // The test is over.
                                             }
                                         }));
-        talk(other.address(), "line\r\n");
-        assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
-        assertEquals(seen.poll(PATIENCE_MS, TimeUnit.MILLISECONDS), "broken");
+        connect(other.localAddress(), "line\r\n");
+        assertEquals(seen.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "BYE\r\n");
+        assertEquals(seen.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS), "broken");
     }
 }
