--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -427,7 +427,7 @@
         // once.
         callOnLoop(
                 () -> {
-                    router.enqueueNews(NodeEvents::rosterWatchLost);
+                    router.enqueueEvent(NodeEvents::rosterWatchLost);
                     return null;
                 });
         assertEquals(readLine(connectClient("PING\r\n")), "PONG");
