--- a/node/src/test/java/embershift/LoopbackTestBase.java
+++ b/node/src/test/java/embershift/LoopbackTestBase.java
@@ -25,8 +25,8 @@
 import org.testng.annotations.BeforeMethod;
 
 /**
- * For tests that play a node's clients, hosts and other callers on loopback: a loop, and sockets
- * that end with each.
+ * Base of tests that act as a node's clients, hosts, discovery service and operators on loopback.
+ * Each test method has an event loop and sockets of its own, which are closed after it.
  */
 public abstract class LoopbackTestBase {
 
@@ -38,7 +38,7 @@
     protected ServerSocket discovery;
     protected boolean rosterOnRequest;
 
-    /** Settings of the deployment under test, where they are other than usual: name, then value. */
+    /** Deployment settings that differ from the defaults below: names and JSON values in turn. */
     protected String[] settingOverrides;
 
     protected final List<AutoCloseable> closeables = new ArrayList<>();
@@ -67,7 +67,7 @@
         return server;
     }
 
-    /** Starts a router with these hosts known. */
+    /** Starts a router that knows these hosts from its configuration. */
     protected void startRouter(String sockets, ServerSocket... hosts) throws Exception {
         NodeConfiguration configuration = configuration(sockets, hosts);
         routerAddress =
@@ -80,7 +80,7 @@
 
     protected NodeConfiguration configuration(String sockets, ServerSocket... hosts)
             throws Exception {
-        String known =
+        String knownHosts =
                 Arrays.stream(hosts)
                         .map(host -> rosterEntry(host, "in_service"))
                         .collect(Collectors.joining(","));
@@ -99,7 +99,7 @@
                         .formatted(
                                 discovery.getLocalPort(),
                                 sockets,
-                                known,
+                                knownHosts,
                                 rosterOnRequest ? "subscribe" : "automatic");
         for (int i = 0; i < settingOverrides.length; i += 2) {
             text =
@@ -137,38 +137,41 @@
         return "s-" + host.getLocalPort();
     }
 
-    /** A list as discovery tells it. */
-    protected static String rosterJson(int generation, boolean whole, String... entries) {
+    /** Returns a roster in discovery's format: a whole one, or one with changed entries only. */
+    protected static String rosterJson(int generation, boolean isWhole, String... entries) {
         return "{\"generation\":"
                 + generation
                 + ",\"reset\":"
-                + whole
+                + isWhole
                 + ",\"instances\":["
                 + String.join(",", entries)
                 + "]}";
     }
 
-    protected static void sendOkResponse(Socket call, String body) throws IOException {
-        send(call, okResponse(body));
+    protected static void sendOkResponse(Socket connection, String body) throws IOException {
+        send(connection, okResponse(body));
     }
 
     protected static String okResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** The next call on a connection to discovery: its first line, once the rest of it is read. */
-    protected static String readRequest(Socket watch) throws IOException {
-        String first = readLine(watch);
-        for (String line = readLine(watch);
+    /**
+     * Reads the next request on a connection to discovery with all its header lines, and returns
+     * the request line.
+     */
+    protected static String readRequest(Socket connection) throws IOException {
+        String requestLine = readLine(connection);
+        for (String line = readLine(connection);
                 line != null && !line.isEmpty();
-                line = readLine(watch)) {
-            // Its other lines.
+                line = readLine(connection)) {
+            // Skips the header lines.
         }
-        return first;
+        return requestLine;
     }
 
-    protected Socket connectClient(String words) throws IOException {
-        return connect(routerAddress, words);
+    protected Socket connectClient(String text) throws IOException {
+        return connect(routerAddress, text);
     }
 
     protected static void reset(Socket socket) throws IOException {
@@ -176,26 +179,27 @@
         socket.close();
     }
 
-    /** A client's open tunnel and its host's side. */
+    /** Opens a tunnel; returns the client's socket and the host's. */
     protected Socket[] openTunnel(ServerSocket host) throws IOException {
         Socket client = connectClient("OPEN i" + closeables.size() + " k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        send(side, "UP r\r\n");
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        send(hostSocket, "UP r\r\n");
         assertEquals(readLine(client), "UP r");
-        return new Socket[] {client, side};
+        return new Socket[] {client, hostSocket};
     }
 
-    /** The router's counter of that name. */
+    /** Returns the value of a counter of the router. */
     protected long counter(String name) throws Exception {
         return callOnLoop(() -> router.tally().of(name));
     }
 
-    /** Waits until the counter is there; fails where it does not come. */
-    protected void awaitCounter(String name, long many) throws Exception {
-        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L; counter(name) < many; ) {
+    /** Waits until a counter has reached a value; fails after {@link #TIMEOUT_MS}. */
+    protected void awaitCounter(String name, long minimum) throws Exception {
+        for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+                counter(name) < minimum; ) {
             assertTrue(
-                    System.nanoTime() < until,
+                    System.nanoTime() < deadline,
                     name
                             + " "
                             + counter(name)
@@ -206,32 +210,32 @@
     }
 
     /**
-     * Keeps the loop from its next turn on until {@code run}: what happens meanwhile it finds all
-     * at once.
+     * Blocks the loop's thread until the returned action is run. Events that arrive in the meantime
+     * are then found by the loop all at once.
      */
     protected Runnable pauseLoop() throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
+        CountDownLatch resume = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    held.countDown();
+                    paused.countDown();
                     try {
-                        goOn.await();
+                        resume.await();
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
                 });
-        held.await();
-        return goOn::countDown;
+        paused.await();
+        return resume::countDown;
     }
 
-    /** Does something on the loop's thread, and waits until it is done. */
-    protected <T> T callOnLoop(Callable<T> step) throws Exception {
+    /** Runs a task on the loop's thread and waits for its result. */
+    protected <T> T callOnLoop(Callable<T> task) throws Exception {
         CompletableFuture<T> done = new CompletableFuture<>();
         loop.execute(
                 () -> {
                     try {
-                        done.complete(step.call());
+                        done.complete(task.call());
                     } catch (Exception e) {
                         done.completeExceptionally(e);
                     }
@@ -239,9 +243,9 @@
         return done.get();
     }
 
-    protected Socket connect(InetSocketAddress to, String words) throws IOException {
-        Socket socket = withReadTimeout(new Socket(to.getAddress(), to.getPort()));
-        send(socket, words);
+    protected Socket connect(InetSocketAddress remote, String text) throws IOException {
+        Socket socket = withReadTimeout(new Socket(remote.getAddress(), remote.getPort()));
+        send(socket, text);
         return socket;
     }
 
@@ -255,11 +259,11 @@
         return socket;
     }
 
-    protected static void send(Socket socket, String words) throws IOException {
-        socket.getOutputStream().write(words.getBytes(StandardCharsets.ISO_8859_1));
+    protected static void send(Socket socket, String text) throws IOException {
+        socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** The next line without its end; null at the end of the stream. */
+    /** Returns the next line without its line end, or null at the end of the stream. */
     protected static String readLine(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder line = new StringBuilder();
@@ -272,24 +276,26 @@
         return line.length() == 0 ? null : line.toString();
     }
 
-    /** All that comes on this connection until it ends, however that is. */
-    protected static String readUntilClosed(Socket side) throws IOException {
-        StringBuilder all = new StringBuilder();
+    /** Returns everything received on a connection until it is closed or reset. */
+    protected static String readUntilClosed(Socket socket) throws IOException {
+        StringBuilder received = new StringBuilder();
         try {
-            for (int b = side.getInputStream().read(); b >= 0; b = side.getInputStream().read()) {
-                all.append((char) b);
+            for (int b = socket.getInputStream().read();
+                    b >= 0;
+                    b = socket.getInputStream().read()) {
+                received.append((char) b);
             }
         } catch (SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
-            // Reset: an end as well.
+            // A reset ends the connection as well.
         }
-        return all.toString();
+        return received.toString();
     }
 
     /**
-     * A host with a queue of one: what comes beyond it is left to come again, a second later, and
-     * is up once there is room.
+     * Opens a host's server socket with a backlog of one. Once the backlog is full, the operating
+     * system retries the client's connect a second later, and it succeeds when there is room.
      */
     protected ServerSocket openSmallBacklogServerSocket() throws IOException {
         ServerSocket host = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -304,7 +310,7 @@
         }
     }
 
-    /** Takes what filled it; returns the first connection that comes up after that. */
+    /** Accepts the connections of {@link #fillBacklog}; returns the first one made after that. */
     protected Socket drainBacklogAndAccept(ServerSocket host) throws IOException {
         accept(host).close();
         accept(host).close();
@@ -312,18 +318,18 @@
     }
 
     /**
-     * No byte comes there within so many milliseconds on a connection that is made from now on, nor
-     * on the last one that was. A connection that brings something and stays open fails as one that
-     * brings something and ends.
+     * Asserts that no byte arrives at a host within so many milliseconds, neither on a connection
+     * that waits to be accepted nor on one that is made from now on. A connection that brings a
+     * byte fails the assertion whether it stays open or is closed afterwards.
      */
-    protected void assertNothingReceived(ServerSocket host, int within) throws IOException {
-        host.setSoTimeout(within);
-        for (Socket side = acceptOrNull(host); side != null; side = acceptOrNull(host)) {
-            side.setSoTimeout(within);
+    protected void assertNothingReceived(ServerSocket host, int withinMs) throws IOException {
+        host.setSoTimeout(withinMs);
+        for (Socket socket = acceptOrNull(host); socket != null; socket = acceptOrNull(host)) {
+            socket.setSoTimeout(withinMs);
             try {
-                assertEquals(side.getInputStream().read(), -1, "something was sent on");
+                assertEquals(socket.getInputStream().read(), -1, "the host received a byte");
             } catch (IOException e) {
-                // Silent all the time, or reset.
+                // No byte came in time, or the connection was reset.
             }
         }
     }
--- a/node/src/test/java/embershift/WireFormatTest.java
+++ b/node/src/test/java/embershift/WireFormatTest.java
@@ -17,24 +17,24 @@
 import org.testng.annotations.Test;
 
 /**
- * What a node says to clients, hosts, discovery and operators, and the names of its counters, stay
- * as earlier versions have them.
+ * Compares what a node sends to clients, hosts, discovery and operators, and the names of its
+ * counters, with samples of earlier versions.
  */
 public class WireFormatTest extends LoopbackTestBase {
 
     private final GoldenSamples samples = new GoldenSamples();
 
-    private static String stable(String text, ServerSocket... servers) {
-        String stable =
+    private static String normalize(String text, ServerSocket... servers) {
+        String normalized =
                 text.replaceAll("d=[12]\\d{3}", "d=MILLIS")
                         .replaceAll("wait_ms=\\d+", "wait_ms=MILLIS");
         for (int i = 0; i < servers.length; i++) {
-            stable = stable.replace(String.valueOf(servers[i].getLocalPort()), "PORT-" + i);
+            normalized = normalized.replace(String.valueOf(servers[i].getLocalPort()), "PORT-" + i);
         }
-        return stable;
+        return normalized;
     }
 
-    private String http(InetSocketAddress operators, String request) throws Exception {
+    private String callOperatorsApi(InetSocketAddress operators, String request) throws Exception {
         Socket caller =
                 connect(
                         operators,
@@ -43,19 +43,19 @@
         return readUntilClosed(caller);
     }
 
-    private String request(Socket watch) throws Exception {
-        StringBuilder all = new StringBuilder();
-        for (String line = readLine(watch); line != null; line = readLine(watch)) {
-            all.append(line).append('\n');
+    private String readFullRequest(Socket connection) throws Exception {
+        StringBuilder received = new StringBuilder();
+        for (String line = readLine(connection); line != null; line = readLine(connection)) {
+            received.append(line).append('\n');
             if (line.isEmpty()) {
                 break;
             }
         }
-        return all.toString();
+        return received.toString();
     }
 
     @Test
-    public void conversationIsAsBefore() throws Exception {
+    public void messagesMatchGoldenSamples() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         InetSocketAddress operators =
@@ -72,11 +72,11 @@
                                                 new InetSocketAddress(
                                                         InetAddress.getLoopbackAddress(), 0)));
         Socket watch = accept(discovery);
-        samples.text("call of discovery", stable(request(watch), discovery));
+        samples.text("call of discovery", normalize(readFullRequest(watch), discovery));
         sendOkResponse(watch, rosterJson(3, true, rosterEntry(host, "in_service")));
-        samples.text("next call of discovery", stable(request(watch), discovery));
-        Socket client = clientsAndHosts(host);
-        operators(operators, host);
+        samples.text("next call of discovery", normalize(readFullRequest(watch), discovery));
+        Socket client = sampleClientsAndHosts(host);
+        sampleOperatorsApi(operators, host);
         callOnLoop(
                 () -> {
                     router.leave(true);
@@ -95,55 +95,62 @@
         samples.assertMatch(getClass(), "wire-format.txt");
     }
 
-    private Socket clientsAndHosts(ServerSocket host) throws Exception {
+    private Socket sampleClientsAndHosts(ServerSocket host) throws Exception {
         Socket client = connectClient("PING\r\nOPEN i1 k c=p,x=1,d=3000,g=room\r\nahead\r\n");
         samples.text("answer to PING", readLine(client));
-        Socket side = accept(host);
-        samples.text("first line at a host", stable(readLine(side)));
-        send(side, "UP  r-1 z\r\nline of the host\r\n");
+        Socket hostSocket = accept(host);
+        samples.text("first line at a host", normalize(readLine(hostSocket)));
+        send(hostSocket, "UP  r-1 z\r\nline of the host\r\n");
         samples.text("first lines at a client", readLine(client) + "\n" + readLine(client));
-        samples.text("line that came ahead of the answer", readLine(side));
+        samples.text("line that came ahead of the answer", readLine(hostSocket));
         send(client, "line of the client\r\n");
-        samples.text("line of a client at its host", readLine(side));
+        samples.text("line of a client at its host", readLine(hostSocket));
         samples.text(
                 "id of an open session",
-                stable(readUntilClosed(connectClient("OPEN i1 k c=p,d=3000\r\n"))));
+                normalize(readUntilClosed(connectClient("OPEN i1 k c=p,d=3000\r\n"))));
         samples.text("no first line", readUntilClosed(connectClient("GET / HTTP/1.1\r\n\r\n")));
         samples.text(
                 "no such class", readUntilClosed(connectClient("OPEN i2 k c=unheard,d=5\r\n")));
         samples.text("nothing is asked for", readUntilClosed(connectClient("OPEN\r\n")));
         Socket refused = connectClient("OPEN i3 k c=p,d=3000\r\n");
         for (int i = 0; i < 3; i++) {
-            Socket other = accept(host);
-            readLine(other);
-            send(other, "ERR full\r\n");
-            other.close();
+            Socket nextSetup = accept(host);
+            readLine(nextSetup);
+            send(nextSetup, "ERR full\r\n");
+            nextSetup.close();
         }
         samples.text(
                 "answer once hosts have refused", readUntilClosed(refused).replaceAll("\\d+", "N"));
         Socket cancelled = connectClient("OPEN i4 k c=p,d=3000\r\n");
-        Socket other = accept(host);
-        readLine(other);
+        Socket nextSetup = accept(host);
+        readLine(nextSetup);
         reset(cancelled);
-        samples.text("at a host once its client has gone", readUntilClosed(other));
+        samples.text("at a host once its client has gone", readUntilClosed(nextSetup));
         return client;
     }
 
-    private void operators(InetSocketAddress operators, ServerSocket host) throws Exception {
-        samples.text("GET ready", http(operators, "GET /api/ready"));
+    private void sampleOperatorsApi(InetSocketAddress operators, ServerSocket host)
+            throws Exception {
+        samples.text("GET ready", callOperatorsApi(operators, "GET /api/ready"));
         samples.text(
                 "GET telemetry",
-                http(operators, "GET /api/telemetry").replaceAll("\\d+(?=[,}\r])", "N"));
+                callOperatorsApi(operators, "GET /api/telemetry")
+                        .replaceAll("\\d+(?=[,}\r])", "N"));
         samples.text(
                 "POST exclude",
-                stable(http(operators, "POST /api/exclude/" + instanceId(host)), host));
+                normalize(
+                        callOperatorsApi(operators, "POST /api/exclude/" + instanceId(host)),
+                        host));
         samples.text(
                 "POST include",
-                stable(http(operators, "POST /api/include/" + instanceId(host)), host));
-        samples.text("POST exclude of no host", http(operators, "POST /api/exclude/none"));
-        samples.text("GET exclude", http(operators, "GET /api/exclude/none"));
-        samples.text("POST ready", http(operators, "POST /api/ready"));
-        samples.text("GET of nothing", http(operators, "GET /api/nothing"));
+                normalize(
+                        callOperatorsApi(operators, "POST /api/include/" + instanceId(host)),
+                        host));
+        samples.text(
+                "POST exclude of no host", callOperatorsApi(operators, "POST /api/exclude/none"));
+        samples.text("GET exclude", callOperatorsApi(operators, "GET /api/exclude/none"));
+        samples.text("POST ready", callOperatorsApi(operators, "POST /api/ready"));
+        samples.text("GET of nothing", callOperatorsApi(operators, "GET /api/nothing"));
         samples.text("no request", readUntilClosed(connect(operators, "nonsense\r\n\r\n")));
     }
 }
--- a/node/src/test/java/embershift/routing/ClientDisconnectTest.java
+++ b/node/src/test/java/embershift/routing/ClientDisconnectTest.java
@@ -18,97 +18,98 @@
 import org.testng.annotations.Test;
 
 /**
- * A client that closes or cancels has gone: no attempt, first or further, begins more than 0.1 s
- * later, and an attempt may count from its connection on. Each test has the process stand still
- * between what decides an attempt and the attempt itself, as on a tenth of a core, and has the
- * client go meanwhile; verdicts are from what arrives at the hosts.
+ * Checks that no setup, neither the first nor a retry, is started for a client more than 0.1 s
+ * after the client has closed, reset or half-closed its connection. Opening a connection to a host
+ * may already count as an attempt. Each test stalls the process between the event that decides an
+ * attempt and the attempt itself, as happens on a tenth of a core, and disconnects the client in
+ * the meantime. Results are judged by what arrives at the hosts.
  */
 public class ClientDisconnectTest extends LoopbackTestBase {
 
-    /** Milliseconds for which the process stands still once the client has gone. */
+    /** Milliseconds for which the process is stalled after the client has disconnected. */
     private static final int STALL_MS = 150;
 
-    /** Milliseconds within which a connection that is begun all the same would have arrived. */
-    private static final int ARRIVES_MS = 250;
+    /** Milliseconds within which a connection that is wrongly started would have arrived. */
+    private static final int ARRIVAL_MS = 250;
 
-    private enum Going {
-        END,
+    private enum DisconnectKind {
+        CLOSE,
         RESET,
         HALF_CLOSE,
-        MUCH_THEN_END,
-        MUCH_THEN_RESET,
-        MUCH_THEN_HALF_CLOSE
+        DATA_THEN_CLOSE,
+        DATA_THEN_RESET,
+        DATA_THEN_HALF_CLOSE
     }
 
     /**
-     * What an attempt follows: the client's line, the end of the attempt before, or the answer of a
-     * host that was asked.
+     * The event that causes an attempt: the client's first line, the end of the previous attempt,
+     * or a host's answer to a probe.
      */
-    private enum After {
+    private enum AttemptTrigger {
         FIRST_LINE,
         BUSY,
         ERROR,
-        BREAK,
-        TIME_OUT,
-        PROBE
+        CONNECTION_RESET,
+        TIMEOUT,
+        PROBE_ANSWER
     }
 
-    private static void go(Socket client, Going how) throws IOException {
-        if (how.name().startsWith("MUCH")) {
+    private static void disconnect(Socket client, DisconnectKind kind) throws IOException {
+        if (kind.name().startsWith("DATA")) {
             send(client, "line sent ahead\r\n".repeat(300));
         }
-        switch (how) {
-            case RESET, MUCH_THEN_RESET -> reset(client);
-            case HALF_CLOSE, MUCH_THEN_HALF_CLOSE -> client.shutdownOutput();
+        switch (kind) {
+            case RESET, DATA_THEN_RESET -> reset(client);
+            case HALF_CLOSE, DATA_THEN_HALF_CLOSE -> client.shutdownOutput();
             default -> client.close();
         }
     }
 
     @DataProvider
-    public Object[][] orders() {
-        List<Object[]> orders = new ArrayList<>();
-        for (After after : After.values()) {
-            for (Going how : Going.values()) {
-                orders.add(new Object[] {after, how});
+    public Object[][] triggersAndDisconnectKinds() {
+        List<Object[]> combinations = new ArrayList<>();
+        for (AttemptTrigger trigger : AttemptTrigger.values()) {
+            for (DisconnectKind kind : DisconnectKind.values()) {
+                combinations.add(new Object[] {trigger, kind});
             }
         }
-        return orders.toArray(new Object[0][]);
+        return combinations.toArray(new Object[0][]);
     }
 
     @DataProvider
-    public Object[][] occasions() {
-        Object[][] all = new Object[After.values().length][];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = new Object[] {After.values()[i]};
+    public Object[][] triggers() {
+        Object[][] rows = new Object[AttemptTrigger.values().length][];
+        for (int i = 0; i < rows.length; i++) {
+            rows[i] = new Object[] {AttemptTrigger.values()[i]};
         }
-        return all;
+        return rows;
     }
 
     @DataProvider
-    public Object[][] ways() {
-        Object[][] all = new Object[Going.values().length][];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = new Object[] {Going.values()[i]};
+    public Object[][] disconnectKinds() {
+        Object[][] rows = new Object[DisconnectKind.values().length][];
+        for (int i = 0; i < rows.length; i++) {
+            rows[i] = new Object[] {DisconnectKind.values()[i]};
         }
-        return all;
+        return rows;
     }
 
-    // ---- A wake-up that stands still ----
+    // ---- Stalling one wake-up of the loop ----
 
     private final List<ServerSocket> hosts = new ArrayList<>();
-    private CountDownLatch standsStill;
-    private CountDownLatch goesOn;
-    private Socket staller;
+    private CountDownLatch stalled;
+    private CountDownLatch stallEnd;
+    private Socket stallConnection;
 
     /**
-     * Whatever comes on this connection has the wake-up that brings it stand still, between its
-     * sockets and its round.
+     * Opens a connection on which any byte stalls the loop's wake-up that reads it, after its
+     * sockets are read and before its policy round.
      */
-    private void stallable() throws Exception {
-        standsStill = new CountDownLatch(1);
-        goesOn = new CountDownLatch(1);
-        CountDownLatch in = new CountDownLatch(1);
-        InetSocketAddress at =
+    private void openStallConnection() throws Exception {
+        stalled = new CountDownLatch(1);
+        stallEnd = new CountDownLatch(1);
+        CountDownLatch accepted = new CountDownLatch(1);
+        InetSocketAddress stallAddress =
                 callOnLoop(
                         () ->
                                 loop.listen(
@@ -121,7 +122,7 @@
                                                                 @Override
                                                                 public void received(
                                                                         ByteBuffer bytes) {
-                                                                    standStill();
+                                                                    stall();
                                                                 }
 
                                                                 @Override
@@ -134,122 +135,124 @@
                                                                     link.close();
                                                                 }
                                                             });
-                                                    in.countDown();
+                                                    accepted.countDown();
                                                 })
                                         .address());
-        staller = connect(at, "");
-        in.await();
+        stallConnection = connect(stallAddress, "");
+        accepted.await();
     }
 
-    private void standStill() {
-        standsStill.countDown();
+    private void stall() {
+        stalled.countDown();
         try {
-            goesOn.await();
+            stallEnd.await();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * Two hosts, and a tunnel that waits for what is to decide its next attempt; returns what has
-     * that happen.
+     * Starts a router with two hosts (one for a probe) and a tunnel that waits for the event that
+     * decides its next attempt; returns the client and the action that causes the event.
      */
-    private Occasion occasion(After after) throws Exception {
+    private PendingAttempt prepareAttempt(AttemptTrigger trigger) throws Exception {
         hosts.clear();
         settingOverrides =
-                switch (after) {
-                    case PROBE -> new String[] {"may-probe", "true", "columns", "[\"x0\"]"};
-                    case TIME_OUT -> new String[] {"setup-goal-s", "0.1", "connect-timeout-s", "1"};
+                switch (trigger) {
+                    case PROBE_ANSWER -> new String[] {"may-probe", "true", "columns", "[\"x0\"]"};
+                    case TIMEOUT -> new String[] {"setup-goal-s", "0.1", "connect-timeout-s", "1"};
                     default -> new String[0];
                 };
         hosts.add(openServerSocket());
-        if (after != After.PROBE) {
+        if (trigger != AttemptTrigger.PROBE_ANSWER) {
             hosts.add(openServerSocket());
         }
         startRouter("1024", hosts.toArray(new ServerSocket[0]));
-        stallable();
+        openStallConnection();
         Socket client = connectClient("");
         awaitCounter("connections taken in", 1);
         String line = "OPEN i k c=p,d=3000\r\n";
-        if (after == After.FIRST_LINE) {
-            return new Occasion(client, () -> send(client, line));
+        if (trigger == AttemptTrigger.FIRST_LINE) {
+            return new PendingAttempt(client, () -> send(client, line));
         }
         send(client, line);
-        Socket side = comesTo(hosts, TIMEOUT_MS);
-        assertEquals(readLine(side).startsWith("OPEN i "), after != After.PROBE);
-        return switch (after) {
-            case BUSY -> new Occasion(client, () -> send(side, "BUSY\r\n"));
-            case ERROR -> new Occasion(client, () -> send(side, "ERR\r\n"));
-            case BREAK -> new Occasion(client, () -> reset(side));
-            case PROBE -> new Occasion(client, () -> send(side, "PONG x0=0.1\r\n"));
+        Socket hostSocket = acceptWithin(hosts, TIMEOUT_MS);
+        assertEquals(
+                readLine(hostSocket).startsWith("OPEN i "), trigger != AttemptTrigger.PROBE_ANSWER);
+        return switch (trigger) {
+            case BUSY -> new PendingAttempt(client, () -> send(hostSocket, "BUSY\r\n"));
+            case ERROR -> new PendingAttempt(client, () -> send(hostSocket, "ERR\r\n"));
+            case CONNECTION_RESET -> new PendingAttempt(client, () -> reset(hostSocket));
+            case PROBE_ANSWER ->
+                    new PendingAttempt(client, () -> send(hostSocket, "PONG x0=0.1\r\n"));
             default -> {
-                assertEquals(readLine(side), null);
-                yield new Occasion(client, side::close);
+                assertEquals(readLine(hostSocket), null);
+                yield new PendingAttempt(client, hostSocket::close);
             }
         };
     }
 
-    private interface Step {
-        void take() throws IOException;
+    private interface Action {
+        void run() throws IOException;
     }
 
-    private record Occasion(Socket client, Step decides) {}
+    private record PendingAttempt(Socket client, Action trigger) {}
 
-    /** The next connection that arrives at one of them; null where none comes in time. */
-    private Socket comesTo(List<ServerSocket> servers, int withinMs) throws IOException {
-        for (long until = System.nanoTime() + withinMs * 1_000_000L; System.nanoTime() < until; ) {
+    /** Returns the next connection made to one of the servers, or null if none is made in time. */
+    private Socket acceptWithin(List<ServerSocket> servers, int withinMs) throws IOException {
+        for (long deadline = System.nanoTime() + withinMs * 1_000_000L;
+                System.nanoTime() < deadline; ) {
             for (ServerSocket server : servers) {
                 server.setSoTimeout(5);
                 try {
                     return accept(server);
                 } catch (SocketTimeoutException e) {
-                    // Not here.
+                    // No connection at this server yet.
                 }
             }
         }
         return null;
     }
 
-    private void decideAndStandStill(Occasion occasion) throws Exception {
-        Runnable goOn = pauseLoop();
-        occasion.decides().take();
-        send(staller, "x");
-        // Both come up in one wake-up, in whichever order: the round that decides is still to come,
-        // and what the client does
-        // from now on is not read before that.
-        goOn.run();
-        standsStill.await();
+    private void triggerAndStall(PendingAttempt attempt) throws Exception {
+        Runnable resume = pauseLoop();
+        attempt.trigger().run();
+        send(stallConnection, "x");
+        // One wake-up reads both, in any order. The round that decides the attempt comes after
+        // that, and nothing that the client does from now on is read before the round.
+        resume.run();
+        stalled.await();
     }
 
-    @Test(dataProvider = "orders")
-    public void noConnectionIsBegunForWhoWentBeforeTheRoundThatDecides(After after, Going how)
-            throws Exception {
-        Occasion occasion = occasion(after);
-        decideAndStandStill(occasion);
-        go(occasion.client(), how);
+    @Test(dataProvider = "triggersAndDisconnectKinds")
+    public void noAttemptForClientGoneBeforeDecidingRound(
+            AttemptTrigger trigger, DisconnectKind kind) throws Exception {
+        PendingAttempt attempt = prepareAttempt(trigger);
+        triggerAndStall(attempt);
+        disconnect(attempt.client(), kind);
         Thread.sleep(STALL_MS);
-        goesOn.countDown();
-        assertEquals(comesTo(hosts, ARRIVES_MS), null, "an attempt for a client that has gone");
+        stallEnd.countDown();
+        assertEquals(acceptWithin(hosts, ARRIVAL_MS), null, "attempt for a disconnected client");
         assertTrue(callOnLoop(router::empty));
         assertEquals(counter("faults"), 0);
     }
 
-    /** That the attempt was due: the same order brings one to a host where the client stays. */
-    @Test(dataProvider = "occasions")
-    public void whoStaysIsSentOnAfterTheSameStall(After after) throws Exception {
-        Occasion occasion = occasion(after);
-        decideAndStandStill(occasion);
+    /** Checks that the attempt was due: with a client that stays, it arrives at a host. */
+    @Test(dataProvider = "triggers")
+    public void clientThatStaysIsForwardedAfterSameStall(AttemptTrigger trigger) throws Exception {
+        PendingAttempt attempt = prepareAttempt(trigger);
+        triggerAndStall(attempt);
         Thread.sleep(STALL_MS);
-        goesOn.countDown();
-        Socket side = comesTo(hosts, TIMEOUT_MS);
-        assertTrue(readLine(side).startsWith("OPEN i "));
+        stallEnd.countDown();
+        Socket hostSocket = acceptWithin(hosts, TIMEOUT_MS);
+        assertTrue(readLine(hostSocket).startsWith("OPEN i "));
         assertEquals(counter("faults"), 0);
     }
 
-    // ---- Tunnels that stood before, which the module does not place ----
+    // ---- Standing tunnels, which the policy does not place ----
 
-    @Test(dataProvider = "ways")
-    public void noConnectionIsBegunForWhoWentBeforeTheListThatNamesItsHost(Going how)
+    @Test(dataProvider = "disconnectKinds")
+    public void noAttemptForClientGoneBeforeRosterNamesItsHost(DisconnectKind kind)
             throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024");
@@ -261,60 +264,59 @@
                     connectClient("OPEN i" + i + " k c=p,d=3000,at=" + instanceId(host) + "\r\n"));
         }
         awaitCounter("tunnels taken", 12);
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         for (Socket client : clients) {
-            go(client, how);
+            disconnect(client, kind);
         }
         sendOkResponse(watch, rosterJson(2, true, rosterEntry(host, "in_service")));
         Thread.sleep(STALL_MS);
-        // One wake-up brings the list and all the ends, in whichever order.
-        goOn.run();
+        // One wake-up reads the roster and all disconnects, in any order.
+        resume.run();
         assertEquals(
-                comesTo(List.of(host), ARRIVES_MS), null, "an attempt for a client that has gone");
+                acceptWithin(List.of(host), ARRIVAL_MS), null, "attempt for a disconnected client");
         assertTrue(callOnLoop(router::empty));
         assertEquals(counter("faults"), 0);
     }
 
-    @Test(dataProvider = "ways")
-    public void noConnectionIsBegunForWhoWentBeforeItsNextTry(Going how) throws Exception {
+    @Test(dataProvider = "disconnectKinds")
+    public void noAttemptForClientGoneBeforeRetry(DisconnectKind kind) throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000,at=" + instanceId(host) + "\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        long from = System.nanoTime();
-        send(side, "BUSY\r\n");
-        assertEquals(readLine(side), null);
-        Runnable goOn = pauseLoop();
-        go(client, how);
-        // Until just after the next try is due: later still, and the loop would see to the sockets
-        // first.
-        while (System.nanoTime() < from + 275_000_000L) {
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        long declinedAt = System.nanoTime();
+        send(hostSocket, "BUSY\r\n");
+        assertEquals(readLine(hostSocket), null);
+        Runnable resume = pauseLoop();
+        disconnect(client, kind);
+        // Waits until just after the retry is due. If it waited longer, the loop would read the
+        // sockets before the timer.
+        while (System.nanoTime() < declinedAt + 275_000_000L) {
             Thread.onSpinWait();
         }
-        goOn.run();
+        resume.run();
         assertEquals(
-                comesTo(List.of(host), ARRIVES_MS), null, "an attempt for a client that has gone");
+                acceptWithin(List.of(host), ARRIVAL_MS), null, "attempt for a disconnected client");
         assertTrue(callOnLoop(router::empty));
     }
 
-    // ---- The whole way at a tenth of a core ----
+    // ---- End to end at a tenth of a core ----
 
-    /** The loop stands still for 0.1 s and more, and has a moment in between. */
-    private void throttle(int[] turns) {
-        if (turns[0]-- > 0) {
+    /** Blocks the loop for 0.1 s or more at a time, with 12 ms to run in between. */
+    private void throttle(int[] remainingTurns) {
+        if (remainingTurns[0]-- > 0) {
             try {
-                Thread.sleep(turns[0] % 3 == 0 ? STALL_MS : 100);
+                Thread.sleep(remainingTurns[0] % 3 == 0 ? STALL_MS : 100);
             } catch (InterruptedException e) {
                 return;
             }
-            loop.after(0.012, () -> throttle(turns));
+            loop.after(0.012, () -> throttle(remainingTurns));
         }
     }
 
     @Test
-    public void atATenthOfACoreNothingArrivesLaterThanATenthOfASecondAfterAllHaveGone()
-            throws Exception {
+    public void throttledNodeStartsNoAttemptLaterThan100MsAfterClientsLeave() throws Exception {
         ServerSocket host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         ServerSocket other = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         closeables.add(host);
@@ -328,25 +330,27 @@
             for (int i = 0; i < 20; i++) {
                 clients.add(connectClient("OPEN r" + round + "i" + i + " k c=p,d=3000\r\n"));
             }
-            long until = System.nanoTime() + 120_000_000L;
-            while (System.nanoTime() < until) {
-                Socket side = comesTo(both, 5);
-                if (side != null) {
-                    // Turned away: each has a further attempt due.
-                    send(side, "BUSY\r\n");
+            long deadline = System.nanoTime() + 120_000_000L;
+            while (System.nanoTime() < deadline) {
+                Socket hostSocket = acceptWithin(both, 5);
+                if (hostSocket != null) {
+                    // Declines each setup, so that a retry is due for each tunnel.
+                    send(hostSocket, "BUSY\r\n");
                 }
             }
             for (int i = 0; i < clients.size(); i++) {
-                go(clients.get(i), Going.values()[i % Going.values().length]);
+                disconnect(
+                        clients.get(i),
+                        DisconnectKind.values()[i % DisconnectKind.values().length]);
             }
-            long gone = System.nanoTime();
-            while (System.nanoTime() < gone + 100_000_000L) {
-                comesTo(both, 5);
+            long goneAt = System.nanoTime();
+            while (System.nanoTime() < goneAt + 100_000_000L) {
+                acceptWithin(both, 5);
             }
-            while (comesTo(both, 20) != null) {
-                // What waits here by now was begun in time.
+            while (acceptWithin(both, 20) != null) {
+                // Connections in the backlog by now were started in time.
             }
-            assertEquals(comesTo(both, 200), null, "in round " + round);
+            assertEquals(acceptWithin(both, 200), null, "in round " + round);
         }
         assertEquals(counter("faults"), 0);
     }
--- a/node/src/test/java/embershift/routing/DescriptorLimitTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorLimitTest.java
@@ -15,150 +15,151 @@
 import org.testng.annotations.Test;
 
 /**
- * Descriptors that no client can take: discovery, hosts and operators have theirs in whatever order
- * things happen.
+ * Tests of the limit on file descriptors and of those reserved for discovery, hosts and operators:
+ * clients cannot take them, in whatever order events happen.
  */
 public class DescriptorLimitTest extends LoopbackTestBase {
 
-    private int before;
-    private int ownBefore;
+    private int otherDescriptors;
+    private int closeablesAtStart;
 
-    /** Starts with so many descriptors beyond those that this process holds now. */
-    private int startWith(int more, ServerSocket... hosts) throws Exception {
-        int limit = callOnLoop(loop::descriptors) + more;
-        before = held() - callOnLoop(loop::descriptors);
-        ownBefore = closeables.size();
+    /**
+     * Starts a router whose limit leaves so many descriptors beyond those that the loop holds now;
+     * returns the limit.
+     */
+    private int startWithSpareDescriptors(int spare, ServerSocket... hosts) throws Exception {
+        int limit = callOnLoop(loop::descriptors) + spare;
+        otherDescriptors = processDescriptors() - callOnLoop(loop::descriptors);
+        closeablesAtStart = closeables.size();
         startRouter("" + limit, hosts);
         return limit;
     }
 
-    private static int held() {
+    private static int processDescriptors() {
         return new File("/proc/self/fd").list().length;
     }
 
     /**
-     * What the node holds as the system has it: all of this process, less what the test has opened
-     * since.
+     * Returns how many descriptors the node holds according to the operating system: those of this
+     * process, less those of the test itself.
      */
-    private int heldByNode() {
-        return held() - before - (closeables.size() - ownBefore);
+    private int nodeDescriptors() {
+        return processDescriptors() - otherDescriptors - (closeables.size() - closeablesAtStart);
     }
 
-    private ServerSocket wide() throws IOException {
+    private ServerSocket openLargeBacklogServerSocket() throws IOException {
         ServerSocket host = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
         host.setSoTimeout(TIMEOUT_MS);
         closeables.add(host);
         return host;
     }
 
-    private List<Socket> idle(int many) throws IOException {
-        List<Socket> idle = new ArrayList<>();
-        for (int i = 0; i < many; i++) {
-            idle.add(connectClient(i % 2 == 0 ? "" : "OPEN half"));
+    private List<Socket> connectIdleClients(int count) throws IOException {
+        List<Socket> clients = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            clients.add(connectClient(i % 2 == 0 ? "" : "OPEN half"));
         }
-        return idle;
+        return clients;
     }
 
-    private void echoes(Socket[] ends, String line) throws IOException {
-        send(ends[0], line + "\r\n");
-        assertEquals(readLine(ends[1]), line);
-        send(ends[1], line + " back\r\n");
-        assertEquals(readLine(ends[0]), line + " back");
+    private void assertRelayed(Socket[] tunnel, String line) throws IOException {
+        send(tunnel[0], line + "\r\n");
+        assertEquals(readLine(tunnel[1]), line);
+        send(tunnel[1], line + " back\r\n");
+        assertEquals(readLine(tunnel[0]), line + " back");
     }
 
     // ---- Idle clients ----
 
     @Test
-    public void whatTheSystemHasAcceptedCountsWhileTheLoopStandsStill() throws Exception {
-        int limit = startWith(80);
-        Runnable goOn = pauseLoop();
-        idle(300);
-        // The library accepts on a thread of its own: it has had the time to take them all.
+    public void connectionsAcceptedWhileLoopIsPausedCountTowardsLimit() throws Exception {
+        int limit = startWithSpareDescriptors(80);
+        Runnable resume = pauseLoop();
+        connectIdleClients(300);
+        // The I/O library accepts on a thread of its own: leaves it the time to accept them all.
         Thread.sleep(200);
-        int held = heldByNode();
-        goOn.run();
+        int held = nodeDescriptors();
+        resume.run();
         assertTrue(held <= limit, held + " of " + limit);
         awaitCounter("connections turned away for want of descriptors", 100);
-        assertTrue(heldByNode() <= limit, heldByNode() + " of " + limit);
+        assertTrue(nodeDescriptors() <= limit, nodeDescriptors() + " of " + limit);
     }
 
     @Test
-    public void crowdThatFillsWhileDiscoveryIsDownKeepsNeitherListNorSoundClientsOut()
+    public void idleClientsFillingLimitDuringDiscoveryOutageBlockNeitherRosterNorClients()
             throws Exception {
         settingOverrides =
                 new String[] {"may-probe", "true", "columns", "[\"x0\"]", "connect-timeout-s", "2"};
         ServerSocket[] hosts = new ServerSocket[12];
         for (int i = 0; i < hosts.length; i++) {
-            hosts[i] = wide();
+            hosts[i] = openLargeBacklogServerSocket();
         }
         ServerSocket host = hosts[0];
         int port = discovery.getLocalPort();
         discovery.close();
-        int limit = startWith(120, host);
-        // The one host answers questions, and says yes to tunnels.
-        Thread answers = new Thread(() -> answer(host));
-        answers.start();
+        int limit = startWithSpareDescriptors(120, host);
+        // The only host known so far answers probes and opens tunnels.
+        Thread hostThread = new Thread(() -> serveEchoHost(host));
+        hostThread.start();
         List<Socket> tunnels = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             Socket client = connectClient("OPEN t" + i + " k c=p,d=3000\r\n");
             assertEquals(readLine(client), "UP r");
             tunnels.add(client);
         }
-        int most = 0;
+        int maxHeld = 0;
         for (int i = 0; i < 6; i++) {
-            idle(60);
-            most = Math.max(most, callOnLoop(loop::descriptors));
+            connectIdleClients(60);
+            maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
         }
-        // The crowd has filled what there is.
+        // The idle clients have reached the limit.
         awaitCounter("connections turned away for want of descriptors", 100);
-        most = Math.max(most, callOnLoop(loop::descriptors));
-        long back = System.nanoTime();
-        ServerSocket again = new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
-        closeables.add(again);
-        again.setSoTimeout(TIMEOUT_MS);
+        maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
+        long restoredAt = System.nanoTime();
+        ServerSocket restoredDiscovery =
+                new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
+        closeables.add(restoredDiscovery);
+        restoredDiscovery.setSoTimeout(TIMEOUT_MS);
         String[] entries = new String[hosts.length];
         for (int i = 0; i < hosts.length; i++) {
             entries[i] = rosterEntry(hosts[i], "in_service");
             if (i > 0) {
                 ServerSocket other = hosts[i];
-                new Thread(() -> answer(other)).start();
+                new Thread(() -> serveEchoHost(other)).start();
             }
         }
-        Socket watch = accept(again);
+        Socket watch = accept(restoredDiscovery);
         readRequest(watch);
         sendOkResponse(watch, rosterJson(2, true, entries));
         readRequest(watch);
-        double took = (System.nanoTime() - back) / 1e9;
-        assertTrue(took < 6, "the list was there after " + took + " s");
-        idle(60);
-        Socket sound = connectClient("OPEN sound k c=p,d=3000\r\n");
-        assertEquals(readLine(sound), "UP r");
+        double elapsedS = (System.nanoTime() - restoredAt) / 1e9;
+        assertTrue(elapsedS < 6, "roster received after " + elapsedS + " s");
+        connectIdleClients(60);
+        Socket newClient = connectClient("OPEN sound k c=p,d=3000\r\n");
+        assertEquals(readLine(newClient), "UP r");
         for (Socket tunnel : tunnels) {
             send(tunnel, "still here\r\n");
             assertEquals(readLine(tunnel), "still here");
         }
-        most = Math.max(most, callOnLoop(loop::descriptors));
-        assertTrue(most <= limit, most + " of " + limit);
+        maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
+        assertTrue(maxHeld <= limit, maxHeld + " of " + limit);
         assertEquals(counter("probes failed"), 0);
         assertEquals(counter("faults"), 0);
     }
 
-    /**
-     * A host that answers each question, opens each tunnel and sends each line back, until it is
-     * closed.
-     */
-    private static void answer(ServerSocket host) {
+    /** Acts as a host that answers probes, opens tunnels and echoes lines until it is closed. */
+    private static void serveEchoHost(ServerSocket host) {
         while (!host.isClosed()) {
             try {
-                Socket side = host.accept();
+                Socket hostSocket = host.accept();
                 new Thread(
                                 () -> {
-                                    try (side) {
-                                        for (String line = readLine(side);
+                                    try (hostSocket) {
+                                        for (String line = readLine(hostSocket);
                                                 line != null;
-                                                line = readLine(side)) {
+                                                line = readLine(hostSocket)) {
                                             send(
-                                                    side,
+                                                    hostSocket,
                                                     line.equals("STATS")
                                                             ? "PONG x0=0.1\r\n"
                                                             : line.startsWith("OPEN ")
@@ -166,19 +167,19 @@
                                                                     : line + "\r\n");
                                         }
                                     } catch (IOException e) {
-                                        // The node, or the test, has ended it.
+                                        // The node or the test has closed the connection.
                                     }
                                 })
                         .start();
             } catch (IOException e) {
-                // Closed, or nobody came for a while.
+                // The server socket was closed, or accept timed out.
             }
         }
     }
 
-    // ---- Hosts' kept connections ----
+    // ---- Kept connections for probes ----
 
-    private void askAll(ServerSocket[] hosts) throws Exception {
+    private void probeAll(ServerSocket[] hosts) throws Exception {
         callOnLoop(
                 () -> {
                     for (ServerSocket host : hosts) {
@@ -189,54 +190,54 @@
     }
 
     @Test
-    public void keptConnectionsThatAreLostWhileIdleClientsFillAllComeBack() throws Exception {
+    public void probeConnectionsLostWhileIdleClientsFillLimitAreReopened() throws Exception {
         settingOverrides =
                 new String[] {"may-probe", "true", "columns", "[\"x0\"]", "connect-timeout-s", "2"};
         ServerSocket[] hosts = new ServerSocket[40];
         for (int i = 0; i < hosts.length; i++) {
-            hosts[i] = wide();
+            hosts[i] = openLargeBacklogServerSocket();
         }
-        int limit = startWith(110, hosts);
-        askAll(hosts);
-        List<Socket> sides = new ArrayList<>();
+        int limit = startWithSpareDescriptors(110, hosts);
+        probeAll(hosts);
+        List<Socket> hostSockets = new ArrayList<>();
         for (ServerSocket host : hosts) {
-            Socket side = accept(host);
-            assertEquals(readLine(side), "STATS");
-            send(side, "PONG x0=0.1\r\n");
-            sides.add(side);
+            Socket hostSocket = accept(host);
+            assertEquals(readLine(hostSocket), "STATS");
+            send(hostSocket, "PONG x0=0.1\r\n");
+            hostSockets.add(hostSocket);
         }
         awaitCounter("probes answered", hosts.length);
-        for (Socket side : sides) {
-            side.close();
-            closeables.remove(side);
+        for (Socket hostSocket : hostSockets) {
+            hostSocket.close();
+            closeables.remove(hostSocket);
         }
-        idle(150);
+        connectIdleClients(150);
         awaitCounter("connections turned away for want of descriptors", 30);
-        // All are asked at once, and each host says what it has to once it is reached.
-        askAll(hosts);
-        int most = 0;
+        // All hosts are probed at once, and each answers as soon as it is connected.
+        probeAll(hosts);
+        int maxHeld = 0;
         for (ServerSocket host : hosts) {
-            Thread answers = new Thread(() -> answer(host));
-            answers.setDaemon(true);
-            answers.start();
+            Thread hostThread = new Thread(() -> serveEchoHost(host));
+            hostThread.setDaemon(true);
+            hostThread.start();
         }
-        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
                 counter("probes answered") < 2L * hosts.length; ) {
             assertTrue(
-                    System.nanoTime() < until,
+                    System.nanoTime() < deadline,
                     counter("probes answered") + " answered, failed " + counter("probes failed"));
-            most = Math.max(most, callOnLoop(loop::descriptors));
+            maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
         }
         assertEquals(counter("probes failed"), 0);
-        assertTrue(most <= limit, most + " of " + limit);
+        assertTrue(maxHeld <= limit, maxHeld + " of " + limit);
     }
 
-    // ---- A lower limit ----
+    // ---- Lowering the limit, and standing tunnels ----
 
     @Test
-    public void lowerLimitThanOpenTunnelsHoldCostsNoneOfThemAndWhoComesHearsSo() throws Exception {
-        ServerSocket host = wide();
-        int limit = startWith(200, host);
+    public void limitBelowOpenTunnelsKeepsThemAndDeclinesNewOnes() throws Exception {
+        ServerSocket host = openLargeBacklogServerSocket();
+        int limit = startWithSpareDescriptors(200, host);
         List<Socket[]> tunnels = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             tunnels.add(openTunnel(host));
@@ -245,20 +246,20 @@
         for (int i = 0; i < 12; i++) {
             assertEquals(readLine(connectClient("OPEN late" + i + " k c=p,d=3000\r\n")), "BUSY");
         }
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         List<Socket> together = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             together.add(connectClient("OPEN both" + i + " k c=p,d=3000\r\n"));
         }
-        idle(20);
-        goOn.run();
+        connectIdleClients(20);
+        resume.run();
         for (Socket each : together) {
             assertEquals(readLine(each), "BUSY");
         }
-        for (Socket[] ends : tunnels) {
-            echoes(ends, "still here");
+        for (Socket[] tunnel : tunnels) {
+            assertRelayed(tunnel, "still here");
         }
-        // Discovery is heard all the same: one that the node has not been told of yet.
+        // Discovery can still be called, even at an address that the node did not have before.
         discovery = openServerSocket();
         reconfigure("" + (limit - 180));
         assertEquals(readRequest(accept(discovery)), "GET /api/targets HTTP/1.1");
@@ -266,16 +267,16 @@
     }
 
     @Test
-    public void whoClaimsToHaveStoodBeforeTakesNoneThatAreNotForClients() throws Exception {
-        int limit = startWith(90);
+    public void standingTunnelsDoNotTakeReservedDescriptors() throws Exception {
+        int limit = startWithSpareDescriptors(90);
         for (int i = 0; i < 150; i++) {
             connectClient("OPEN i" + i + " k c=p,d=3000,at=nobody\r\n");
         }
-        int most = 0;
-        for (long until = System.nanoTime() + 500_000_000L; System.nanoTime() < until; ) {
-            most = Math.max(most, heldByNode());
+        int maxHeld = 0;
+        for (long deadline = System.nanoTime() + 500_000_000L; System.nanoTime() < deadline; ) {
+            maxHeld = Math.max(maxHeld, nodeDescriptors());
         }
         assertTrue(counter("tunnels declined for want of descriptors") > 0);
-        assertTrue(most <= limit, most + " of " + limit);
+        assertTrue(maxHeld <= limit, maxHeld + " of " + limit);
     }
 }
--- a/node/src/test/java/embershift/routing/DescriptorSharesTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorSharesTest.java
@@ -9,67 +9,72 @@
 import java.util.Random;
 import org.testng.annotations.Test;
 
-/** Who gets which part of the descriptors: hosts that are asked, and processes at one address. */
+/**
+ * Tests of how file descriptors are divided: among the connections for probes of hosts, and among
+ * processes that listen at one address.
+ */
 public class DescriptorSharesTest {
 
-    private KeptConnections<String> kept;
+    private KeptConnections<String> connections;
 
     @Test
-    public void hostsThatFindNoPlaceWaitInLineAndTakeThatOfOneThatRests() {
+    public void hostsWithoutDescriptorQueueAndTakeThatOfAnIdleHost() {
         List<String> closed = new ArrayList<>();
-        boolean[] room = new boolean[1];
-        kept =
+        boolean[] hasRoom = new boolean[1];
+        connections =
                 new KeptConnections<>(
-                        () -> room[0],
+                        () -> hasRoom[0],
                         host -> {
                             closed.add(host);
-                            kept.closed(host);
+                            connections.closed(host);
                         });
-        kept.reserve(2);
-        assertEquals(kept.unused(), 2);
-        assertTrue(kept.take("a"));
-        assertTrue(kept.take("b"));
-        assertEquals(kept.unused(), 0);
-        assertFalse(kept.take("c"));
-        assertEquals(kept.first(), "c");
-        kept.rests("b", true);
-        assertTrue(kept.take("c"));
+        connections.reserve(2);
+        assertEquals(connections.unused(), 2);
+        assertTrue(connections.take("a"));
+        assertTrue(connections.take("b"));
+        assertEquals(connections.unused(), 0);
+        assertFalse(connections.take("c"));
+        assertEquals(connections.first(), "c");
+        connections.rests("b", true);
+        assertTrue(connections.take("c"));
         assertEquals(closed, List.of("b"));
-        assertEquals(kept.first(), null);
-        room[0] = true;
-        assertTrue(kept.take("d"));
-        kept.closed("a");
-        kept.closed("c");
-        room[0] = false;
-        assertTrue(kept.take("a"));
-        assertFalse(kept.take("e"));
-        assertTrue(kept.leaveLine("e"));
-        assertFalse(kept.leaveLine("e"));
+        assertEquals(connections.first(), null);
+        hasRoom[0] = true;
+        assertTrue(connections.take("d"));
+        connections.closed("a");
+        connections.closed("c");
+        hasRoom[0] = false;
+        assertTrue(connections.take("a"));
+        assertFalse(connections.take("e"));
+        assertTrue(connections.leaveLine("e"));
+        assertFalse(connections.leaveLine("e"));
     }
 
     @Test
-    public void twoProcessesThatFillUpAtOnceStayBelowTheLimitTogether() {
+    public void twoGrowingProcessesStayWithinSharedLimit() {
         for (int seed = 0; seed < 300; seed++) {
             Random random = new Random(seed);
             int limit = 100 + random.nextInt(1000);
             DescriptorShare[] shares = {new DescriptorShare(), new DescriptorShare()};
             int[] held = {random.nextInt(limit / 2), random.nextInt(limit / 4)};
-            int[] told = {0, 0};
+            int[] reported = {0, 0};
             for (int i = 0; i < 2; i++) {
-                told[i] = shares[i].claimed(limit, held[i], false, 32);
+                reported[i] = shares[i].claimed(limit, held[i], false, 32);
             }
             for (int i = 0; i < 2; i++) {
-                shares[i].told(limit, held[i], told[1 - i], 1);
+                shares[i].told(limit, held[i], reported[1 - i], 1);
             }
-            // From here on both know of each other; each looks when it does, and fills or frees as
-            // it likes in between.
+            // From here on both processes know of each other. Each updates its share at random
+            // times, and fills it or frees descriptors in between.
             for (int step = 0; step < 400; step++) {
-                int who = random.nextInt(2);
+                int process = random.nextInt(2);
                 switch (random.nextInt(4)) {
-                    case 0 -> told[who] = shares[who].claimed(limit, held[who], false, 32);
-                    case 1 -> shares[who].told(limit, held[who], told[1 - who], 1);
-                    case 2 -> held[who] = Math.max(held[who], shares[who].most(limit));
-                    default -> held[who] -= random.nextInt(held[who] / 2 + 1);
+                    case 0 ->
+                            reported[process] =
+                                    shares[process].claimed(limit, held[process], false, 32);
+                    case 1 -> shares[process].told(limit, held[process], reported[1 - process], 1);
+                    case 2 -> held[process] = Math.max(held[process], shares[process].most(limit));
+                    default -> held[process] -= random.nextInt(held[process] / 2 + 1);
                 }
                 assertTrue(
                         held[0] + held[1] <= limit,
@@ -80,19 +85,19 @@
     }
 
     @Test
-    public void oneThatTakesOverGetsWhatTheLeavingOneGivesBack() {
-        DescriptorShare old = new DescriptorShare();
-        DescriptorShare next = new DescriptorShare();
-        int told = next.claimed(1000, 60, false, 32);
-        assertEquals(told, 500);
-        old.told(1000, 900, told, 1);
-        next.told(1000, 60, old.claimed(1000, 900, false, 32), 1);
-        assertEquals(next.most(1000), 100);
-        old.told(1000, 900, next.claimed(1000, 60, false, 32), 1);
-        assertEquals(old.most(1000), 900);
-        next.told(1000, 60, old.claimed(1000, 200, true, 32), 1);
-        assertEquals(next.most(1000), 768);
-        next.told(1000, 700, 0, 0);
-        assertEquals(next.most(1000), 1000);
+    public void successorGetsDescriptorsReleasedByLeavingProcess() {
+        DescriptorShare leaving = new DescriptorShare();
+        DescriptorShare successor = new DescriptorShare();
+        int reported = successor.claimed(1000, 60, false, 32);
+        assertEquals(reported, 500);
+        leaving.told(1000, 900, reported, 1);
+        successor.told(1000, 60, leaving.claimed(1000, 900, false, 32), 1);
+        assertEquals(successor.most(1000), 100);
+        leaving.told(1000, 900, successor.claimed(1000, 60, false, 32), 1);
+        assertEquals(leaving.most(1000), 900);
+        successor.told(1000, 60, leaving.claimed(1000, 200, true, 32), 1);
+        assertEquals(successor.most(1000), 768);
+        successor.told(1000, 700, 0, 0);
+        assertEquals(successor.most(1000), 1000);
     }
 }
--- a/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
@@ -34,71 +34,74 @@
 import org.testng.annotations.Test;
 
 /**
- * What discovery has counts as told six seconds after it could be reached, whatever became of the
- * calls before. Nodes are played in virtual time, with the module where it is the one to ask, and
- * on loopback.
+ * Checks that a node gets the roster within six seconds from when discovery is reachable again,
+ * however the earlier calls failed. Nodes are simulated in virtual time, with the policy where that
+ * requests the roster, and run on loopback.
  */
 public class DiscoveryRecoveryTest extends LoopbackTestBase {
 
-    private static final double TOLD = 6;
+    private static final double ROSTER_DEADLINE_S = 6;
 
-    /**
-     * Seconds that discovery takes for an answer at the most: it ends what waited longer with 503.
-     */
-    private static final double ANSWER = 2;
+    /** Discovery answers within this time: it ends a call that waits longer with status 503. */
+    private static final double MAX_ANSWER_S = 2;
 
-    private static final double STEP = 0.05;
-    private static final double LONGEST_OUTAGE = 40;
+    private static final double STEP_S = 0.05;
+    private static final double LONGEST_OUTAGE_S = 40;
 
-    /** Settings by which discovery has to be asked so often; 0: changes are to come unasked. */
-    private static final double[] MUST_ASK = {0, 2, 9, 10, 30};
+    /** Values of {@code must-ask-in-s}; 0 stands for changes that are to come unsolicited. */
+    private static final double[] MUST_ASK_S = {0, 2, 9, 10, 30};
 
     /**
-     * What becomes of a call while discovery can't be reached, and seconds after which the node
-     * knows it.
+     * How a call fails during an outage of discovery, and after how many seconds the node detects
+     * it.
      */
     private enum Fault {
         REFUSED(0.001),
         RESET(0.02),
-        CUT_IN_HALF(0.05),
+        TRUNCATED(0.05),
         BUSY(0.01),
-        BUSY_AFTER_A_WHILE(2),
+        DELAYED_BUSY(2),
         SILENT(Double.POSITIVE_INFINITY),
-        HALF_THEN_SILENT(Double.POSITIVE_INFINITY),
-        NEVER_ENDING(Double.POSITIVE_INFINITY);
+        PARTIAL_THEN_SILENT(Double.POSITIVE_INFINITY),
+        TRICKLING(Double.POSITIVE_INFINITY);
 
-        final double knownAfter;
+        final double detectedAfterS;
 
-        Fault(double knownAfter) {
-            this.knownAfter = knownAfter;
+        Fault(double detectedAfterS) {
+            this.detectedAfterS = detectedAfterS;
         }
     }
 
     /**
-     * A node's calls from the moment on in which its watch breaks or falls silent, at time 0, for
-     * as long as all fail.
+     * Simulates the calls of a node from the moment, at time 0, at which its watch breaks or falls
+     * silent, as long as all calls fail.
      */
-    private static final class Caller implements Decisions {
-        final List<Double> calls = new ArrayList<>();
+    private static final class SimulatedNode implements Decisions {
+        final List<Double> callTimes = new ArrayList<>();
         private final Fault fault;
         private final WatchSchedule schedule;
-        private final Policy module;
-        private final PriorityQueue<Double> wakes = new PriorityQueue<>();
+        private final Policy policy;
+        private final PriorityQueue<Double> wakeups = new PriorityQueue<>();
         private double now;
-        private double fails;
-
-        /** {@code begun}: when the watch's last call began, up to three seconds before. */
-        Caller(long seed, double mustAsk, Fault fault, double begun) {
+        private double failsAt;
+
+        /**
+         * Creates and simulates a node.
+         *
+         * @param watchStartedAt when the last call of the watch began, up to three seconds before
+         *     the outage
+         */
+        SimulatedNode(long seed, double mustAskS, Fault fault, double watchStartedAt) {
             this.fault = fault;
-            schedule = new WatchSchedule(mustAsk == 0, new Chance(~seed)::nextApart);
-            module = mustAsk == 0 ? null : watching(seed, mustAsk);
-            now = begun;
+            schedule = new WatchSchedule(mustAskS == 0, new Chance(~seed)::nextApart);
+            policy = mustAskS == 0 ? null : createPolicy(seed, mustAskS);
+            now = watchStartedAt;
             schedule.called(now, true);
-            fails = Double.isInfinite(fault.knownAfter) ? fault.knownAfter : 0;
-            play();
+            failsAt = Double.isInfinite(fault.detectedAfterS) ? fault.detectedAfterS : 0;
+            simulate();
         }
 
-        private Policy watching(long seed, double mustAsk) {
+        private Policy createPolicy(long seed, double mustAskS) {
             Deployment.Profile profile =
                     new Deployment.Profile(
                             new ProfileId("p"),
@@ -117,7 +120,7 @@
                             new ZoneId("a"),
                             List.of(profile),
                             true,
-                            mustAsk,
+                            mustAskS,
                             true,
                             true,
                             true,
@@ -136,62 +139,62 @@
                             Deployment.Budget.NONE,
                             false,
                             0);
-            Policy policy = new Policy(deployment, new Filling(deployment));
-            policy.round(-100, news -> news.rosterListed(List.of(), true), this);
-            policy.round(-50, news -> {}, this);
-            policy.round(-49, news -> news.rosterChanged(List.of()), this);
-            calls.clear();
-            wakes.clear();
-            return policy;
+            Policy newPolicy = new Policy(deployment, new Filling(deployment));
+            newPolicy.round(-100, news -> news.rosterListed(List.of(), true), this);
+            newPolicy.round(-50, news -> {}, this);
+            newPolicy.round(-49, news -> news.rosterChanged(List.of()), this);
+            callTimes.clear();
+            wakeups.clear();
+            return newPolicy;
         }
 
-        private void play() {
-            while (now < 2 * LONGEST_OUTAGE) {
-                double wake = wakes.isEmpty() ? Double.POSITIVE_INFINITY : wakes.peek();
-                double next = Math.min(Math.min(fails, schedule.due()), wake);
-                assertTrue(next < Double.POSITIVE_INFINITY, "never called again after " + now);
+        private void simulate() {
+            while (now < 2 * LONGEST_OUTAGE_S) {
+                double nextWakeup = wakeups.isEmpty() ? Double.POSITIVE_INFINITY : wakeups.peek();
+                double next = Math.min(Math.min(failsAt, schedule.due()), nextWakeup);
+                assertTrue(next < Double.POSITIVE_INFINITY, "no further call after " + now);
                 now = Math.max(now, next);
-                if (next == fails || (next == schedule.due() && schedule.calling())) {
-                    fails = Double.POSITIVE_INFINITY;
+                if (next == failsAt || (next == schedule.due() && schedule.calling())) {
+                    failsAt = Double.POSITIVE_INFINITY;
                     schedule.failed(now);
-                    round(News::rosterLost);
+                    runRound(News::rosterLost);
                 } else if (next == schedule.due()) {
                     call();
                 } else {
-                    wakes.poll();
-                    round(news -> {});
+                    wakeups.poll();
+                    runRound(news -> {});
                 }
             }
         }
 
-        private void round(Consumer<News> arrivals) {
-            if (module != null) {
-                module.round(now, arrivals, this);
+        private void runRound(Consumer<News> arrivals) {
+            if (policy != null) {
+                policy.round(now, arrivals, this);
             }
         }
 
         private void call() {
-            calls.add(now);
+            callTimes.add(now);
             schedule.called(now, false);
-            fails = now + fault.knownAfter;
+            failsAt = now + fault.detectedAfterS;
         }
 
-        /** When the first call begins that finds discovery back. */
-        double finds(double back) {
-            int at = Collections.binarySearch(calls, back);
-            return calls.get(at < 0 ? -at - 1 : at);
+        /** Returns when the first call begins after discovery has returned. */
+        double firstCallAfter(double returnsAt) {
+            int at = Collections.binarySearch(callTimes, returnsAt);
+            return callTimes.get(at < 0 ? -at - 1 : at);
         }
 
         @Override
         public void watchRoster(boolean on) {
-            if (schedule != null && !schedule.calling() && module != null) {
+            if (schedule != null && !schedule.calling() && policy != null) {
                 call();
             }
         }
 
         @Override
         public void wakeAfter(double delay) {
-            wakes.add(now + delay);
+            wakeups.add(now + delay);
         }
 
         @Override
@@ -229,146 +232,171 @@
     }
 
     /**
-     * The longest time from a return of discovery until the last of the nodes is told, over returns
-     * at each step.
+     * Returns the longest time in seconds from the return of discovery until all nodes have the
+     * roster, over returns at each step of the outage.
      */
-    private static double longest(List<Caller> nodes) {
-        double longest = 0;
-        for (double back = 0; back < LONGEST_OUTAGE; back += STEP) {
-            for (Caller node : nodes) {
-                longest = Math.max(longest, node.finds(back) + ANSWER - back);
+    private static double longestDelay(List<SimulatedNode> nodes) {
+        double longestS = 0;
+        for (double returnsAt = 0; returnsAt < LONGEST_OUTAGE_S; returnsAt += STEP_S) {
+            for (SimulatedNode node : nodes) {
+                longestS =
+                        Math.max(
+                                longestS,
+                                node.firstCallAfter(returnsAt) + MAX_ANSWER_S - returnsAt);
             }
         }
-        return longest;
+        return longestS;
     }
 
     @DataProvider
     public Object[][] faults() {
         List<Object[]> rows = new ArrayList<>();
         for (Fault fault : Fault.values()) {
-            for (double mustAsk : MUST_ASK) {
-                rows.add(new Object[] {fault, mustAsk});
+            for (double mustAskS : MUST_ASK_S) {
+                rows.add(new Object[] {fault, mustAskS});
             }
         }
         return rows.toArray(new Object[0][]);
     }
 
     @Test(dataProvider = "faults")
-    public void nodeIsToldInTimeWheneverDiscoveryIsBack(Fault fault, double mustAsk) {
-        double longest = 0;
-        for (double begun = -3; begun <= 0; begun += STEP) {
-            longest = Math.max(longest, longest(List.of(new Caller(1, mustAsk, fault, begun))));
+    public void nodeGetsRosterInTimeAfterDiscoveryReturns(Fault fault, double mustAskS) {
+        double longestS = 0;
+        for (double watchStartedAt = -3; watchStartedAt <= 0; watchStartedAt += STEP_S) {
+            longestS =
+                    Math.max(
+                            longestS,
+                            longestDelay(
+                                    List.of(
+                                            new SimulatedNode(
+                                                    1, mustAskS, fault, watchStartedAt))));
         }
-        assertTrue(longest < TOLD - 0.15, "told " + longest + " s after discovery was back");
+        assertTrue(
+                longestS < ROSTER_DEADLINE_S - 0.15,
+                "roster received " + longestS + " s after the return of discovery");
     }
 
-    private static List<Caller> callers(int many, double mustAsk, Fault fault) {
-        List<Caller> nodes = new ArrayList<>();
+    private static List<SimulatedNode> simulateNodes(int count, double mustAskS, Fault fault) {
+        List<SimulatedNode> nodes = new ArrayList<>();
         Random seeds = new Random(41);
-        for (int i = 0; i < many; i++) {
-            // The last change was told to all at once, so their watches began together.
-            nodes.add(new Caller(seeds.nextLong(), mustAsk, fault, -1));
+        for (int i = 0; i < count; i++) {
+            // All nodes were told the last change at the same time, so their watches began
+            // together.
+            nodes.add(new SimulatedNode(seeds.nextLong(), mustAskS, fault, -1));
         }
         return nodes;
     }
 
     @Test(dataProvider = "faults")
-    public void thirtyNodesAreToldInTimeWheneverDiscoveryIsBack(Fault fault, double mustAsk) {
-        double longest = longest(callers(30, mustAsk, fault));
-        assertTrue(longest < TOLD - 0.15, "told " + longest + " s after discovery was back");
+    public void thirtyNodesGetRosterInTimeAfterDiscoveryReturns(Fault fault, double mustAskS) {
+        double longestS = longestDelay(simulateNodes(30, mustAskS, fault));
+        assertTrue(
+                longestS < ROSTER_DEADLINE_S - 0.15,
+                "roster received " + longestS + " s after the return of discovery");
     }
 
     /**
-     * Calls a second of a hundred nodes in the mean while discovery is away, and in the worst
-     * second of its return.
+     * Returns the calls per second of a hundred nodes: the mean during the outage, and the highest
+     * number in the first second after a return of discovery.
      */
-    private static double[] callsASecond(double mustAsk, Fault fault) {
-        List<Double> calls = new ArrayList<>();
-        List<Caller> nodes = callers(100, mustAsk, fault);
-        nodes.forEach(node -> calls.addAll(node.calls));
-        double from = 10;
-        long many = calls.stream().filter(at -> at >= from && at < LONGEST_OUTAGE).count();
-        long worst = 0;
-        for (double back = from; back < LONGEST_OUTAGE; back += STEP) {
-            double begin = back;
-            worst =
+    private static double[] callRates(double mustAskS, Fault fault) {
+        List<Double> callTimes = new ArrayList<>();
+        List<SimulatedNode> nodes = simulateNodes(100, mustAskS, fault);
+        nodes.forEach(node -> callTimes.addAll(node.callTimes));
+        double measuredFrom = 10;
+        long count =
+                callTimes.stream()
+                        .filter(time -> time >= measuredFrom && time < LONGEST_OUTAGE_S)
+                        .count();
+        long maxInOneSecond = 0;
+        for (double returnsAt = measuredFrom; returnsAt < LONGEST_OUTAGE_S; returnsAt += STEP_S) {
+            double returnTime = returnsAt;
+            maxInOneSecond =
                     Math.max(
-                            worst,
-                            nodes.stream().filter(node -> node.finds(begin) < begin + 1).count());
+                            maxInOneSecond,
+                            nodes.stream()
+                                    .filter(
+                                            node ->
+                                                    node.firstCallAfter(returnTime)
+                                                            < returnTime + 1)
+                                    .count());
         }
-        return new double[] {many / (LONGEST_OUTAGE - from), worst};
+        return new double[] {count / (LONGEST_OUTAGE_S - measuredFrom), maxInOneSecond};
     }
 
     /**
-     * Plays discovery for one node on loopback: one call fares ill, the next is answered. {@code
-     * atCall} is run at the first.
+     * Acts as discovery for one node on loopback: fails the first call, at which {@code
+     * onFirstCall} is run, and answers the next one.
      */
-    private void fareIll(ServerSocket at, Fault fault, Runnable atCall) throws IOException {
-        Socket first = accept(at);
-        readRequest(first);
-        atCall.run();
+    private void serveFailureThenAnswer(ServerSocket server, Fault fault, Runnable onFirstCall)
+            throws IOException {
+        Socket failingConnection = accept(server);
+        readRequest(failingConnection);
+        onFirstCall.run();
         String answer = okResponse(rosterJson(2, true) + " ".repeat(500));
         switch (fault) {
-            case RESET -> reset(first);
-            case BUSY -> send(first, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
-            case CUT_IN_HALF -> {
-                send(first, answer.substring(0, 70));
-                first.close();
+            case RESET -> reset(failingConnection);
+            case BUSY -> send(failingConnection, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+            case TRUNCATED -> {
+                send(failingConnection, answer.substring(0, 70));
+                failingConnection.close();
             }
-            case HALF_THEN_SILENT, NEVER_ENDING -> send(first, answer.substring(0, 70));
+            case PARTIAL_THEN_SILENT, TRICKLING -> send(failingConnection, answer.substring(0, 70));
             default -> {}
         }
-        at.setSoTimeout(100);
-        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-                System.nanoTime() < until; ) {
+        server.setSoTimeout(100);
+        for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+                System.nanoTime() < deadline; ) {
             try {
-                Socket next = accept(at);
-                readRequest(next);
-                sendOkResponse(next, rosterJson(2, true));
-                assertEquals(readRequest(next), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
+                Socket nextConnection = accept(server);
+                readRequest(nextConnection);
+                sendOkResponse(nextConnection, rosterJson(2, true));
+                assertEquals(
+                        readRequest(nextConnection),
+                        "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
                 return;
             } catch (SocketTimeoutException e) {
-                if (fault == Fault.NEVER_ENDING) {
-                    send(first, " ");
+                if (fault == Fault.TRICKLING) {
+                    send(failingConnection, " ");
                 }
             }
         }
-        fail("never called again");
+        fail("no retry of the failed call");
     }
 
     @Test
-    public void thirtyNodesOnLoopbackCallAgainInTimeAfterACallThatFaredIll() throws Exception {
-        List<Fault> kinds =
+    public void thirtyNodesOnLoopbackRetryFailedCallInTime() throws Exception {
+        List<Fault> faults =
                 List.of(
                         Fault.RESET,
-                        Fault.CUT_IN_HALF,
+                        Fault.TRUNCATED,
                         Fault.BUSY,
                         Fault.SILENT,
-                        Fault.HALF_THEN_SILENT,
-                        Fault.NEVER_ENDING);
-        List<FutureTask<Void>> played = new ArrayList<>();
-        List<CompletableFuture<Long>> calls = new ArrayList<>();
+                        Fault.PARTIAL_THEN_SILENT,
+                        Fault.TRICKLING);
+        List<FutureTask<Void>> tasks = new ArrayList<>();
+        List<CompletableFuture<Long>> callCounts = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            Fault fault = kinds.get(i % kinds.size());
-            double mustAsk = List.of(0.0, 10.0, 30.0).get(i / kinds.size() % 3);
+            Fault fault = faults.get(i % faults.size());
+            double mustAskS = List.of(0.0, 10.0, 30.0).get(i / faults.size() % 3);
             discovery = openServerSocket();
-            rosterOnRequest = mustAsk > 0;
+            rosterOnRequest = mustAskS > 0;
             settingOverrides =
                     new String[] {
-                        "must-ask-in-s", String.valueOf(mustAsk), "seed", "\"" + i + "\""
+                        "must-ask-in-s", String.valueOf(mustAskS), "seed", "\"" + i + "\""
                     };
-            ServerSocket at = discovery;
+            ServerSocket server = discovery;
             startRouter("1024");
             Router node = router;
-            CompletableFuture<Long> many = new CompletableFuture<>();
-            calls.add(many);
-            // A call that brings nothing is given up after 3.8 s. On the loop's own clock: a busy
-            // machine holds up both.
-            FutureTask<Void> play =
+            CompletableFuture<Long> count = new CompletableFuture<>();
+            callCounts.add(count);
+            // A call without an answer is abandoned after 3.8 s. The count is taken on the loop's
+            // clock, so that a busy machine delays both alike.
+            FutureTask<Void> task =
                     new FutureTask<>(
                             () -> {
-                                fareIll(
-                                        at,
+                                serveFailureThenAnswer(
+                                        server,
                                         fault,
                                         () ->
                                                 loop.execute(
@@ -376,39 +404,45 @@
                                                                 loop.after(
                                                                         4.4,
                                                                         () ->
-                                                                                many.complete(
+                                                                                count.complete(
                                                                                         node.tally()
                                                                                                 .of(
                                                                                                         "roster calls")))));
                                 return null;
                             });
-            played.add(play);
-            new Thread(play).start();
+            tasks.add(task);
+            new Thread(task).start();
         }
-        for (int i = 0; i < played.size(); i++) {
-            played.get(i).get();
+        for (int i = 0; i < tasks.size(); i++) {
+            tasks.get(i).get();
             assertTrue(
-                    calls.get(i).get() >= 2,
-                    "not called again in time after " + kinds.get(i % kinds.size()));
+                    callCounts.get(i).get() >= 2,
+                    "no retry in time after " + faults.get(i % faults.size()));
         }
     }
 
     /**
-     * Told in time can only be who calls each four seconds, 25 a second of a hundred nodes; where
-     * discovery has to be asked each ten seconds or less, the module calls more often while calls
-     * fail at once.
+     * To get the roster in time a node has to call every four seconds, which is 25 calls per second
+     * for a hundred nodes. Where discovery has to be asked every ten seconds or more often, the
+     * policy calls more often than that while calls fail at once.
      */
     @Test(dataProvider = "faults")
-    public void hundredNodesCallNoMoreOftenThanDiscoveryBears(Fault fault, double mustAsk) {
-        double[] calls = callsASecond(mustAsk, fault);
+    public void hundredNodesStayWithinDiscoveryCallRate(Fault fault, double mustAskS) {
+        double[] rates = callRates(mustAskS, fault);
         Reporter.log(
                 String.format(
-                        "%s, must ask %.0f: %.1f calls a second, %.0f in the worst second of a return, told %.2f s",
-                        fault, mustAsk, calls[0], calls[1], longest(callers(30, mustAsk, fault))));
+                        "%s, must-ask-in-s %.0f: %.1f calls per second, %.0f in the worst second of a return, roster after %.2f s",
+                        fault,
+                        mustAskS,
+                        rates[0],
+                        rates[1],
+                        longestDelay(simulateNodes(30, mustAskS, fault))));
+        assertTrue(
+                rates[0] < (mustAskS == 0 ? 27.5 : mustAskS == 30 ? 31 : mustAskS == 2 ? 205 : 46),
+                rates[0] + " calls per second");
+        // Holds for nodes that lost discovery at the same time.
         assertTrue(
-                calls[0] < (mustAsk == 0 ? 27.5 : mustAsk == 30 ? 31 : mustAsk == 2 ? 205 : 46),
-                calls[0] + " calls a second");
-        // Of those that lost discovery together.
-        assertTrue(mustAsk == 2 || calls[1] <= 70, calls[1] + " calls in a second of its return");
+                mustAskS == 2 || rates[1] <= 70,
+                rates[1] + " calls in one second of the return of discovery");
     }
 }
--- a/node/src/test/java/embershift/routing/RouterAcceptanceTest.java
+++ b/node/src/test/java/embershift/routing/RouterAcceptanceTest.java
@@ -19,60 +19,58 @@
 import org.testng.annotations.Test;
 
 /**
- * The terms of the operators' acceptance that no other test forces, each by what clients, hosts and
- * discovery received.
+ * Tests of the operators' acceptance criteria that no other test covers, judged by what clients,
+ * hosts and discovery received.
  */
 public class RouterAcceptanceTest extends LoopbackTestBase {
 
-    /** Milliseconds within which what must not come would have come. */
-    private static final int NOTHING_MS = 400;
+    /** Milliseconds within which unwanted data would have arrived. */
+    private static final int QUIET_PERIOD_MS = 400;
 
     private static final String ONCE_ONLY = "\"at_most_once\"";
     private static final String REPEATABLE = "\"idempotent\"";
 
-    /**
-     * Of a window, in seconds, that a short test can wait for, and not a busy machine's pause ends.
-     */
-    private static final double WINDOW = 1.5;
+    /** Short enough for a test to wait for, and longer than a pause of a busy machine. */
+    private static final double DEDUP_WINDOW_S = 1.5;
 
     private static final String REFERENCED =
-            "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":" + WINDOW;
+            "\"deduplicated\",\"dedup-scope\":\"all\",\"dedup-window-s\":" + DEDUP_WINDOW_S;
 
-    private void effect(String repeat, String... others) {
-        List<String> all = new ArrayList<>(List.of("repeat", repeat));
-        all.addAll(List.of(others));
-        settingOverrides = all.toArray(new String[0]);
+    private void overrideEffect(String repeat, String... additionalSettings) {
+        List<String> overrides = new ArrayList<>(List.of("repeat", repeat));
+        overrides.addAll(List.of(additionalSettings));
+        settingOverrides = overrides.toArray(new String[0]);
     }
 
-    private void runOnLoop(Runnable step) throws Exception {
+    private void runOnLoop(Runnable task) throws Exception {
         callOnLoop(
                 () -> {
-                    step.run();
+                    task.run();
                     return null;
                 });
     }
 
-    // ---- Answers cut, doubled and without an end ----
+    // ---- Truncated, duplicate and endless answers ----
 
     @DataProvider
-    public Object[][] cut() {
+    public Object[][] truncatedAnswers() {
         return new Object[][] {{""}, {"U"}, {"UP r"}, {"UP r\r"}, {"BUSY"}, {"HTTP/1.1 5"}};
     }
 
-    @Test(dataProvider = "cut")
-    public void answerCutShortServesNobodyAndTheSetupMayHaveRun(String part) throws Exception {
+    @Test(dataProvider = "truncatedAnswers")
+    public void truncatedAnswerCountsAsPossiblyExecuted(String truncated) throws Exception {
         for (String repeat : List.of(REPEATABLE, REFERENCED, ONCE_ONLY)) {
             ServerSocket host = openServerSocket();
-            effect(repeat);
+            overrideEffect(repeat);
             startRouter("1024", host);
             Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-            Socket side = accept(host);
-            readLine(side);
-            send(side, part);
-            side.close();
+            Socket hostSocket = accept(host);
+            readLine(hostSocket);
+            send(hostSocket, truncated);
+            hostSocket.close();
             if (repeat.equals(ONCE_ONLY)) {
                 assertTrue(readLine(client).startsWith("ERR "));
-                assertNothingReceived(host, NOTHING_MS);
+                assertNothingReceived(host, QUIET_PERIOD_MS);
             } else {
                 Socket next = accept(host);
                 assertTrue(readLine(next).startsWith("OPEN i k "));
@@ -83,72 +81,71 @@
     }
 
     @Test
-    public void answerWithoutAnEndIsGivenUpBeforeTheClientsTimeIsUp() throws Exception {
+    public void endlessAnswerIsAbandonedBeforeClientTimeout() throws Exception {
         ServerSocket host = openServerSocket();
-        effect(ONCE_ONLY);
+        overrideEffect(ONCE_ONLY);
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        long from = System.nanoTime();
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        long start = System.nanoTime();
         CompletableFuture<Void> endless =
                 CompletableFuture.runAsync(
                         () -> {
                             try {
-                                send(side, "UP ");
+                                send(hostSocket, "UP ");
                                 while (true) {
-                                    send(side, "x".repeat(1000));
+                                    send(hostSocket, "x".repeat(1000));
                                 }
                             } catch (IOException e) {
-                                // The node has closed.
+                                // The node has closed the connection.
                             }
                         });
         assertTrue(readLine(client).startsWith("ERR "));
-        assertTrue((System.nanoTime() - from) / 1e9 < 2.5, "answered only when its time was up");
+        assertTrue((System.nanoTime() - start) / 1e9 < 2.5, "answered only at the client timeout");
         endless.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
-        assertNothingReceived(host, NOTHING_MS);
+        assertNothingReceived(host, QUIET_PERIOD_MS);
     }
 
     @Test
-    public void secondAnswerOfAHostThatTurnedATunnelAwayServesNobody() throws Exception {
+    public void secondAnswerAfterDeclineIsIgnored() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        Runnable goOn = pauseLoop();
-        // Both lie there when the node reads.
-        send(side, "BUSY\r\nUP first\r\n");
-        goOn.run();
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        Runnable resume = pauseLoop();
+        // Both lines have arrived when the node reads.
+        send(hostSocket, "BUSY\r\nUP first\r\n");
+        resume.run();
         Socket next = accept(host);
         assertTrue(readLine(next).startsWith("OPEN i k "));
         try {
-            send(side, "UP late\r\n");
+            send(hostSocket, "UP late\r\n");
         } catch (IOException e) {
-            // That connection has ended, as it should.
+            // The connection has been closed, as it should be.
         }
         send(next, "UP second\r\n");
         assertEquals(readLine(client), "UP second");
     }
 
-    // ---- Effects and windows ----
+    // ---- Effects and dedup windows ----
 
     @Test
-    public void referencedIsSentAgainWithinItsWindowAndNeitherSentNorDeclinedPastIt()
-            throws Exception {
+    public void referencedSetupIsRetriedWithinWindowAndFailsPastIt() throws Exception {
         ServerSocket host = openServerSocket();
-        effect(REFERENCED);
+        overrideEffect(REFERENCED);
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        side.close();
-        Socket again = accept(host);
-        assertTrue(readLine(again).startsWith("OPEN i k "));
-        Thread.sleep((long) (WINDOW * 1000));
-        again.close();
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        hostSocket.close();
+        Socket retry = accept(host);
+        assertTrue(readLine(retry).startsWith("OPEN i k "));
+        Thread.sleep((long) (DEDUP_WINDOW_S * 1000));
+        retry.close();
         assertTrue(readLine(client).startsWith("ERR "));
-        assertNothingReceived(host, NOTHING_MS);
+        assertNothingReceived(host, QUIET_PERIOD_MS);
     }
 
     @DataProvider
@@ -157,71 +154,72 @@
     }
 
     @Test(dataProvider = "effects")
-    public void whoseHostsNeverCameUpIsDeclinedAndNothingComesThereLater(String repeat)
+    public void tunnelWhoseHostNeverConnectsIsDeclinedAndNotSentLater(String repeat)
             throws Exception {
         ServerSocket host = openSmallBacklogServerSocket();
-        effect(repeat);
+        overrideEffect(repeat);
         startRouter("1024", host);
         fillBacklog(host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        // Never sent, so to come again is harmless, and no failure.
+        // The setup was never sent, so a retry by the client is harmless: it is declined and not
+        // closed with error.
         assertTrue(readLine(client).startsWith("BUSY"));
         accept(host).close();
         accept(host).close();
-        // The system would have tried again after a second.
+        // The operating system retries the connect after a second.
         assertNothingReceived(host, 1300);
     }
 
-    // ---- Bytes in the moment of an end ----
+    // ---- Data that arrives while a connection is closed ----
 
     @Test
-    public void requestOnAConnectionThatTheNodeHasEndedIsNotSentOn() throws Exception {
+    public void requestOnExpiredConnectionIsNotForwarded() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket resting = connectClient("");
+        Socket idle = connectClient("");
         awaitCounter("connections taken in", 1);
         runOnLoop(() -> router.strangers().expire(router.now() + 2));
-        send(resting, "OPEN i k c=p,d=3000\r\n");
-        assertEquals(readLine(resting), "ERR no first line came");
-        assertNull(readLine(resting));
-        assertNothingReceived(host, NOTHING_MS);
+        send(idle, "OPEN i k c=p,d=3000\r\n");
+        assertEquals(readLine(idle), "ERR no first line came");
+        assertNull(readLine(idle));
+        assertNothingReceived(host, QUIET_PERIOD_MS);
         assertEquals(counter("tunnels taken"), 0);
     }
 
     @Test
-    public void wordsOfTheEndArriveThoughMuchLiesUnread() throws Exception {
+    public void closingMessageArrivesDespiteUnreadInput() throws Exception {
         startRouter("1024");
-        Socket resting = connectClient("");
-        Socket begun = connectClient("OPEN i ");
+        Socket idle = connectClient("");
+        Socket partialLine = connectClient("OPEN i ");
         awaitCounter("connections taken in", 2);
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         loop.execute(() -> router.strangers().expire(router.now() + 2));
-        for (Socket each : List.of(resting, begun)) {
+        for (Socket each : List.of(idle, partialLine)) {
             send(each, "line sent ahead\r\n".repeat(2000));
         }
-        goOn.run();
-        for (Socket each : List.of(resting, begun)) {
+        resume.run();
+        for (Socket each : List.of(idle, partialLine)) {
             assertTrue(readLine(each).startsWith("ERR "));
             assertNull(readLine(each));
         }
     }
 
     @Test
-    public void moveArrivesThoughBothSidesHaveSentMoreByThen() throws Exception {
+    public void moveArrivesDespitePendingDataOnBothSides() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        Runnable goOn = pauseLoop();
+        Socket[] tunnel = openTunnel(host);
+        Runnable resume = pauseLoop();
         loop.execute(router::stop);
-        send(ends[0], "line of the client's\r\n".repeat(1000));
-        send(ends[1], "half a line");
-        goOn.run();
-        assertEquals(readLine(ends[0]), "MOVE");
-        assertNull(readLine(ends[0]));
+        send(tunnel[0], "line of the client's\r\n".repeat(1000));
+        send(tunnel[1], "half a line");
+        resume.run();
+        assertEquals(readLine(tunnel[0]), "MOVE");
+        assertNull(readLine(tunnel[0]));
     }
 
     @Test
-    public void whoComesWhileTheNodeClosesIsAnswered() throws Exception {
+    public void connectionDuringShutdownIsAnswered() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         runOnLoop(
@@ -230,73 +228,74 @@
                     router.stop();
                 });
         assertTrue(readLine(connectClient("OPEN i k c=p,d=3000\r\n")).startsWith("BUSY"));
-        assertNothingReceived(host, NOTHING_MS);
+        assertNothingReceived(host, QUIET_PERIOD_MS);
     }
 
-    // ---- Floods ----
+    // ---- Clients that send much data ----
 
     @Test
-    public void clientsThatSendMuchAtOnceAndGoTakeNothingFromASoundOne() throws Exception {
+    public void clientsThatFloodAndLeaveTakeNothingFromOthers() throws Exception {
         ServerSocket host = openServerSocket();
-        int before = callOnLoop(loop::descriptors);
-        startRouter("" + (before + 80), host);
-        byte[] much = "no first line of ours\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
+        int descriptorsAtStart = callOnLoop(loop::descriptors);
+        startRouter("" + (descriptorsAtStart + 80), host);
+        byte[] flood = "no first line of ours\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < 200; i++) {
-            Socket bad = new Socket(routerAddress.getAddress(), routerAddress.getPort());
+            Socket flooding = new Socket(routerAddress.getAddress(), routerAddress.getPort());
             try {
-                bad.getOutputStream().write(much);
+                flooding.getOutputStream().write(flood);
             } catch (IOException e) {
-                // The node was sooner.
+                // The node has already closed the connection.
             }
             if (i % 2 == 0) {
-                reset(bad);
+                reset(flooding);
             } else {
-                bad.close();
+                flooding.close();
             }
         }
-        Socket[] ends = openTunnel(host);
-        send(ends[0], "line\r\n");
-        assertEquals(readLine(ends[1]), "line");
-        // Its two sides, the listener, discovery's and the datagrams'.
-        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-                callOnLoop(loop::descriptors) > before + 5; ) {
+        Socket[] tunnel = openTunnel(host);
+        send(tunnel[0], "line\r\n");
+        assertEquals(readLine(tunnel[1]), "line");
+        // Five remain: the tunnel's two sockets, the listener, the connection to discovery and the
+        // datagram socket.
+        for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+                callOnLoop(loop::descriptors) > descriptorsAtStart + 5; ) {
             assertTrue(
-                    System.nanoTime() < until,
-                    callOnLoop(loop::descriptors) + " held, " + before + " before");
+                    System.nanoTime() < deadline,
+                    callOnLoop(loop::descriptors) + " held, " + descriptorsAtStart + " before");
             Thread.sleep(5);
         }
         assertEquals(counter("faults"), 0);
     }
 
     @Test
-    public void manyCommandsSentWithTheFirstLineReachTheHostOnceEachInOrder() throws Exception {
+    public void commandsSentWithFirstLineReachHostOnceInOrder() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        int many = 350;
+        int count = 350;
         StringBuilder commands = new StringBuilder("OPEN i k c=p,d=3000\r\n");
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             commands.append("command no ").append(1000 + i).append("\r\n");
         }
         Socket client = connectClient(commands.toString());
-        Socket side = accept(host);
-        readLine(side);
-        side.setSoTimeout(NOTHING_MS);
-        // Nothing is sent on before the host's answer.
-        assertThrows(SocketTimeoutException.class, () -> side.getInputStream().read());
-        side.setSoTimeout(TIMEOUT_MS);
-        send(side, "UP r\r\n");
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        hostSocket.setSoTimeout(QUIET_PERIOD_MS);
+        // No command is forwarded before the host's answer.
+        assertThrows(SocketTimeoutException.class, () -> hostSocket.getInputStream().read());
+        hostSocket.setSoTimeout(TIMEOUT_MS);
+        send(hostSocket, "UP r\r\n");
         assertEquals(readLine(client), "UP r");
-        for (int i = 0; i < many; i++) {
-            assertEquals(readLine(side), "command no " + (1000 + i));
+        for (int i = 0; i < count; i++) {
+            assertEquals(readLine(hostSocket), "command no " + (1000 + i));
         }
         client.shutdownOutput();
-        assertNull(readLine(side));
+        assertNull(readLine(hostSocket));
     }
 
-    // ---- Lists ----
+    // ---- Rosters ----
 
-    private static String indented(String list) {
-        return list.replace("{", "{\r\n\t  ")
+    private static String indented(String json) {
+        return json.replace("{", "{\r\n\t  ")
                         .replace(",", ",\n    ")
                         .replace(":", " :  ")
                         .replace("127.0.0.1 :  ", "127.0.0.1:")
@@ -305,7 +304,7 @@
     }
 
     @Test
-    public void indentedListInPiecesAndChunksIsTaken() throws Exception {
+    public void indentedChunkedRosterIsAccepted() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024");
         Socket watch = accept(discovery);
@@ -315,16 +314,16 @@
                 body.contains("\"hostPort\" :  \"127.0.0.1:" + host.getLocalPort() + "\""), body);
         StringBuilder chunks =
                 new StringBuilder("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n");
-        for (int at = 0; at < body.length(); at += 33) {
-            String piece = body.substring(at, Math.min(body.length(), at + 33));
-            chunks.append(Integer.toHexString(piece.length()))
+        for (int offset = 0; offset < body.length(); offset += 33) {
+            String chunk = body.substring(offset, Math.min(body.length(), offset + 33));
+            chunks.append(Integer.toHexString(chunk.length()))
                     .append("\r\n")
-                    .append(piece)
+                    .append(chunk)
                     .append("\r\n");
         }
-        String all = chunks + "0\r\n\r\n";
-        for (int at = 0; at < all.length(); at += 50) {
-            send(watch, all.substring(at, Math.min(all.length(), at + 50)));
+        String message = chunks + "0\r\n\r\n";
+        for (int offset = 0; offset < message.length(); offset += 50) {
+            send(watch, message.substring(offset, Math.min(message.length(), offset + 50)));
             Thread.sleep(2);
         }
         assertEquals(readRequest(watch), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
@@ -336,7 +335,8 @@
     }
 
     @Test
-    public void pushedListsAreHadInFourSecondsFromAReloadThoughTwoCallsFail() throws Exception {
+    public void unsolicitedRosterArrivesWithinFourSecondsOfReloadDespiteTwoFailures()
+            throws Exception {
         rosterOnRequest = false;
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
@@ -345,7 +345,7 @@
         sendOkResponse(watch, rosterJson(9, true, rosterEntry(host, "in_service")));
         readRequest(watch);
         discovery = openServerSocket();
-        long from = System.nanoTime();
+        long start = System.nanoTime();
         reconfigure();
         reset(accept(discovery));
         Socket refused = accept(discovery);
@@ -355,8 +355,8 @@
         assertEquals(readRequest(next), "GET /api/targets HTTP/1.1");
         sendOkResponse(next, rosterJson(1, true, rosterEntry(host, "terminating")));
         readRequest(next);
-        assertTrue((System.nanoTime() - from) / 1e9 < 4);
+        assertTrue((System.nanoTime() - start) / 1e9 < 4);
         assertTrue(readLine(connectClient("OPEN j k c=p,d=500\r\n")).startsWith("BUSY"));
-        assertNothingReceived(host, NOTHING_MS);
+        assertNothingReceived(host, QUIET_PERIOD_MS);
     }
 }
--- a/node/src/test/java/embershift/routing/RouterRaceTest.java
+++ b/node/src/test/java/embershift/routing/RouterRaceTest.java
@@ -20,52 +20,52 @@
 import org.testng.annotations.Test;
 
 /**
- * Where two events cross: each test forces one order of them, and looks at what clients, hosts and
- * discovery received.
+ * Tests of events that race with each other: each test forces one order of them and checks what
+ * clients, hosts and discovery received.
  */
 public class RouterRaceTest extends LoopbackTestBase {
 
     /** Milliseconds within which nothing more may reach a host for a client that has left. */
-    private static final int SENT_ON_MS = 300;
+    private static final int FORWARD_LIMIT_MS = 300;
 
-    private static final String LEFT = "tunnels left early";
+    private static final String LEFT_EARLY = "tunnels left early";
 
-    // ---- A client that leaves while it waits ----
+    // ---- Clients that leave while they wait ----
 
-    private enum Leaving {
-        END,
+    private enum DisconnectKind {
+        CLOSE,
         RESET,
-        MUCH_THEN_END,
-        MUCH_THEN_RESET
+        DATA_THEN_CLOSE,
+        DATA_THEN_RESET
     }
 
-    private static void leave(Socket client, Leaving how) throws IOException {
-        if (how == Leaving.MUCH_THEN_END || how == Leaving.MUCH_THEN_RESET) {
+    private static void disconnect(Socket client, DisconnectKind kind) throws IOException {
+        if (kind == DisconnectKind.DATA_THEN_CLOSE || kind == DisconnectKind.DATA_THEN_RESET) {
             send(client, "line sent ahead\r\n".repeat(300));
         }
-        if (how == Leaving.RESET || how == Leaving.MUCH_THEN_RESET) {
+        if (kind == DisconnectKind.RESET || kind == DisconnectKind.DATA_THEN_RESET) {
             reset(client);
         } else {
             client.close();
         }
     }
 
-    /** No first line comes there on a connection that is made from now on. */
+    /** Asserts that no tunnel is forwarded to a host from now on. */
     private void assertNothingReceived(ServerSocket host) throws IOException {
-        assertNothingReceived(host, 2 * SENT_ON_MS);
+        assertNothingReceived(host, 2 * FORWARD_LIMIT_MS);
     }
 
     @DataProvider
-    public Object[][] ways() {
-        Object[][] ways = new Object[Leaving.values().length][];
-        for (int i = 0; i < ways.length; i++) {
-            ways[i] = new Object[] {Leaving.values()[i]};
+    public Object[][] disconnectKinds() {
+        Object[][] kinds = new Object[DisconnectKind.values().length][];
+        for (int i = 0; i < kinds.length; i++) {
+            kinds[i] = new Object[] {DisconnectKind.values()[i]};
         }
-        return ways;
+        return kinds;
     }
 
-    @Test(dataProvider = "ways")
-    public void whoLeftWhileTheHostWasReachedIsNotSentOnWhenItComesUp(Leaving how)
+    @Test(dataProvider = "disconnectKinds")
+    public void clientThatLeavesDuringConnectIsNotForwardedOnceHostAccepts(DisconnectKind kind)
             throws Exception {
         settingOverrides = new String[] {"connect-timeout-s", "9", "client-timeout-s", "12"};
         ServerSocket host = openSmallBacklogServerSocket();
@@ -76,60 +76,62 @@
             clients.add(connectClient("OPEN i" + i + " k c=p,d=12000\r\n"));
         }
         awaitCounter("setups sent", 4);
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         for (Socket client : clients) {
-            leave(client, how);
+            disconnect(client, kind);
         }
-        Socket up = drainBacklogAndAccept(host);
-        // Up and left, and the loop has seen neither: it is to find both at once.
-        goOn.run();
-        assertEquals(readUntilClosed(up), "");
-        awaitCounter(LEFT + " while a host was reached", 4);
+        Socket accepted = drainBacklogAndAccept(host);
+        // The host has accepted and the clients have left; the paused loop finds both at once.
+        resume.run();
+        assertEquals(readUntilClosed(accepted), "");
+        awaitCounter(LEFT_EARLY + " while a host was reached", 4);
         assertNothingReceived(host);
     }
 
-    @Test(dataProvider = "ways")
-    public void whoLeftWhileTheLoopStoodStillIsNotSentOn(Leaving how) throws Exception {
+    @Test(dataProvider = "disconnectKinds")
+    public void clientThatLeavesWhileLoopIsPausedIsNotForwarded(DisconnectKind kind)
+            throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         for (int i = 0; i < 8; i++) {
-            leave(connectClient("OPEN i" + i + " k c=p,d=3000\r\n"), how);
+            disconnect(connectClient("OPEN i" + i + " k c=p,d=3000\r\n"), kind);
         }
-        goOn.run();
+        resume.run();
         assertNothingReceived(host);
         assertTrue(callOnLoop(router::empty));
     }
 
-    @Test(dataProvider = "ways")
-    public void whoLeftWhileAHostWasAskedIsGivenUpThereAndNotSentOn(Leaving how) throws Exception {
+    @Test(dataProvider = "disconnectKinds")
+    public void clientThatLeavesDuringSetupIsCancelledAtHostAndNotForwarded(DisconnectKind kind)
+            throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        leave(client, how);
-        assertEquals(readUntilClosed(side), "");
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        disconnect(client, kind);
+        assertEquals(readUntilClosed(hostSocket), "");
         assertNothingReceived(host);
-        assertEquals(counter(LEFT + " while a host was asked"), 1);
+        assertEquals(counter(LEFT_EARLY + " while a host was asked"), 1);
     }
 
-    @Test(dataProvider = "ways")
-    public void whoLeftWhileASetupEndedIsNotSentAgain(Leaving how) throws Exception {
+    @Test(dataProvider = "disconnectKinds")
+    public void clientThatLeavesWhileSetupEndsIsNotRetried(DisconnectKind kind) throws Exception {
         settingOverrides = new String[] {"setup-goal-s", "0.1", "connect-timeout-s", "1"};
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        assertEquals(readLine(side), null);
-        leave(client, how);
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        assertEquals(readLine(hostSocket), null);
+        disconnect(client, kind);
         assertNothingReceived(host);
-        assertEquals(counter(LEFT + " while a setup ended"), 1);
+        assertEquals(counter(LEFT_EARLY + " while a setup ended"), 1);
     }
 
-    @Test(dataProvider = "ways")
-    public void whoLeftWhileItsHostWasUnknownIsNotSentThereOnceItIsKnown(Leaving how)
+    @Test(dataProvider = "disconnectKinds")
+    public void clientThatLeavesWhileHostIsUnknownIsNotForwardedOnceItIsListed(DisconnectKind kind)
             throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024");
@@ -137,67 +139,68 @@
         readRequest(watch);
         Socket client = connectClient("OPEN i k c=p,d=3000,at=" + instanceId(host) + "\r\n");
         awaitCounter("tunnels taken", 1);
-        leave(client, how);
-        awaitCounter(LEFT + " unplaced", 1);
+        disconnect(client, kind);
+        awaitCounter(LEFT_EARLY + " unplaced", 1);
         sendOkResponse(watch, rosterJson(2, true, rosterEntry(host, "in_service")));
         readRequest(watch);
         assertNothingReceived(host);
         assertTrue(callOnLoop(router::empty));
     }
 
-    @Test(dataProvider = "ways")
-    public void whoStoodAtAHostAndLeftBeforeItsNextTryIsNotSentThere(Leaving how) throws Exception {
+    @Test(dataProvider = "disconnectKinds")
+    public void standingTunnelWhoseClientLeavesBeforeRetryIsNotForwarded(DisconnectKind kind)
+            throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000,at=" + instanceId(host) + "\r\n");
-        Socket side = accept(host);
-        readLine(side);
-        send(side, "BUSY\r\n");
-        assertEquals(readUntilClosed(side), "");
-        leave(client, how);
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        send(hostSocket, "BUSY\r\n");
+        assertEquals(readUntilClosed(hostSocket), "");
+        disconnect(client, kind);
         assertNothingReceived(host);
-        assertEquals(counter(LEFT + " standing before"), 1);
+        assertEquals(counter(LEFT_EARLY + " standing before"), 1);
     }
 
-    @Test(dataProvider = "ways")
-    public void whoLeftWhileAHostWasAskedForItsLoadIsNotSentOn(Leaving how) throws Exception {
+    @Test(dataProvider = "disconnectKinds")
+    public void clientThatLeavesDuringLoadProbeIsNotForwarded(DisconnectKind kind)
+            throws Exception {
         settingOverrides = new String[] {"may-probe", "true", "columns", "[\"x0\"]"};
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        // The module asks all hosts from its first tunnel on, and the tunnel waits for the answer.
+        // The policy probes all hosts from the first tunnel on; the tunnel waits for the answer.
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket asked = accept(host);
-        assertEquals(readLine(asked), "STATS");
-        leave(client, how);
-        awaitCounter(LEFT + " unplaced", 1);
-        send(asked, "PONG x0=0.1\r\n");
+        Socket probeConnection = accept(host);
+        assertEquals(readLine(probeConnection), "STATS");
+        disconnect(client, kind);
+        awaitCounter(LEFT_EARLY + " unplaced", 1);
+        send(probeConnection, "PONG x0=0.1\r\n");
         assertNothingReceived(host);
         assertTrue(callOnLoop(router::empty));
     }
 
     @Test
-    public void whoSendsTooMuchAheadHearsSoAndItsSetupIsGivenUp() throws Exception {
+    public void excessDataBeforeAnswerGetsErrorAndCancelsSetup() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
         send(client, "line sent ahead\r\n".repeat(600));
         assertEquals(readLine(client), "ERR too much before the answer");
         assertEquals(readLine(client), null);
-        assertEquals(readUntilClosed(side), "");
+        assertEquals(readUntilClosed(hostSocket), "");
         assertNothingReceived(host);
         assertTrue(callOnLoop(router::empty));
     }
 
     @DataProvider
-    public Object[][] tidings() {
+    public Object[][] withdrawals() {
         return new Object[][] {{"terminating"}, {"terminated"}, {"by hand"}};
     }
 
-    @Test(dataProvider = "tidings")
-    public void hostThatIsToTakeNothingNewByTheTimeItIsReachedGetsNothing(String told)
-            throws Exception {
+    @Test(dataProvider = "withdrawals")
+    public void hostWithdrawnDuringConnectReceivesNothing(String withdrawal) throws Exception {
         settingOverrides = new String[] {"connect-timeout-s", "9", "client-timeout-s", "12"};
         ServerSocket host = openSmallBacklogServerSocket();
         startRouter("1024", host);
@@ -206,53 +209,54 @@
         fillBacklog(host);
         Socket client = connectClient("OPEN i k c=p,d=12000\r\n");
         awaitCounter("setups sent", 1);
-        if (told.equals("by hand")) {
+        if (withdrawal.equals("by hand")) {
             runOnLoop(() -> router.byHand(new HostId(instanceId(host)), true, () -> {}));
         } else {
-            sendOkResponse(watch, rosterJson(2, false, rosterEntry(host, told)));
+            sendOkResponse(watch, rosterJson(2, false, rosterEntry(host, withdrawal)));
             readRequest(watch);
         }
         assertEquals(readUntilClosed(drainBacklogAndAccept(host)), "");
-        // Never sent, so the module places it anew: nowhere, as there is no other host.
+        // The setup was never sent, so the policy places the tunnel again, but there is no other
+        // host.
         assertTrue(readLine(client).startsWith("BUSY"));
         assertNothingReceived(host);
     }
 
-    // ---- Ids and late news ----
+    // ---- Tunnel ids and late events ----
 
     @Test
-    public void lateEndOfASetupReachesNoOtherTunnelOfItsId() throws Exception {
+    public void lateSetupEndDoesNotAffectNewTunnelWithSameId() throws Exception {
         settingOverrides = new String[] {"setup-goal-s", "0.1", "connect-timeout-s", "1"};
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket first = connectClient("OPEN same k c=p,d=3000\r\n");
         Socket late = accept(host);
         readLine(late);
-        // Given up, and out until the host ends it or for 0.4 s.
+        // The setup was abandoned; it counts as pending until the host closes it, or for 0.4 s.
         assertEquals(readLine(late), null);
         first.close();
-        awaitCounter(LEFT, 1);
+        awaitCounter(LEFT_EARLY, 1);
         Socket second = connectClient("OPEN same k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        assertTrue(readLine(side).startsWith("OPEN same "));
+        Socket hostSocket = accept(host);
+        assertTrue(readLine(hostSocket).startsWith("OPEN same "));
         late.close();
         awaitCounter("setups ended timed_out", 1);
-        // The module still knows the second one: it is sent on where its host turns it away.
-        send(side, "BUSY\r\n");
+        // The policy still knows the second tunnel: it is retried after its host declines it.
+        send(hostSocket, "BUSY\r\n");
         assertTrue(readLine(accept(host)).startsWith("OPEN same "));
         assertFalse(callOnLoop(router::empty));
         second.close();
     }
 
-    // ---- Questions to hosts ----
+    // ---- Probes ----
 
-    private Socket asked(ServerSocket host) throws Exception {
+    private Socket startAndAwaitProbe(ServerSocket host) throws Exception {
         settingOverrides = new String[] {"may-probe", "true", "columns", "[\"x0\"]"};
         startRouter("1024", host);
         probe(host);
-        Socket side = accept(host);
-        assertEquals(readLine(side), "STATS");
-        return side;
+        Socket hostSocket = accept(host);
+        assertEquals(readLine(hostSocket), "STATS");
+        return hostSocket;
     }
 
     private void probe(ServerSocket host) throws Exception {
@@ -264,13 +268,13 @@
     }
 
     @Test
-    public void secondAnswerOfAHostIsNotTakenForTheNextOne() throws Exception {
+    public void duplicateProbeAnswerIsNotTakenForNextOne() throws Exception {
         ServerSocket host = openServerSocket();
-        Socket side = asked(host);
-        send(side, "PONG x0=0.1\r\n");
+        Socket hostSocket = startAndAwaitProbe(host);
+        send(hostSocket, "PONG x0=0.1\r\n");
         awaitCounter("probes answered", 1);
         probe(host);
-        send(side, "PONG x0=0.1\r\n");
+        send(hostSocket, "PONG x0=0.1\r\n");
         Socket next = accept(host);
         assertEquals(readLine(next), "STATS");
         assertEquals(counter("probes answered"), 1);
@@ -281,35 +285,35 @@
     }
 
     @Test
-    public void restOfAnAnswerInPiecesIsNotTakenForTheNextOne() throws Exception {
+    public void partialExtraProbeAnswerIsNotTakenForNextOne() throws Exception {
         ServerSocket host = openServerSocket();
-        Socket side = asked(host);
-        send(side, "PONG x0=0.1\r\nPO");
+        Socket hostSocket = startAndAwaitProbe(host);
+        send(hostSocket, "PONG x0=0.1\r\nPO");
         awaitCounter("probes answered", 1);
         probe(host);
         Socket next = accept(host);
         assertEquals(readLine(next), "STATS");
-        assertEquals(readUntilClosed(side), "");
+        assertEquals(readUntilClosed(hostSocket), "");
         assertEquals(counter("probes answered"), 1);
     }
 
     @Test
-    public void questionThatCrossesWithTheEndOfAKeptConnectionIsAskedAgain() throws Exception {
+    public void probeThatCrossesConnectionCloseIsRetried() throws Exception {
         ServerSocket host = openServerSocket();
-        for (int times = 0; times < 2; times++) {
-            Socket side = times == 0 ? asked(host) : accept(host);
-            send(side, "PONG x0=0.1\r\n");
-            awaitCounter("probes answered", times + 1);
+        for (int attempt = 0; attempt < 2; attempt++) {
+            Socket hostSocket = attempt == 0 ? startAndAwaitProbe(host) : accept(host);
+            send(hostSocket, "PONG x0=0.1\r\n");
+            awaitCounter("probes answered", attempt + 1);
             Thread.sleep(100);
-            Runnable goOn = pauseLoop();
+            Runnable resume = pauseLoop();
             loop.execute(() -> router.probe(new HostId(instanceId(host))));
-            if (times == 0) {
-                side.close();
+            if (attempt == 0) {
+                hostSocket.close();
             } else {
-                reset(side);
+                reset(hostSocket);
             }
-            // The question goes out behind the end that nobody has read yet.
-            goOn.run();
+            // The probe is written after the close, which the node has not read yet.
+            resume.run();
         }
         Socket last = accept(host);
         assertEquals(readLine(last), "STATS");
@@ -319,10 +323,10 @@
     }
 
     @Test
-    public void questionThatIsOutWhenAHostsAddressChangesIsAskedThere() throws Exception {
+    public void pendingProbeIsSentToNewAddressOfHost() throws Exception {
         ServerSocket host = openServerSocket();
-        ServerSocket there = openServerSocket();
-        Socket side = asked(host);
+        ServerSocket newAddress = openServerSocket();
+        Socket hostSocket = startAndAwaitProbe(host);
         Socket watch = accept(discovery);
         readRequest(watch);
         sendOkResponse(
@@ -333,57 +337,56 @@
                         rosterEntry(host, "in_service")
                                 .replace(
                                         ":" + host.getLocalPort() + "\"",
-                                        ":" + there.getLocalPort() + "\"")));
-        Socket next = accept(there);
+                                        ":" + newAddress.getLocalPort() + "\"")));
+        Socket next = accept(newAddress);
         assertEquals(readLine(next), "STATS");
-        assertEquals(readUntilClosed(side), "");
+        assertEquals(readUntilClosed(hostSocket), "");
         send(next, "PONG x0=0.1\r\n");
         awaitCounter("probes answered", 1);
         assertEquals(counter("probes failed"), 0);
     }
 
     @Test
-    public void answerWithoutAnEndLeavesTheNextQuestionAConnectionOfItsOwn() throws Exception {
+    public void probeAfterUnterminatedAnswerUsesNewConnection() throws Exception {
         ServerSocket host = openServerSocket();
-        Socket side = asked(host);
-        send(side, "PONG x0=0.1".repeat(500));
+        Socket hostSocket = startAndAwaitProbe(host);
+        send(hostSocket, "PONG x0=0.1".repeat(500));
         awaitCounter("probes failed", 1);
-        assertEquals(readUntilClosed(side), "");
+        assertEquals(readUntilClosed(hostSocket), "");
         probe(host);
         assertEquals(readLine(accept(host)), "STATS");
     }
 
-    // ---- Watches ----
+    // ---- Watches of the roster ----
 
     @Test
-    public void firstWatchThatFellSilentAtOnceIsCalledAnewBeforeWhatItMissedCountsAsTold()
-            throws Exception {
+    public void firstWatchThatHangsIsRetriedBeforeRosterDeadline() throws Exception {
         settingOverrides = new String[] {"must-ask-in-s", "10"};
         startRouter("1024");
         Socket watch = accept(discovery);
-        long fellSilent = System.nanoTime();
+        long silentSince = System.nanoTime();
         readRequest(watch);
         readRequest(accept(discovery));
-        double after = (System.nanoTime() - fellSilent) / 1e9;
-        assertTrue(after < 6, "called anew after " + after + " s");
+        double elapsedS = (System.nanoTime() - silentSince) / 1e9;
+        assertTrue(elapsedS < 6, "retried after " + elapsedS + " s");
     }
 
     @Test
-    public void watchThatFellSilentRightAfterAnAnswerIsCalledAnewInTime() throws Exception {
+    public void watchThatHangsAfterAnAnswerIsRetriedInTime() throws Exception {
         settingOverrides = new String[] {"must-ask-in-s", "10"};
         startRouter("1024");
         Socket watch = accept(discovery);
         readRequest(watch);
         sendOkResponse(watch, rosterJson(2, true));
         assertEquals(readRequest(watch), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
-        long fellSilent = System.nanoTime();
+        long silentSince = System.nanoTime();
         readRequest(accept(discovery));
-        double after = (System.nanoTime() - fellSilent) / 1e9;
-        assertTrue(after < 6, "called anew after " + after + " s");
+        double elapsedS = (System.nanoTime() - silentSince) / 1e9;
+        assertTrue(elapsedS < 6, "retried after " + elapsedS + " s");
     }
 
     @Test
-    public void olderListThatComesOnceMoreChangesNothing() throws Exception {
+    public void repeatedOlderRosterChangesNothing() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket watch = accept(discovery);
@@ -401,7 +404,7 @@
     }
 
     @Test
-    public void secondAnswerThatComesWithTheFirstIsNoAnswerToTheNextCall() throws Exception {
+    public void duplicateRosterAnswerIsNotTakenForNextCall() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket watch = accept(discovery);
@@ -417,7 +420,7 @@
     }
 
     @Test
-    public void versionsThatBeginAnewAreAskedForAsAWhole() throws Exception {
+    public void restartedGenerationsTriggerFullRosterRequest() throws Exception {
         startRouter("1024");
         Socket watch = accept(discovery);
         readRequest(watch);
@@ -431,7 +434,7 @@
     }
 
     @Test
-    public void wholeListWantedDuringAWatchIsAskedForAfterIt() throws Exception {
+    public void fullRosterRequestDuringWatchFollowsIt() throws Exception {
         startRouter("1024");
         Socket watch = accept(discovery);
         readRequest(watch);
@@ -445,7 +448,7 @@
     }
 
     @Test
-    public void answerInTwoHalvesWithTheEndBetweenIsAFailureThatIsCalledAnew() throws Exception {
+    public void truncatedRosterAnswerIsAFailureAndRetried() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket watch = accept(discovery);
@@ -453,98 +456,98 @@
         send(watch, okResponse(rosterJson(2, true)).substring(0, 70));
         watch.close();
         Socket next = accept(discovery);
-        // After a failure it waits there for less, by chance: two seconds of its own time are for
-        // its turn.
-        String again = readRequest(next);
-        assertTrue(again.matches("GET /api/targets\\?after=1&wait_ms=\\d+ HTTP/1.1"), again);
-        int wait = Integer.parseInt(again.replaceAll(".*wait_ms=|\\sHTTP.*", ""));
-        assertTrue(wait >= 200 && wait <= 1600, again);
+        // After a failure the node asks for a shorter wait, by a random amount: two seconds of its
+        // time are for the delay before its turn.
+        String request = readRequest(next);
+        assertTrue(request.matches("GET /api/targets\\?after=1&wait_ms=\\d+ HTTP/1.1"), request);
+        int waitMs = Integer.parseInt(request.replaceAll(".*wait_ms=|\\sHTTP.*", ""));
+        assertTrue(waitMs >= 200 && waitMs <= 1600, request);
         assertEquals(counter("roster calls failed"), 1);
-        // The half that came has taken nothing off the list.
+        // The truncated answer has removed no host from the roster.
         connectClient("OPEN i k c=p,d=3000\r\n");
         assertTrue(readLine(accept(host)).startsWith("OPEN i "));
     }
 
     @Test
-    public void keptConnectionThatDiscoveryEndsAsACallGoesOutIsMadeAnewAtOnce() throws Exception {
+    public void callThatCrossesDiscoveryConnectionCloseIsRetriedAtOnce() throws Exception {
         startRouter("1024");
         Socket watch = accept(discovery);
         readRequest(watch);
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         sendOkResponse(watch, rosterJson(2, true));
         watch.close();
-        goOn.run();
+        resume.run();
         assertEquals(
                 readRequest(accept(discovery)), "GET /api/targets?after=2&wait_ms=1600 HTTP/1.1");
         assertEquals(counter("roster calls failed"), 0);
     }
 
     @Test
-    public void reloadDuringAFailedCallsWaitIsNotFollowedByAnotherWatch() throws Exception {
+    public void reloadDuringRetryDelayStartsOnlyOneWatch() throws Exception {
         rosterOnRequest = false;
         startRouter("1024");
         reset(accept(discovery));
         awaitCounter("roster calls failed", 1);
-        ServerSocket before = discovery;
+        ServerSocket previousDiscovery = discovery;
         discovery = openServerSocket();
         reconfigure();
         Socket watch = accept(discovery);
         assertEquals(readRequest(watch), "GET /api/targets HTTP/1.1");
         sendOkResponse(watch, rosterJson(2, true));
         assertEquals(readRequest(watch), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
-        // Past the half second after which the failed call would have been made again.
-        before.setSoTimeout(700);
-        assertThrows(SocketTimeoutException.class, before::accept);
+        // Longer than the half second after which the failed call would have been retried.
+        previousDiscovery.setSoTimeout(700);
+        assertThrows(SocketTimeoutException.class, previousDiscovery::accept);
         assertEquals(counter("roster calls"), 3);
     }
 
-    // ---- The end of the node ----
+    // ---- Leave and stop of the node ----
 
-    private void runOnLoop(Runnable step) throws Exception {
+    private void runOnLoop(Runnable task) throws Exception {
         callOnLoop(
                 () -> {
-                    step.run();
+                    task.run();
                     return null;
                 });
     }
 
     @Test
-    public void whoTookItsLeaveJustBeforeTheStopIsEndedOnBothSides() throws Exception {
+    public void tunnelHalfClosedByClientBeforeStopIsClosedOnBothSides() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        ends[0].shutdownOutput();
-        assertEquals(readLine(ends[1]), null);
+        Socket[] tunnel = openTunnel(host);
+        tunnel[0].shutdownOutput();
+        assertEquals(readLine(tunnel[1]), null);
         runOnLoop(router::stop);
         assertTrue(callOnLoop(router::empty));
-        assertEquals(readLine(ends[0]), null);
+        assertEquals(readLine(tunnel[0]), null);
     }
 
     @Test
-    public void clientInTheMiddleOfAHostsLineIsToldToMoveAtTheStop() throws Exception {
+    public void clientInMiddleOfHostLineIsMovedAtStop() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        send(ends[1], "whole\r\nhalf a li");
-        assertEquals(readLine(ends[0]), "whole");
+        Socket[] tunnel = openTunnel(host);
+        send(tunnel[1], "whole\r\nhalf a li");
+        assertEquals(readLine(tunnel[0]), "whole");
         runOnLoop(router::stop);
-        assertEquals(readLine(ends[0]), "MOVE");
-        assertEquals(readLine(ends[0]), null);
+        assertEquals(readLine(tunnel[0]), "MOVE");
+        assertEquals(readLine(tunnel[0]), null);
     }
 
     @Test
-    public void whatAHostSaysLastWithoutAnEndIsPassedOnBeforeItsOwn() throws Exception {
+    public void unterminatedLastLineOfHostIsForwardedBeforeClose() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        send(ends[1], "whole\r\nlast wo");
-        assertEquals(readLine(ends[0]), "whole");
-        ends[1].close();
-        assertEquals(readLine(ends[0]), "last wo");
+        Socket[] tunnel = openTunnel(host);
+        send(tunnel[1], "whole\r\nlast wo");
+        assertEquals(readLine(tunnel[0]), "whole");
+        tunnel[1].close();
+        assertEquals(readLine(tunnel[0]), "last wo");
     }
 
     @Test
-    public void firstLineInPiecesAcrossTheLeaveIsWaitedForAndAnswered() throws Exception {
+    public void firstLineSplitAcrossLeaveIsAwaitedAndAnswered() throws Exception {
         startRouter("1024");
         Socket client = connectClient("PING\r\nOPEN i k c=p,");
         assertEquals(readLine(client), "PONG");
@@ -556,7 +559,7 @@
     }
 
     @Test
-    public void firstLineThatNeverCameWholeHearsAWordAtTheStop() throws Exception {
+    public void incompleteFirstLineIsAnsweredAtStop() throws Exception {
         startRouter("1024");
         Socket half = connectClient("PING\r\nOPEN i k c=p,");
         Socket silent = connectClient("");
@@ -568,64 +571,66 @@
         assertEquals(readLine(silent), "BUSY");
     }
 
-    /** Connections at this port that the system has set up and nobody has accepted. */
-    private static int notAccepted(int port) throws IOException {
+    /**
+     * Returns how many connections at a listening port the operating system has established and no
+     * process has accepted.
+     */
+    private static int unacceptedConnections(int port) throws IOException {
         String local = String.format(":%04X", port);
         List<String> lines = new ArrayList<>(Files.readAllLines(Path.of("/proc/net/tcp")));
         lines.addAll(Files.readAllLines(Path.of("/proc/net/tcp6")));
         for (String line : lines) {
-            String[] words = line.trim().split("\\s+");
-            if (words[1].endsWith(local) && words[3].equals("0A")) {
-                return Integer.parseInt(words[4].split(":")[1], 16);
+            String[] fields = line.trim().split("\\s+");
+            if (fields[1].endsWith(local) && fields[3].equals("0A")) {
+                return Integer.parseInt(fields[4].split(":")[1], 16);
             }
         }
-        throw new IOException("nobody listens at " + port);
+        throw new IOException("no listening socket at port " + port);
     }
 
     @Test
-    public void connectionsThatAreNotHandedOverWhenAReplacedNodeLeavesAreStillAnswered()
-            throws Exception {
+    public void connectionsNotHandedOverWhenReplacedNodeLeavesAreAnswered() throws Exception {
         startRouter("1024");
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         loop.execute(() -> router.leave(true));
         List<Socket> late = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             late.add(connectClient("OPEN i" + i + " k c=p,d=3000\r\n"));
         }
-        for (long until = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-                notAccepted(routerAddress.getPort()) > 0; ) {
-            assertTrue(System.nanoTime() < until);
+        for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+                unacceptedConnections(routerAddress.getPort()) > 0; ) {
+            assertTrue(System.nanoTime() < deadline);
         }
-        // The last one has left the system's queue, and is put into the library's a moment after
-        // that.
+        // The last connection has left the system's backlog; the I/O library queues it a moment
+        // later.
         Thread.sleep(50);
-        goOn.run();
+        resume.run();
         for (Socket each : late) {
             assertTrue(readLine(each).startsWith("BUSY"));
         }
     }
 
     @Test
-    public void wholeFirstLineThatIsUnreadAtTheStopIsAnswered() throws Exception {
+    public void unreadFirstLineIsAnsweredAtStop() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("");
         awaitCounter("connections taken in", 1);
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         send(client, "OPEN i k c=p,d=3000\r\n");
         loop.execute(
                 () -> {
                     router.leave(false);
                     router.stop();
                 });
-        goOn.run();
+        resume.run();
         assertTrue(readLine(client).startsWith("BUSY"));
     }
 
-    // ---- What is promised ----
+    // ---- Descriptors reserved for tunnels without a connection to a host yet ----
 
     @Test
-    public void manyTunnelsOfOneWakeUpKeepToTheDescriptorsTogether() throws Exception {
+    public void tunnelsOfOneLoopIterationStayWithinDescriptorLimit() throws Exception {
         ServerSocket host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         closeables.add(host);
         int clients = 60;
@@ -636,13 +641,13 @@
             waiting.add(connectClient(""));
         }
         awaitCounter("connections taken in", clients);
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         for (int i = 0; i < clients; i++) {
             send(waiting.get(i), "OPEN i" + i + " k c=p,d=3000\r\n");
         }
-        goOn.run();
-        // Some are taken; others are declined, or turned away before their line is read, to make
-        // room for those.
+        resume.run();
+        // Some tunnels are accepted; others are declined, or turned away before their first line is
+        // read to make room for those.
         while (callOnLoop(
                         () ->
                                 router.tally().of("tunnels taken")
--- a/node/src/test/java/embershift/routing/RouterRegressionTest.java
+++ b/node/src/test/java/embershift/routing/RouterRegressionTest.java
@@ -12,28 +12,28 @@
 import org.testng.annotations.Test;
 
 /**
- * Terms of the operators' acceptance that the program did not keep: each case failed before its
- * fault was mended.
+ * Regression tests for acceptance criteria of the operators that the program once violated. Each
+ * case failed before its fault was fixed.
  */
 public class RouterRegressionTest extends LoopbackTestBase {
 
     /**
-     * Milliseconds within which what must not come would have come, the system's second try to
-     * connect included.
+     * Milliseconds within which unwanted data would have arrived, including after the operating
+     * system's second attempt to connect.
      */
-    private static final int COMES_UP_MS = 1500;
+    private static final int QUIET_PERIOD_MS = 1500;
 
-    private void runOnLoop(Runnable step) throws Exception {
+    private void runOnLoop(Runnable task) throws Exception {
         callOnLoop(
                 () -> {
-                    step.run();
+                    task.run();
                     return null;
                 });
     }
 
-    /** Nothing is sent after the final answer, whose client may come again by then. */
+    /** No setup may be sent after the final answer: by then its client may have retried. */
     @Test
-    public void setupThatIsBeingConnectedAtTheStopIsNotSentAfterTheAnswer() throws Exception {
+    public void connectingSetupIsNotSentAfterFinalAnswerAtStop() throws Exception {
         settingOverrides = new String[] {"connect-timeout-s", "9", "client-timeout-s", "12"};
         ServerSocket host = openSmallBacklogServerSocket();
         startRouter("1024", host);
@@ -44,15 +44,15 @@
         assertTrue(readLine(client).startsWith("ERR "));
         accept(host).close();
         accept(host).close();
-        assertNothingReceived(host, COMES_UP_MS);
+        assertNothingReceived(host, QUIET_PERIOD_MS);
     }
 
     /**
-     * What may have run is sent again within the window only, which counts when the line goes out
-     * and not when that is decided.
+     * A setup that may have been executed may be sent again only within its dedup window. What
+     * counts is when its line is written, not when the retry is decided.
      */
     @Test
-    public void referencedIsNotSentToAHostThatComesUpAfterItsWindow() throws Exception {
+    public void referencedSetupIsNotSentOnceDedupWindowHasPassed() throws Exception {
         settingOverrides =
                 new String[] {
                     "repeat",
@@ -63,31 +63,30 @@
                     "12"
                 };
         ServerSocket first = openServerSocket();
-        ServerSocket late = openSmallBacklogServerSocket();
+        ServerSocket lateHost = openSmallBacklogServerSocket();
         startRouter("1024", first);
-        fillBacklog(late);
+        fillBacklog(lateHost);
         Socket watch = accept(discovery);
         readRequest(watch);
         Socket client = connectClient("OPEN i k c=p,d=12000\r\n");
-        Socket side = accept(first);
-        readLine(side);
-        sendOkResponse(watch, rosterJson(2, true, rosterEntry(late, "in_service")));
+        Socket hostSocket = accept(first);
+        readLine(hostSocket);
+        sendOkResponse(watch, rosterJson(2, true, rosterEntry(lateHost, "in_service")));
         readRequest(watch);
-        side.close();
+        hostSocket.close();
         awaitCounter("setups sent", 2);
-        accept(late).close();
-        accept(late).close();
-        assertNothingReceived(late, COMES_UP_MS);
+        accept(lateHost).close();
+        accept(lateHost).close();
+        assertNothingReceived(lateHost, QUIET_PERIOD_MS);
         assertTrue(readLine(client).startsWith("ERR "));
     }
 
     /**
-     * Once its window is over it can neither be sent again nor declined: like a once-only one it is
-     * worth the wait.
+     * After its dedup window a referenced setup can neither be sent again nor declined, so the node
+     * waits for the host's answer as it does for a once-only one.
      */
     @Test
-    public void referencedWhoseWindowIsOverFirstIsLeftToItsHostUntilTheClientsTimeIsUp()
-            throws Exception {
+    public void referencedSetupPastWindowWaitsForHostUntilClientTimeout() throws Exception {
         settingOverrides =
                 new String[] {
                     "repeat",
@@ -98,110 +97,110 @@
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
         Thread.sleep(1300);
-        send(side, "UP late\r\n");
+        send(hostSocket, "UP late\r\n");
         assertEquals(readLine(client), "UP late");
     }
 
     /**
-     * Connections that the library takes in while the loop stands still hold descriptors that
-     * nobody counts.
+     * Connections that the I/O library accepts while the loop is paused hold descriptors that were
+     * not counted.
      */
     @Test
-    public void connectionsTakenInWhileTheLoopStandsStillKeepToTheLimit() throws Exception {
-        int room = 60;
+    public void connectionsAcceptedWhileLoopIsPausedStayWithinLimit() throws Exception {
+        int spare = 60;
         int clients = 200;
-        startRouter("" + (callOnLoop(loop::descriptors) + room));
-        Runnable goOn = pauseLoop();
+        startRouter("" + (callOnLoop(loop::descriptors) + spare));
+        Runnable resume = pauseLoop();
         int before = new File("/proc/self/fd").list().length;
         for (int i = 0; i < clients; i++) {
             connectClient("");
         }
         Thread.sleep(200);
-        int taken = new File("/proc/self/fd").list().length - before - clients;
-        goOn.run();
-        assertTrue(taken <= room, taken + " taken in");
+        int accepted = new File("/proc/self/fd").list().length - before - clients;
+        resume.run();
+        assertTrue(accepted <= spare, accepted + " accepted");
     }
 
     /**
-     * Where nothing is left, others are still served: one that comes in beyond the limit holds up
-     * nobody, nor the timers.
+     * With no descriptors left the others are still served: a connection accepted beyond the limit
+     * delays neither them nor the timers.
      */
     @Test
-    public void whatCantBeTakenInKeepsNobodyElseWaiting() throws Exception {
+    public void connectionBeyondLimitDoesNotDelayOthers() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
+        Socket[] tunnel = openTunnel(host);
         runOnLoop(() -> router.heldElsewhere(1024 - loop.descriptors(), 1));
         try {
-            Socket more = connectClient("PING\r\n");
+            Socket extra = connectClient("PING\r\n");
             awaitCounter("connections let in beyond the descriptors", 1);
-            send(ends[0], "line\r\n");
-            ends[1].setSoTimeout(500);
-            assertEquals(heardOrHowOftenRoomWasSought(ends[1]), "line");
+            send(tunnel[0], "line\r\n");
+            tunnel[1].setSoTimeout(500);
+            assertEquals(readLineOrDiagnose(tunnel[1]), "line");
             runOnLoop(() -> router.heldElsewhere(0, 0));
-            assertEquals(readLine(more), "PONG");
+            assertEquals(readLine(extra), "PONG");
         } finally {
             runOnLoop(() -> router.heldElsewhere(0, 0));
         }
     }
 
-    private String heardOrHowOftenRoomWasSought(Socket side) throws Exception {
+    private String readLineOrDiagnose(Socket hostSocket) throws Exception {
         try {
-            return readLine(side);
+            return readLine(hostSocket);
         } catch (SocketTimeoutException e) {
-            return "nothing, room sought " + counter("accepts paused") + " times";
+            return "no line, accepts paused " + counter("accepts paused") + " times";
         }
     }
 
     @DataProvider
-    public Object[][] resting() {
+    public Object[][] preambles() {
         return new Object[][] {{""}, {"PING\r\n"}};
     }
 
     /**
-     * A request that has come by the time at which its connection is ended is one that came in
-     * time.
+     * A request that has arrived by the time its connection expires is in time, even if it has not
+     * been read yet.
      */
-    @Test(dataProvider = "resting")
-    public void requestThatLiesUnreadOnARestingConnectionWhoseTimeIsUpIsTaken(String before)
-            throws Exception {
+    @Test(dataProvider = "preambles")
+    public void unreadRequestOnExpiringConnectionIsAccepted(String preamble) throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket resting = connectClient(before);
-        if (before.isEmpty()) {
+        Socket idle = connectClient(preamble);
+        if (preamble.isEmpty()) {
             awaitCounter("connections taken in", 1);
         } else {
-            assertEquals(readLine(resting), "PONG");
+            assertEquals(readLine(idle), "PONG");
         }
-        Runnable goOn = pauseLoop();
+        Runnable resume = pauseLoop();
         loop.execute(() -> router.strangers().expire(router.now() + 2));
-        send(resting, "OPEN i k c=p,d=3000\r\n");
-        goOn.run();
+        send(idle, "OPEN i k c=p,d=3000\r\n");
+        resume.run();
         host.setSoTimeout(1000);
-        Socket side = accept(host);
-        assertTrue(readLine(side).startsWith("OPEN i k "));
-        send(side, "UP r\r\n");
-        assertEquals(readLine(resting), "UP r");
+        Socket hostSocket = accept(host);
+        assertTrue(readLine(hostSocket).startsWith("OPEN i k "));
+        send(hostSocket, "UP r\r\n");
+        assertEquals(readLine(idle), "UP r");
     }
 
     /**
-     * The double of the latest list answers no call: the one that is out still waits at discovery.
+     * A duplicate of the latest roster must not be taken for the answer to the pending call, which
+     * still waits at discovery.
      */
     @Test
-    public void doubleOfTheLatestListIsNoAnswerToTheNextCall() throws Exception {
+    public void duplicateOfLatestRosterIsNotTakenForNextCall() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket watch = accept(discovery);
         readRequest(watch);
-        String list = rosterJson(2, true, rosterEntry(host, "in_service"));
-        sendOkResponse(watch, list);
+        String roster = rosterJson(2, true, rosterEntry(host, "in_service"));
+        sendOkResponse(watch, roster);
         assertEquals(readRequest(watch), "GET /api/targets?after=2&wait_ms=3000 HTTP/1.1");
-        sendOkResponse(watch, list);
-        // Not a second call on the connection on which the first is out: that one ends, and another
-        // is opened.
+        sendOkResponse(watch, roster);
+        // No second call is made on the connection of the pending one: the node closes it and opens
+        // another.
         assertEquals(readUntilClosed(watch), "");
         assertEquals(
                 readRequest(accept(discovery)), "GET /api/targets?after=2&wait_ms=1600 HTTP/1.1");
--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -21,28 +21,28 @@
 import java.util.concurrent.CompletableFuture;
 import org.testng.annotations.Test;
 
-/** A router on loopback sockets; the tests play its clients, hosts and discovery themselves. */
+/** Tests a router on loopback sockets; the tests act as its clients, hosts and discovery. */
 public class RouterTest extends LoopbackTestBase {
 
     @Test
-    public void linesPassUnchangedOnceAHostIsUp() throws Exception {
+    public void linesAreRelayedUnchangedOnceHostIsUp() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,x=1,d=3000,y=2\r\nahead\r\n");
-        Socket side = accept(host);
-        String line = readLine(side);
+        Socket hostSocket = accept(host);
+        String line = readLine(hostSocket);
         assertTrue(line.matches("OPEN i k c=p,x=1,d=[12]\\d{3},y=2"), line);
-        send(side, "UP  r-1 ");
-        send(side, "z\r\nfirst\r\nsec");
+        send(hostSocket, "UP  r-1 ");
+        send(hostSocket, "z\r\nfirst\r\nsec");
         assertEquals(readLine(client), "UP  r-1 z");
         assertEquals(readLine(client), "first");
-        send(side, "ond\r\n");
+        send(hostSocket, "ond\r\n");
         assertEquals(readLine(client), "second");
-        assertEquals(readLine(side), "ahead");
+        assertEquals(readLine(hostSocket), "ahead");
     }
 
     @Test
-    public void firstLineMayComeInPiecesAndAfterPings() throws Exception {
+    public void firstLineMayBeFragmentedAndFollowPings() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("PING\r\nPI");
@@ -54,33 +54,33 @@
     }
 
     @Test
-    public void whatIsNoFirstLineIsToldSo() throws Exception {
+    public void invalidFirstLineGetsError() throws Exception {
         startRouter("1024");
-        for (String words :
+        for (String text :
                 List.of("GET / HTTP/1.1\r\n", "OPEN x\r\n", "OPEN i k c=unheard,d=5\r\n")) {
-            Socket client = connectClient(words);
+            Socket client = connectClient(text);
             assertTrue(readLine(client).startsWith("ERR "));
             assertEquals(readLine(client), null);
         }
     }
 
     @Test
-    public void idOfAnOpenTunnelIsTurnedAwayAndTheFirstIsUntouched() throws Exception {
+    public void duplicateTunnelIdIsRejectedWithoutAffectingFirst() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket first = connectClient("OPEN same k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
         assertTrue(readLine(connectClient("OPEN same k c=p,d=3000\r\n")).startsWith("ERR "));
-        send(side, "UP r\r\n");
+        send(hostSocket, "UP r\r\n");
         assertEquals(readLine(first), "UP r");
         assertTrue(readLine(connectClient("OPEN same k c=p,d=3000\r\n")).startsWith("ERR "));
         send(first, "line\r\n");
-        assertEquals(readLine(side), "line");
+        assertEquals(readLine(hostSocket), "line");
     }
 
     @Test
-    public void clientThatSendsWithoutAnEndHearsWhyAndIsClosed() throws Exception {
+    public void endlessFirstLineGetsErrorAndIsClosed() throws Exception {
         startRouter("1024");
         Socket endless = connectClient("");
         CompletableFuture<Void> sending =
@@ -91,7 +91,7 @@
                                     endless.getOutputStream().write(new byte[1 << 16]);
                                 }
                             } catch (IOException e) {
-                                // The node has closed: what is sent on is refused.
+                                // The node has closed the connection and rejects further data.
                             }
                         });
         assertEquals(readLine(endless), "ERR line over 4096 bytes");
@@ -99,22 +99,22 @@
     }
 
     @Test
-    public void hostThatIsBusyOrRefusesIsFollowedByAnother() throws Exception {
-        ServerSocket gone = openServerSocket();
+    public void busyOrRefusingHostIsFollowedByAnother() throws Exception {
+        ServerSocket refusing = openServerSocket();
         ServerSocket one = openServerSocket();
         ServerSocket other = openServerSocket();
-        startRouter("1024", gone, one, other);
-        gone.close();
+        startRouter("1024", refusing, one, other);
+        refusing.close();
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
         CompletableFuture<Socket> first = new CompletableFuture<>();
         for (ServerSocket host : List.of(one, other)) {
             new Thread(
                             () -> {
                                 try {
-                                    Socket side = accept(host);
-                                    readLine(side);
-                                    boolean earliest = first.complete(side);
-                                    send(side, earliest ? "BUSY\r\n" : "UP second\r\n");
+                                    Socket hostSocket = accept(host);
+                                    readLine(hostSocket);
+                                    boolean isFirst = first.complete(hostSocket);
+                                    send(hostSocket, isFirst ? "BUSY\r\n" : "UP second\r\n");
                                 } catch (IOException e) {
                                     first.completeExceptionally(e);
                                 }
@@ -134,13 +134,13 @@
     }
 
     @Test
-    public void setupGivenUpHasEndedBeforeTheNextIsSent() throws Exception {
+    public void abandonedSetupEndsBeforeNextIsSent() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
         Socket first = accept(host);
         readLine(first);
-        // The host says nothing: after three setup goals the node ends its sending.
+        // The host stays silent: after three setup goals the node half-closes the connection.
         assertEquals(readLine(first), null);
         Socket second = accept(host);
         assertTrue(readLine(second).startsWith("OPEN i "));
@@ -150,17 +150,17 @@
     }
 
     @Test
-    public void silentHostLeavesTimeForAnAnswer() throws Exception {
+    public void silentHostLeavesTimeToAnswerClient() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        long from = System.nanoTime();
+        long start = System.nanoTime();
         Socket client = connectClient("OPEN i k c=p,d=400\r\n");
         assertTrue(readLine(client).matches("ERR.*|BUSY.*"));
-        assertTrue((System.nanoTime() - from) / 1e6 < 450, "answered after the client timeout");
+        assertTrue((System.nanoTime() - start) / 1e6 < 450, "answered after the client timeout");
     }
 
     @Test
-    public void unknownHostOfAStandingTunnelIsAnsweredInTime() throws Exception {
+    public void standingTunnelAtUnknownHostIsAnsweredInTime() throws Exception {
         startRouter("1024");
         assertTrue(readLine(connectClient("OPEN i k c=p,d=300,at=nobody\r\n")).startsWith("ERR"));
     }
@@ -173,159 +173,156 @@
         for (int i = 0; i < 8; i++) {
             Socket client =
                     connectClient("OPEN i" + i + " k c=p,d=3000,at=" + instanceId(other) + "\r\n");
-            Socket side = accept(other);
-            assertTrue(readLine(side).endsWith("at=" + instanceId(other)));
-            send(side, "UP r\r\n");
+            Socket hostSocket = accept(other);
+            assertTrue(readLine(hostSocket).endsWith("at=" + instanceId(other)));
+            send(hostSocket, "UP r\r\n");
             assertEquals(readLine(client), "UP r");
         }
     }
 
     @Test
-    public void standingTunnelIsSentAgainWhileItsHostProvablyDidNotTakeIt() throws Exception {
+    public void standingTunnelIsRetriedWhileHostProvablyDidNotAcceptIt() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000,at=" + instanceId(host) + "\r\n");
         for (int i = 0; i < 2; i++) {
-            Socket side = accept(host);
-            readLine(side);
-            send(side, "BUSY\r\n");
+            Socket hostSocket = accept(host);
+            readLine(hostSocket);
+            send(hostSocket, "BUSY\r\n");
         }
-        Socket side = accept(host);
-        readLine(side);
-        send(side, "UP third\r\n");
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
+        send(hostSocket, "UP third\r\n");
         assertEquals(readLine(client), "UP third");
     }
 
     @Test
-    public void endByTheHostIsPassedOn() throws Exception {
+    public void closeByHostIsForwarded() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        send(ends[1], "BYE\r\n");
-        ends[1].close();
-        assertEquals(readLine(ends[0]), "BYE");
-        assertEquals(readLine(ends[0]), null);
+        Socket[] tunnel = openTunnel(host);
+        send(tunnel[1], "BYE\r\n");
+        tunnel[1].close();
+        assertEquals(readLine(tunnel[0]), "BYE");
+        assertEquals(readLine(tunnel[0]), null);
     }
 
     @Test
-    public void hostThatSaysByeAndResetsHasEndedAllTheSame() throws Exception {
+    public void resetAfterByeCountsAsCompleted() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        send(ends[1], "BYE\r\n");
-        assertEquals(readLine(ends[0]), "BYE");
-        reset(ends[1]);
-        assertEquals(readLine(ends[0]), null);
+        Socket[] tunnel = openTunnel(host);
+        send(tunnel[1], "BYE\r\n");
+        assertEquals(readLine(tunnel[0]), "BYE");
+        reset(tunnel[1]);
+        assertEquals(readLine(tunnel[0]), null);
         assertTrue(
                 callOnLoop(() -> router.tally().toString()).contains("setups ended completed 1"));
     }
 
     @Test
-    public void endByTheClientIsPassedOnAndTheHostsLastWordsComeBack() throws Exception {
+    public void halfCloseByClientIsForwardedAndHostCanStillReply() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        send(ends[0], "last\r\n");
-        ends[0].shutdownOutput();
-        assertEquals(readLine(ends[1]), "last");
-        assertEquals(readLine(ends[1]), null);
-        send(ends[1], "BYE\r\n");
-        assertEquals(readLine(ends[0]), "BYE");
+        Socket[] tunnel = openTunnel(host);
+        send(tunnel[0], "last\r\n");
+        tunnel[0].shutdownOutput();
+        assertEquals(readLine(tunnel[1]), "last");
+        assertEquals(readLine(tunnel[1]), null);
+        send(tunnel[1], "BYE\r\n");
+        assertEquals(readLine(tunnel[0]), "BYE");
     }
 
     @Test
-    public void resetsArePassedOnAsResets() throws Exception {
+    public void resetsAreForwardedAsResets() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        reset(ends[1]);
-        assertThrows(SocketException.class, () -> readLine(ends[0]));
-        Socket[] others = openTunnel(host);
-        reset(others[0]);
-        assertThrows(SocketException.class, () -> readLine(others[1]));
+        Socket[] tunnel = openTunnel(host);
+        reset(tunnel[1]);
+        assertThrows(SocketException.class, () -> readLine(tunnel[0]));
+        Socket[] otherTunnel = openTunnel(host);
+        reset(otherTunnel[0]);
+        assertThrows(SocketException.class, () -> readLine(otherTunnel[1]));
     }
 
     @Test
-    public void clientThatLeavesEarlyFreesItsSetup() throws Exception {
+    public void clientThatLeavesEarlyReleasesItsSetup() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket client = connectClient("OPEN i k c=p,d=3000\r\n");
-        Socket side = accept(host);
-        readLine(side);
+        Socket hostSocket = accept(host);
+        readLine(hostSocket);
         client.close();
-        assertEquals(readLine(side), null);
+        assertEquals(readLine(hostSocket), null);
         assertTrue(callOnLoop(router::empty));
     }
 
     @Test
-    public void slowReaderGetsAllThatItsHostSentInOrder() throws Exception {
+    public void slowReaderReceivesAllHostDataInOrder() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
+        Socket[] tunnel = openTunnel(host);
         int lines = 400_000;
         CompletableFuture<Void> sent =
                 CompletableFuture.runAsync(
                         () -> {
                             try {
-                                StringBuilder many = new StringBuilder();
+                                StringBuilder text = new StringBuilder();
                                 for (int i = 0; i < lines; i++) {
-                                    many.append("line ").append(1_000_000 + i).append("\r\n");
+                                    text.append("line ").append(1_000_000 + i).append("\r\n");
                                 }
-                                send(ends[1], many.toString());
-                                ends[1].close();
+                                send(tunnel[1], text.toString());
+                                tunnel[1].close();
                             } catch (IOException e) {
                                 throw new IllegalStateException(e);
                             }
                         });
-        byte[] all = ends[0].getInputStream().readAllBytes();
+        byte[] received = tunnel[0].getInputStream().readAllBytes();
         sent.get();
-        assertEquals(all.length, lines * 14);
+        assertEquals(received.length, lines * 14);
         for (int i = 0; i < lines; i++) {
             assertEquals(
-                    new String(all, i * 14, 14, StandardCharsets.ISO_8859_1),
+                    new String(received, i * 14, 14, StandardCharsets.ISO_8859_1),
                     "line " + (1_000_000 + i) + "\r\n");
         }
     }
 
     @Test
-    public void moveComesBetweenTwoLines() throws Exception {
+    public void moveIsSentBetweenLines() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
-        send(ends[1], "whole\r\nha");
-        assertEquals(readLine(ends[0]), "whole");
+        Socket[] tunnel = openTunnel(host);
+        send(tunnel[1], "whole\r\nha");
+        assertEquals(readLine(tunnel[0]), "whole");
         callOnLoop(
                 () -> {
                     router.leave(false);
                     return null;
                 });
-        // Declined only after the node knows that it leaves; its moves then come half a second
-        // later.
+        // A decline shows that the node has begun to leave; its moves come half a second later.
         assertTrue(readLine(connectClient("OPEN j k c=p,d=3000\r\n")).startsWith("BUSY "));
         assertTrue(readLine(connectClient("PING\r\n")).startsWith("ERR "));
-        // The host is in the middle of a line, which may never end: of that the client hears
-        // nothing.
-        assertEquals(readLine(ends[0]), "MOVE");
-        assertEquals(readLine(ends[0]), null);
-        assertEquals(readLine(ends[1]), null);
+        // The host is in the middle of a line, which may never end: the client gets no part of it.
+        assertEquals(readLine(tunnel[0]), "MOVE");
+        assertEquals(readLine(tunnel[0]), null);
+        assertEquals(readLine(tunnel[1]), null);
     }
 
     @Test
-    public void hostThatEchoesNothingLosesItsTunnelButWhoSentHalfALineKeepsTheirs()
-            throws Exception {
+    public void tunnelAtSilentHostIsMovedUnlessItsClientSentHalfALine() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] half = openTunnel(host);
-        Socket[] ends = openTunnel(host);
-        long from = System.nanoTime();
-        send(half[0], "half");
-        send(ends[0], "anyone\r\n");
-        assertEquals(readLine(ends[0]), "MOVE");
-        assertTrue((System.nanoTime() - from) / 1e9 < 6);
-        send(half[0], " a line\r\n");
-        assertEquals(readLine(half[1]), "half a line");
-        send(half[1], "HALF A LINE\r\n");
-        assertEquals(readLine(half[0]), "HALF A LINE");
+        Socket[] halfLineTunnel = openTunnel(host);
+        Socket[] tunnel = openTunnel(host);
+        long start = System.nanoTime();
+        send(halfLineTunnel[0], "half");
+        send(tunnel[0], "anyone\r\n");
+        assertEquals(readLine(tunnel[0]), "MOVE");
+        assertTrue((System.nanoTime() - start) / 1e9 < 6);
+        send(halfLineTunnel[0], " a line\r\n");
+        assertEquals(readLine(halfLineTunnel[1]), "half a line");
+        send(halfLineTunnel[1], "HALF A LINE\r\n");
+        assertEquals(readLine(halfLineTunnel[0]), "HALF A LINE");
     }
 
     @Test
@@ -336,7 +333,7 @@
     }
 
     @Test
-    public void connectionsWithoutAFirstLineMakeRoomAndEndInTime() throws Exception {
+    public void connectionsWithoutFirstLineMakeRoomAndTimeOut() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("" + (callOnLoop(loop::descriptors) + 48), host);
         List<Socket> silent = new ArrayList<>();
@@ -344,22 +341,22 @@
             silent.add(connectClient(i % 2 == 0 ? "" : "OPEN half"));
         }
         openTunnel(host);
-        long from = System.nanoTime();
+        long start = System.nanoTime();
         for (Socket each : silent) {
             assertTrue(List.of("BUSY", "ERR no first line came").contains(readLine(each)));
             assertEquals(readLine(each), null);
         }
-        Socket asking = connectClient("PING\r\n");
-        assertEquals(readLine(asking), "PONG");
-        assertEquals(readLine(asking), null);
-        assertTrue((System.nanoTime() - from) / 1e9 < 6);
+        Socket pinging = connectClient("PING\r\n");
+        assertEquals(readLine(pinging), "PONG");
+        assertEquals(readLine(pinging), null);
+        assertTrue((System.nanoTime() - start) / 1e9 < 6);
     }
 
     @Test
-    public void changedListMovesWhatStandsAtADrainingHost() throws Exception {
+    public void rosterChangeMovesTunnelsOfDrainingHost() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
+        Socket[] tunnel = openTunnel(host);
         Socket watch = accept(discovery);
         assertEquals(readLine(watch), "GET /api/targets?after=1&wait_ms=1600 HTTP/1.1");
         sendOkResponse(
@@ -367,47 +364,47 @@
                 "{\"generation\":2,\"reset\":false,\"instances\":["
                         + rosterEntry(host, "terminating")
                         + "]}");
-        assertEquals(readLine(ends[0]), "MOVE");
+        assertEquals(readLine(tunnel[0]), "MOVE");
         while (!readLine(watch).startsWith("GET /api/targets?after=2")) {
-            // The rest of the first call, and the watch that goes on.
+            // Skips the rest of the first call until the watch continues.
         }
     }
 
     @Test
-    public void watchGoesOnAtOnceWhereDiscoveryHasMoved() throws Exception {
+    public void watchContinuesAtOnceAtNewDiscoveryAddress() throws Exception {
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
-        Socket[] ends = openTunnel(host);
+        Socket[] tunnel = openTunnel(host);
         Socket watch = accept(discovery);
         readLine(watch);
-        ServerSocket before = discovery;
+        ServerSocket previousDiscovery = discovery;
         discovery = openServerSocket();
         reconfigure();
         Socket next = accept(discovery);
-        // Versions are the old one's own, so the whole list is asked for.
+        // Generations belong to the old discovery, so the whole roster is requested.
         assertEquals(readLine(next), "GET /api/targets HTTP/1.1");
         while (readLine(watch) != null) {
-            // The rest of the call that is given up.
+            // Skips the rest of the abandoned call.
         }
         sendOkResponse(
                 next,
                 "{\"generation\":1,\"reset\":true,\"instances\":["
                         + rosterEntry(host, "terminating")
                         + "]}");
-        assertEquals(readLine(ends[0]), "MOVE");
-        // Moved there and back while the first call is not even answered.
-        ServerSocket third = discovery;
-        discovery = before;
+        assertEquals(readLine(tunnel[0]), "MOVE");
+        // Moves to the old address and back before the first call is answered.
+        ServerSocket nextDiscovery = discovery;
+        discovery = previousDiscovery;
         reconfigure();
-        assertEquals(readLine(accept(before)), "GET /api/targets HTTP/1.1");
-        discovery = third;
+        assertEquals(readLine(accept(previousDiscovery)), "GET /api/targets HTTP/1.1");
+        discovery = nextDiscovery;
         reconfigure();
-        assertEquals(readLine(accept(third)), "GET /api/targets HTTP/1.1");
+        assertEquals(readLine(accept(nextDiscovery)), "GET /api/targets HTTP/1.1");
         assertFalse(callOnLoop(() -> router.tally().toString()).contains("roster calls failed"));
     }
 
     @Test
-    public void callThatFailsIsMadeAgain() throws Exception {
+    public void failedRosterCallIsRetried() throws Exception {
         startRouter("1024");
         Socket first = accept(discovery);
         readLine(first);
@@ -420,10 +417,10 @@
     }
 
     @Test
-    public void moduleThatWakesWithoutAPauseLetsTheSocketsBeRead() throws Exception {
+    public void policyThatWakesContinuouslyLetsSocketsBeRead() throws Exception {
         rosterOnRequest = false;
         startRouter("1024");
-        // Told of a loss that it has no time to wait after, the module asks for the next round at
+        // Without a time to wait after a lost roster call the policy asks for the next round at
         // once.
         callOnLoop(
                 () -> {
@@ -434,7 +431,7 @@
     }
 
     @Test
-    public void rosterThatIsToComeUnaskedIsWatchedAllTheSame() throws Exception {
+    public void unsolicitedRosterIsWatchedToo() throws Exception {
         rosterOnRequest = false;
         ServerSocket host = openServerSocket();
         startRouter("1024");
@@ -451,12 +448,12 @@
     }
 
     @Test
-    public void strangeDatagramsAreDropped() throws Exception {
+    public void unknownDatagramsAreDropped() throws Exception {
         startRouter("1024");
         InetSocketAddress peers = callOnLoop(router::peerAddress);
-        try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+        try (DatagramSocket sender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             for (int size : new int[] {5, 0, 300}) {
-                stranger.send(new DatagramPacket(new byte[size], size, peers));
+                sender.send(new DatagramPacket(new byte[size], size, peers));
             }
             while (!callOnLoop(() -> router.tally().toString()).contains("datagrams dropped 3")) {
                 Thread.onSpinWait();
