--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -5,8 +5,8 @@
 import embershift.fleet.endpoints.EndpointUpdate;
 import embershift.fleet.lease.FencingToken;
 import embershift.model.HostId;
-import embershift.model.Listing;
-import embershift.program.Companion;
+import embershift.model.RosterEntry;
+import embershift.program.NodeExtension;
 import embershift.protocol.RosterPage;
 import embershift.protocol.Unreadable;
 import embershift.routing.Router;
@@ -21,7 +21,7 @@
  */
 final class EndpointFeed implements Router.Lists {
 
-    private final Companion.Node node;
+    private final NodeExtension.NodeContext node;
     private final AgentSettings settings;
     private final AuditUploader auditLog;
     private final Random random;
@@ -31,7 +31,10 @@
     private boolean isFallbackDue;
 
     EndpointFeed(
-            Companion.Node node, AgentSettings settings, AuditUploader auditLog, Random random) {
+            NodeExtension.NodeContext node,
+            AgentSettings settings,
+            AuditUploader auditLog,
+            Random random) {
         this.node = node;
         this.settings = settings;
         this.auditLog = auditLog;
@@ -127,14 +130,14 @@
         if (update.removed().isEmpty()) {
             return page;
         }
-        List<Listing> listings = new ArrayList<>(page.listings());
+        List<RosterEntry> listings = new ArrayList<>(page.listings());
         update.removed().forEach(host -> listings.add(gone(host)));
         return new RosterPage(
                 page.generation(), false, listings, page.addresses(), page.unreadable());
     }
 
-    private static Listing gone(String host) {
-        return new Listing(new HostId(host), Listing.State.GONE, null, 1, 0, 0);
+    private static RosterEntry gone(String host) {
+        return new RosterEntry(new HostId(host), RosterEntry.State.GONE, null, 1, 0, 0);
     }
 
     private RosterPage page(boolean isFull, Map<String, String> entries) {
--- a/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
@@ -9,13 +9,13 @@
 import embershift.model.DeclineReason;
 import embershift.model.Deployment;
 import embershift.model.HostId;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import embershift.model.ProfileId;
 import embershift.model.TunnelId;
 import embershift.model.ZoneId;
-import embershift.policy.Chance;
-import embershift.policy.Filling;
+import embershift.policy.HostCapacityEstimate;
 import embershift.policy.Policy;
+import embershift.policy.SeededRandom;
 import embershift.protocol.WatchSchedule;
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -93,7 +93,9 @@
          */
         SimulatedNode(long seed, double mustAskS, Fault fault, double watchStartedAt) {
             this.fault = fault;
-            schedule = new WatchSchedule(mustAskS == 0, new Chance(~seed)::nextApart);
+            schedule =
+                    new WatchSchedule(
+                            mustAskS == 0, new SeededRandom(~seed)::nextDecorrelatedDouble);
             policy = mustAskS == 0 ? null : createPolicy(seed, mustAskS);
             now = watchStartedAt;
             schedule.called(now, true);
@@ -136,13 +138,13 @@
                             8,
                             3,
                             2,
-                            Deployment.Budget.NONE,
+                            Deployment.RetryBudget.NONE,
                             false,
                             0);
-            Policy newPolicy = new Policy(deployment, new Filling(deployment));
-            newPolicy.round(-100, news -> news.rosterListed(List.of(), true), this);
-            newPolicy.round(-50, news -> {}, this);
-            newPolicy.round(-49, news -> news.rosterChanged(List.of()), this);
+            Policy newPolicy = new Policy(deployment, new HostCapacityEstimate(deployment));
+            newPolicy.round(-100, events -> events.rosterReplaced(List.of(), true), this);
+            newPolicy.round(-50, events -> {}, this);
+            newPolicy.round(-49, events -> events.rosterChanged(List.of()), this);
             callTimes.clear();
             wakeups.clear();
             return newPolicy;
@@ -157,17 +159,17 @@
                 if (next == failsAt || (next == schedule.due() && schedule.calling())) {
                     failsAt = Double.POSITIVE_INFINITY;
                     schedule.failed(now);
-                    runRound(News::rosterLost);
+                    runRound(NodeEvents::rosterWatchLost);
                 } else if (next == schedule.due()) {
                     call();
                 } else {
                     wakeups.poll();
-                    runRound(news -> {});
+                    runRound(events -> {});
                 }
             }
         }
 
-        private void runRound(Consumer<News> arrivals) {
+        private void runRound(Consumer<NodeEvents> arrivals) {
             if (policy != null) {
                 policy.round(now, arrivals, this);
             }
@@ -198,10 +200,10 @@
         }
 
         @Override
-        public void setUp(TunnelId id, HostId host, double timeOut) {}
+        public void sendSetup(TunnelId id, HostId host, double timeOut) {}
 
         @Override
-        public void cancel(TunnelId id, int setup) {}
+        public void cancelSetup(TunnelId id, int setup) {}
 
         @Override
         public void decline(TunnelId id, double returnAfter, DeclineReason reason) {}
@@ -219,16 +221,16 @@
         public void closeIdle(HostId host) {}
 
         @Override
-        public void askRoster() {}
+        public void requestRoster() {}
 
         @Override
-        public void tellNode(int node, byte[] content) {}
+        public void sendToNode(int node, byte[] content) {}
 
         @Override
-        public void tellAllNodes(byte[] content) {}
+        public void sendToAllNodes(byte[] content) {}
 
         @Override
-        public void note(String line) {}
+        public void logForOperators(String line) {}
     }
 
     /**
--- a/node/src/test/java/embershift/routing/RouterRaceTest.java
+++ b/node/src/test/java/embershift/routing/RouterRaceTest.java
@@ -440,7 +440,7 @@
         readRequest(watch);
         callOnLoop(
                 () -> {
-                    router.askRoster();
+                    router.requestRoster();
                     return null;
                 });
         sendOkResponse(watch, rosterJson(2, false));
--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -6,7 +6,7 @@
 import static org.testng.Assert.assertTrue;
 
 import embershift.LoopbackTestBase;
-import embershift.model.News;
+import embershift.model.NodeEvents;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -424,7 +424,7 @@
         // once.
         callOnLoop(
                 () -> {
-                    router.hear(News::rosterLost);
+                    router.hear(NodeEvents::rosterWatchLost);
                     return null;
                 });
         assertEquals(readLine(connectClient("PING\r\n")), "PONG");
