--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -7,8 +7,8 @@
 import embershift.model.HostId;
 import embershift.model.RosterEntry;
 import embershift.program.NodeExtension;
-import embershift.protocol.RosterPage;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
+import embershift.protocol.RosterUpdate;
 import embershift.routing.Router;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,7 +19,7 @@
  * Hands the published list of endpoints to the node's router in place of discovery, and the node
  * back to discovery when no list comes for some time.
  */
-final class EndpointFeed implements Router.Lists {
+final class EndpointFeed implements Router.ExternalRoster {
 
     private final NodeExtension.NodeContext node;
     private final AgentSettings settings;
@@ -62,7 +62,7 @@
         isFallbackDue = true;
         // Not all at once: the holder of the task may have ended for everybody.
         node.loop()
-                .after(
+                .schedule(
                         settings.listTimeoutJitterSeconds() * random.nextDouble(),
                         this::fallBackToDiscovery);
     }
@@ -77,7 +77,7 @@
                 AuditEntry.Kind.LED,
                 Map.of("by", "discovery"),
                 "no list for " + settings.listTimeoutSeconds() + " s");
-        node.router().led(false);
+        node.router().useExternalRoster(false);
     }
 
     /** Takes a change of the list, if it fits; the router has it when this returns. */
@@ -94,7 +94,7 @@
             replaceDiscovery(token, update);
         } else if (outcome == AppliedEndpoints.Outcome.APPLIED) {
             node.router().tally().count("lists taken");
-            node.router().listed(update.isFullList() ? whole() : difference(update));
+            node.router().applyRoster(update.isFullList() ? fullList() : difference(update));
         }
         return outcome;
     }
@@ -106,8 +106,8 @@
                         "fence", String.valueOf(token.number()),
                         "number", String.valueOf(update.number()));
         auditLog.append(AuditEntry.Kind.LED, fields, "");
-        node.router().led(true);
-        node.router().listed(whole());
+        node.router().useExternalRoster(true);
+        node.router().applyRoster(fullList());
     }
 
     /** Discovery itself has moved: whatever generation it tells is news. */
@@ -116,31 +116,31 @@
     }
 
     @Override
-    public void discoverySaid(long generation) {
+    public void discoveryAnswered(long generation) {
         endpoints.discoveryReported(generation);
     }
 
     @Override
-    public RosterPage whole() {
+    public RosterUpdate fullList() {
         return page(true, endpoints.entries());
     }
 
-    private RosterPage difference(EndpointUpdate update) {
-        RosterPage page = page(false, update.changed());
+    private RosterUpdate difference(EndpointUpdate update) {
+        RosterUpdate page = page(false, update.changed());
         if (update.removed().isEmpty()) {
             return page;
         }
         List<RosterEntry> listings = new ArrayList<>(page.listings());
         update.removed().forEach(host -> listings.add(gone(host)));
-        return new RosterPage(
-                page.generation(), false, listings, page.addresses(), page.unreadable());
+        return new RosterUpdate(
+                page.generation(), false, listings, page.addresses(), page.malformedEntries());
     }
 
     private static RosterEntry gone(String host) {
         return new RosterEntry(new HostId(host), RosterEntry.State.GONE, null, 1, 0, 0);
     }
 
-    private RosterPage page(boolean isFull, Map<String, String> entries) {
+    private RosterUpdate page(boolean isFull, Map<String, String> entries) {
         String text =
                 "{\"generation\":"
                         + endpoints.number()
@@ -150,12 +150,12 @@
                         + String.join(",", entries.values())
                         + "]}";
         try {
-            return RosterPage.read(text);
-        } catch (Unreadable e) {
+            return RosterUpdate.parse(text);
+        } catch (MalformedDataException e) {
             // Entries are objects, or they would not have been published; an empty page changes
             // nothing.
             node.log("a list that can't be read: " + e.getMessage());
-            return new RosterPage(0, false, List.of(), Map.of(), 1);
+            return new RosterUpdate(0, false, List.of(), Map.of(), 1);
         }
     }
 }
--- a/node/src/test/java/embershift/routing/ClientDisconnectTest.java
+++ b/node/src/test/java/embershift/routing/ClientDisconnectTest.java
@@ -117,8 +117,9 @@
                                                         InetAddress.getLoopbackAddress(), 0),
                                                 () -> true,
                                                 link -> {
-                                                    link.events(
-                                                            new embershift.transport.Link.Events() {
+                                                    link.setListener(
+                                                            new embershift.transport.TcpConnection
+                                                                    .Listener() {
                                                                 @Override
                                                                 public void received(
                                                                         ByteBuffer bytes) {
@@ -126,18 +127,18 @@
                                                                 }
 
                                                                 @Override
-                                                                public void ended() {
+                                                                public void inputEnded() {
                                                                     link.close();
                                                                 }
 
                                                                 @Override
-                                                                public void broken() {
+                                                                public void connectionLost() {
                                                                     link.close();
                                                                 }
                                                             });
                                                     accepted.countDown();
                                                 })
-                                        .address());
+                                        .localAddress());
         stallConnection = connect(stallAddress, "");
         accepted.await();
     }
@@ -233,7 +234,7 @@
         Thread.sleep(STALL_MS);
         stallEnd.countDown();
         assertEquals(acceptWithin(hosts, ARRIVAL_MS), null, "attempt for a disconnected client");
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
         assertEquals(counter("faults"), 0);
     }
 
@@ -274,7 +275,7 @@
         resume.run();
         assertEquals(
                 acceptWithin(List.of(host), ARRIVAL_MS), null, "attempt for a disconnected client");
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
         assertEquals(counter("faults"), 0);
     }
 
@@ -298,7 +299,7 @@
         resume.run();
         assertEquals(
                 acceptWithin(List.of(host), ARRIVAL_MS), null, "attempt for a disconnected client");
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
     }
 
     // ---- End to end at a tenth of a core ----
@@ -311,7 +312,7 @@
             } catch (InterruptedException e) {
                 return;
             }
-            loop.after(0.012, () -> throttle(remainingTurns));
+            loop.schedule(0.012, () -> throttle(remainingTurns));
         }
     }
 
--- a/node/src/test/java/embershift/routing/DescriptorLimitTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorLimitTest.java
@@ -28,8 +28,8 @@
      * returns the limit.
      */
     private int startWithSpareDescriptors(int spare, ServerSocket... hosts) throws Exception {
-        int limit = callOnLoop(loop::descriptors) + spare;
-        otherDescriptors = processDescriptors() - callOnLoop(loop::descriptors);
+        int limit = callOnLoop(loop::openDescriptors) + spare;
+        otherDescriptors = processDescriptors() - callOnLoop(loop::openDescriptors);
         closeablesAtStart = closeables.size();
         startRouter("" + limit, hosts);
         return limit;
@@ -110,11 +110,11 @@
         int maxHeld = 0;
         for (int i = 0; i < 6; i++) {
             connectIdleClients(60);
-            maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
+            maxHeld = Math.max(maxHeld, callOnLoop(loop::openDescriptors));
         }
         // The idle clients have reached the limit.
         awaitCounter("connections turned away for want of descriptors", 100);
-        maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
+        maxHeld = Math.max(maxHeld, callOnLoop(loop::openDescriptors));
         long restoredAt = System.nanoTime();
         ServerSocket restoredDiscovery =
                 new ServerSocket(port, 50, InetAddress.getLoopbackAddress());
@@ -141,7 +141,7 @@
             send(tunnel, "still here\r\n");
             assertEquals(readLine(tunnel), "still here");
         }
-        maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
+        maxHeld = Math.max(maxHeld, callOnLoop(loop::openDescriptors));
         assertTrue(maxHeld <= limit, maxHeld + " of " + limit);
         assertEquals(counter("probes failed"), 0);
         assertEquals(counter("faults"), 0);
@@ -226,7 +226,7 @@
             assertTrue(
                     System.nanoTime() < deadline,
                     counter("probes answered") + " answered, failed " + counter("probes failed"));
-            maxHeld = Math.max(maxHeld, callOnLoop(loop::descriptors));
+            maxHeld = Math.max(maxHeld, callOnLoop(loop::openDescriptors));
         }
         assertEquals(counter("probes failed"), 0);
         assertTrue(maxHeld <= limit, maxHeld + " of " + limit);
--- a/node/src/test/java/embershift/routing/DescriptorSharesTest.java
+++ b/node/src/test/java/embershift/routing/DescriptorSharesTest.java
@@ -15,39 +15,39 @@
  */
 public class DescriptorSharesTest {
 
-    private KeptConnections<String> connections;
+    private ProbeConnectionPool<String> connections;
 
     @Test
     public void hostsWithoutDescriptorQueueAndTakeThatOfAnIdleHost() {
         List<String> closed = new ArrayList<>();
         boolean[] hasRoom = new boolean[1];
         connections =
-                new KeptConnections<>(
+                new ProbeConnectionPool<>(
                         () -> hasRoom[0],
                         host -> {
                             closed.add(host);
-                            connections.closed(host);
+                            connections.released(host);
                         });
         connections.reserve(2);
-        assertEquals(connections.unused(), 2);
-        assertTrue(connections.take("a"));
-        assertTrue(connections.take("b"));
-        assertEquals(connections.unused(), 0);
-        assertFalse(connections.take("c"));
-        assertEquals(connections.first(), "c");
-        connections.rests("b", true);
-        assertTrue(connections.take("c"));
+        assertEquals(connections.unusedReserve(), 2);
+        assertTrue(connections.tryAcquire("a"));
+        assertTrue(connections.tryAcquire("b"));
+        assertEquals(connections.unusedReserve(), 0);
+        assertFalse(connections.tryAcquire("c"));
+        assertEquals(connections.firstWaiting(), "c");
+        connections.setIdle("b", true);
+        assertTrue(connections.tryAcquire("c"));
         assertEquals(closed, List.of("b"));
-        assertEquals(connections.first(), null);
+        assertEquals(connections.firstWaiting(), null);
         hasRoom[0] = true;
-        assertTrue(connections.take("d"));
-        connections.closed("a");
-        connections.closed("c");
+        assertTrue(connections.tryAcquire("d"));
+        connections.released("a");
+        connections.released("c");
         hasRoom[0] = false;
-        assertTrue(connections.take("a"));
-        assertFalse(connections.take("e"));
-        assertTrue(connections.leaveLine("e"));
-        assertFalse(connections.leaveLine("e"));
+        assertTrue(connections.tryAcquire("a"));
+        assertFalse(connections.tryAcquire("e"));
+        assertTrue(connections.cancelWait("e"));
+        assertFalse(connections.cancelWait("e"));
     }
 
     @Test
@@ -62,7 +62,7 @@
                 reported[i] = shares[i].claimed(limit, held[i], false, 32);
             }
             for (int i = 0; i < 2; i++) {
-                shares[i].told(limit, held[i], reported[1 - i], 1);
+                shares[i].update(limit, held[i], reported[1 - i], 1);
             }
             // From here on both processes know of each other. Each updates its share at random
             // times, and fills it or frees descriptors in between.
@@ -72,8 +72,10 @@
                     case 0 ->
                             reported[process] =
                                     shares[process].claimed(limit, held[process], false, 32);
-                    case 1 -> shares[process].told(limit, held[process], reported[1 - process], 1);
-                    case 2 -> held[process] = Math.max(held[process], shares[process].most(limit));
+                    case 1 ->
+                            shares[process].update(limit, held[process], reported[1 - process], 1);
+                    case 2 ->
+                            held[process] = Math.max(held[process], shares[process].allowed(limit));
                     default -> held[process] -= random.nextInt(held[process] / 2 + 1);
                 }
                 assertTrue(
@@ -90,14 +92,14 @@
         DescriptorShare successor = new DescriptorShare();
         int reported = successor.claimed(1000, 60, false, 32);
         assertEquals(reported, 500);
-        leaving.told(1000, 900, reported, 1);
-        successor.told(1000, 60, leaving.claimed(1000, 900, false, 32), 1);
-        assertEquals(successor.most(1000), 100);
-        leaving.told(1000, 900, successor.claimed(1000, 60, false, 32), 1);
-        assertEquals(leaving.most(1000), 900);
-        successor.told(1000, 60, leaving.claimed(1000, 200, true, 32), 1);
-        assertEquals(successor.most(1000), 768);
-        successor.told(1000, 700, 0, 0);
-        assertEquals(successor.most(1000), 1000);
+        leaving.update(1000, 900, reported, 1);
+        successor.update(1000, 60, leaving.claimed(1000, 900, false, 32), 1);
+        assertEquals(successor.allowed(1000), 100);
+        leaving.update(1000, 900, successor.claimed(1000, 60, false, 32), 1);
+        assertEquals(leaving.allowed(1000), 900);
+        successor.update(1000, 60, leaving.claimed(1000, 200, true, 32), 1);
+        assertEquals(successor.allowed(1000), 768);
+        successor.update(1000, 700, 0, 0);
+        assertEquals(successor.allowed(1000), 1000);
     }
 }
--- a/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
+++ b/node/src/test/java/embershift/routing/DiscoveryRecoveryTest.java
@@ -98,7 +98,7 @@
                             mustAskS == 0, new SeededRandom(~seed)::nextDecorrelatedDouble);
             policy = mustAskS == 0 ? null : createPolicy(seed, mustAskS);
             now = watchStartedAt;
-            schedule.called(now, true);
+            schedule.callStarted(now, true);
             failsAt = Double.isInfinite(fault.detectedAfterS) ? fault.detectedAfterS : 0;
             simulate();
         }
@@ -153,14 +153,14 @@
         private void simulate() {
             while (now < 2 * LONGEST_OUTAGE_S) {
                 double nextWakeup = wakeups.isEmpty() ? Double.POSITIVE_INFINITY : wakeups.peek();
-                double next = Math.min(Math.min(failsAt, schedule.due()), nextWakeup);
+                double next = Math.min(Math.min(failsAt, schedule.nextActionAt()), nextWakeup);
                 assertTrue(next < Double.POSITIVE_INFINITY, "no further call after " + now);
                 now = Math.max(now, next);
-                if (next == failsAt || (next == schedule.due() && schedule.calling())) {
+                if (next == failsAt || (next == schedule.nextActionAt() && schedule.isCalling())) {
                     failsAt = Double.POSITIVE_INFINITY;
-                    schedule.failed(now);
+                    schedule.callFailed(now);
                     runRound(NodeEvents::rosterWatchLost);
-                } else if (next == schedule.due()) {
+                } else if (next == schedule.nextActionAt()) {
                     call();
                 } else {
                     wakeups.poll();
@@ -177,7 +177,7 @@
 
         private void call() {
             callTimes.add(now);
-            schedule.called(now, false);
+            schedule.callStarted(now, false);
             failsAt = now + fault.detectedAfterS;
         }
 
@@ -189,7 +189,7 @@
 
         @Override
         public void watchRoster(boolean on) {
-            if (schedule != null && !schedule.calling() && policy != null) {
+            if (schedule != null && !schedule.isCalling() && policy != null) {
                 call();
             }
         }
@@ -403,7 +403,7 @@
                                         () ->
                                                 loop.execute(
                                                         () ->
-                                                                loop.after(
+                                                                loop.schedule(
                                                                         4.4,
                                                                         () ->
                                                                                 count.complete(
--- a/node/src/test/java/embershift/routing/RouterAcceptanceTest.java
+++ b/node/src/test/java/embershift/routing/RouterAcceptanceTest.java
@@ -178,7 +178,7 @@
         startRouter("1024", host);
         Socket idle = connectClient("");
         awaitCounter("connections taken in", 1);
-        runOnLoop(() -> router.strangers().expire(router.now() + 2));
+        runOnLoop(() -> router.unopenedConnections().expire(router.now() + 2));
         send(idle, "OPEN i k c=p,d=3000\r\n");
         assertEquals(readLine(idle), "ERR no first line came");
         assertNull(readLine(idle));
@@ -193,7 +193,7 @@
         Socket partialLine = connectClient("OPEN i ");
         awaitCounter("connections taken in", 2);
         Runnable resume = pauseLoop();
-        loop.execute(() -> router.strangers().expire(router.now() + 2));
+        loop.execute(() -> router.unopenedConnections().expire(router.now() + 2));
         for (Socket each : List.of(idle, partialLine)) {
             send(each, "line sent ahead\r\n".repeat(2000));
         }
@@ -236,7 +236,7 @@
     @Test
     public void clientsThatFloodAndLeaveTakeNothingFromOthers() throws Exception {
         ServerSocket host = openServerSocket();
-        int descriptorsAtStart = callOnLoop(loop::descriptors);
+        int descriptorsAtStart = callOnLoop(loop::openDescriptors);
         startRouter("" + (descriptorsAtStart + 80), host);
         byte[] flood = "no first line of ours\r\n".repeat(1000).getBytes(StandardCharsets.US_ASCII);
         for (int i = 0; i < 200; i++) {
@@ -258,10 +258,10 @@
         // Five remain: the tunnel's two sockets, the listener, the connection to discovery and the
         // datagram socket.
         for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
-                callOnLoop(loop::descriptors) > descriptorsAtStart + 5; ) {
+                callOnLoop(loop::openDescriptors) > descriptorsAtStart + 5; ) {
             assertTrue(
                     System.nanoTime() < deadline,
-                    callOnLoop(loop::descriptors) + " held, " + descriptorsAtStart + " before");
+                    callOnLoop(loop::openDescriptors) + " held, " + descriptorsAtStart + " before");
             Thread.sleep(5);
         }
         assertEquals(counter("faults"), 0);
--- a/node/src/test/java/embershift/routing/RouterRaceTest.java
+++ b/node/src/test/java/embershift/routing/RouterRaceTest.java
@@ -99,7 +99,7 @@
         }
         resume.run();
         assertNothingReceived(host);
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
     }
 
     @Test(dataProvider = "disconnectKinds")
@@ -144,7 +144,7 @@
         sendOkResponse(watch, rosterJson(2, true, rosterEntry(host, "in_service")));
         readRequest(watch);
         assertNothingReceived(host);
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
     }
 
     @Test(dataProvider = "disconnectKinds")
@@ -176,7 +176,7 @@
         awaitCounter(LEFT_EARLY + " unplaced", 1);
         send(probeConnection, "PONG x0=0.1\r\n");
         assertNothingReceived(host);
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
     }
 
     @Test
@@ -191,7 +191,7 @@
         assertEquals(readLine(client), null);
         assertEquals(readUntilClosed(hostSocket), "");
         assertNothingReceived(host);
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
     }
 
     @DataProvider
@@ -210,7 +210,7 @@
         Socket client = connectClient("OPEN i k c=p,d=12000\r\n");
         awaitCounter("setups sent", 1);
         if (withdrawal.equals("by hand")) {
-            runOnLoop(() -> router.byHand(new HostId(instanceId(host)), true, () -> {}));
+            runOnLoop(() -> router.setOutOfService(new HostId(instanceId(host)), true, () -> {}));
         } else {
             sendOkResponse(watch, rosterJson(2, false, rosterEntry(host, withdrawal)));
             readRequest(watch);
@@ -244,7 +244,7 @@
         // The policy still knows the second tunnel: it is retried after its host declines it.
         send(hostSocket, "BUSY\r\n");
         assertTrue(readLine(accept(host)).startsWith("OPEN same "));
-        assertFalse(callOnLoop(router::empty));
+        assertFalse(callOnLoop(router::isDrained));
         second.close();
     }
 
@@ -519,7 +519,7 @@
         tunnel[0].shutdownOutput();
         assertEquals(readLine(tunnel[1]), null);
         runOnLoop(router::stop);
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
         assertEquals(readLine(tunnel[0]), null);
     }
 
@@ -552,10 +552,10 @@
         Socket client = connectClient("PING\r\nOPEN i k c=p,");
         assertEquals(readLine(client), "PONG");
         runOnLoop(() -> router.leave(false));
-        assertFalse(callOnLoop(router::empty));
+        assertFalse(callOnLoop(router::isDrained));
         send(client, "d=3000\r\n");
         assertTrue(readLine(client).startsWith("BUSY"));
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
     }
 
     @Test
@@ -634,7 +634,7 @@
         ServerSocket host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         closeables.add(host);
         int clients = 60;
-        int limit = callOnLoop(loop::descriptors) + clients + 50;
+        int limit = callOnLoop(loop::openDescriptors) + clients + 50;
         startRouter("" + limit, host);
         List<Socket> waiting = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
@@ -661,7 +661,7 @@
         awaitCounter("setups sent", sent);
         assertTrue(sent > 0 && sent < clients, "sent " + sent);
         assertTrue(
-                callOnLoop(loop::descriptors) <= limit,
-                callOnLoop(loop::descriptors) + " of " + limit);
+                callOnLoop(loop::openDescriptors) <= limit,
+                callOnLoop(loop::openDescriptors) + " of " + limit);
     }
 }
--- a/node/src/test/java/embershift/routing/RouterRegressionTest.java
+++ b/node/src/test/java/embershift/routing/RouterRegressionTest.java
@@ -112,7 +112,7 @@
     public void connectionsAcceptedWhileLoopIsPausedStayWithinLimit() throws Exception {
         int spare = 60;
         int clients = 200;
-        startRouter("" + (callOnLoop(loop::descriptors) + spare));
+        startRouter("" + (callOnLoop(loop::openDescriptors) + spare));
         Runnable resume = pauseLoop();
         int before = new File("/proc/self/fd").list().length;
         for (int i = 0; i < clients; i++) {
@@ -133,17 +133,17 @@
         ServerSocket host = openServerSocket();
         startRouter("1024", host);
         Socket[] tunnel = openTunnel(host);
-        runOnLoop(() -> router.heldElsewhere(1024 - loop.descriptors(), 1));
+        runOnLoop(() -> router.setDescriptorsHeldElsewhere(1024 - loop.openDescriptors(), 1));
         try {
             Socket extra = connectClient("PING\r\n");
             awaitCounter("connections let in beyond the descriptors", 1);
             send(tunnel[0], "line\r\n");
             tunnel[1].setSoTimeout(500);
             assertEquals(readLineOrDiagnose(tunnel[1]), "line");
-            runOnLoop(() -> router.heldElsewhere(0, 0));
+            runOnLoop(() -> router.setDescriptorsHeldElsewhere(0, 0));
             assertEquals(readLine(extra), "PONG");
         } finally {
-            runOnLoop(() -> router.heldElsewhere(0, 0));
+            runOnLoop(() -> router.setDescriptorsHeldElsewhere(0, 0));
         }
     }
 
@@ -175,7 +175,7 @@
             assertEquals(readLine(idle), "PONG");
         }
         Runnable resume = pauseLoop();
-        loop.execute(() -> router.strangers().expire(router.now() + 2));
+        loop.execute(() -> router.unopenedConnections().expire(router.now() + 2));
         send(idle, "OPEN i k c=p,d=3000\r\n");
         resume.run();
         host.setSoTimeout(1000);
--- a/node/src/test/java/embershift/routing/RouterTest.java
+++ b/node/src/test/java/embershift/routing/RouterTest.java
@@ -254,7 +254,7 @@
         readLine(hostSocket);
         client.close();
         assertEquals(readLine(hostSocket), null);
-        assertTrue(callOnLoop(router::empty));
+        assertTrue(callOnLoop(router::isDrained));
     }
 
     @Test
@@ -328,14 +328,14 @@
     @Test
     public void tunnelsAreDeclinedBeforeDescriptorsRunOut() throws Exception {
         ServerSocket host = openServerSocket();
-        startRouter("" + (callOnLoop(loop::descriptors) + 24), host);
+        startRouter("" + (callOnLoop(loop::openDescriptors) + 24), host);
         assertEquals(readLine(connectClient("OPEN i k c=p,d=3000\r\n")), "BUSY");
     }
 
     @Test
     public void connectionsWithoutFirstLineMakeRoomAndTimeOut() throws Exception {
         ServerSocket host = openServerSocket();
-        startRouter("" + (callOnLoop(loop::descriptors) + 48), host);
+        startRouter("" + (callOnLoop(loop::openDescriptors) + 48), host);
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             silent.add(connectClient(i % 2 == 0 ? "" : "OPEN half"));
@@ -424,7 +424,7 @@
         // once.
         callOnLoop(
                 () -> {
-                    router.hear(NodeEvents::rosterWatchLost);
+                    router.enqueueNews(NodeEvents::rosterWatchLost);
                     return null;
                 });
         assertEquals(readLine(connectClient("PING\r\n")), "PONG");
@@ -450,7 +450,7 @@
     @Test
     public void unknownDatagramsAreDropped() throws Exception {
         startRouter("1024");
-        InetSocketAddress peers = callOnLoop(router::peerAddress);
+        InetSocketAddress peers = callOnLoop(router::peerListenAddress);
         try (DatagramSocket sender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             for (int size : new int[] {5, 0, 300}) {
                 sender.send(new DatagramPacket(new byte[size], size, peers));
