--- a/node/src/main/java/embershift/operations/HostEjections.java
+++ b/node/src/main/java/embershift/operations/HostEjections.java
@@ -13,35 +13,41 @@
 import java.util.function.Consumer;
 
 /**
- * The hosts out by hand: what was called here, and what the other process at this address was told
- * meanwhile. On the loop; what waits for a disk is done aside, in the order in which it was asked
- * for.
+ * The hosts that are ejected by operators, through this process or through another one that serves
+ * at the same address, or by the control plane. All methods run on the loop's thread; calls to the
+ * {@link Store}, which may block on a disk, run on a background thread in the order in which they
+ * were requested.
  */
 public final class HostEjections {
 
-    /** Where bans outlast this process. Called aside. */
+    /** Storage by which ejections outlast this process. Called on the background thread. */
     public interface Store {
 
         /**
-         * Keeps one change. {@code known}: the bans that hold here, for where what was kept can't
-         * be read any more. {@code inTime}: whether the caller may still wait; once not, no change
-         * goes over one that another kept since.
+         * Stores one change.
+         *
+         * @param known the ejections in effect in this process, used where the stored ones can't be
+         *     read any more
+         * @param inTime whether the operator may still be waiting; once it is false, the change
+         *     must not overwrite one that another process has stored since
          */
         StoreResult change(
-                HostId host, boolean ejected, Collection<HostId> known, BooleanSupplier inTime);
+                HostId host, boolean eject, Collection<HostId> known, BooleanSupplier inTime);
 
-        /** All bans that hold, or null where that can't be read now. */
+        /** All ejections that are in effect, or null where they can't be read now. */
         Collection<HostId> read();
     }
 
     /**
-     * What became of a change; {@code bans}: all that hold now, or null where that can't be told.
+     * The result of a change.
+     *
+     * @param ejected all hosts that are ejected now, or null where that is not known
      */
     public record StoreResult(Outcome outcome, Collection<HostId> ejected) {}
 
     /**
-     * Kept; holds in this process only; or came so late that it may not go over what others were
-     * told meanwhile.
+     * Whether a change was stored, is in effect in this process only, or came so late that it must
+     * not overwrite what other processes have been told meanwhile.
      */
     public enum Outcome {
         KEPT,
@@ -54,29 +60,29 @@
     private final Store store;
     private final Set<HostId> ejected = new LinkedHashSet<>();
 
-    /** Bans that hold here only, as they could not be kept. */
+    /** Ejections in effect in this process only, because they could not be stored. */
     private final Set<HostId> unstored = new LinkedHashSet<>();
 
-    /** Hosts that others than this node's operators have out, by who that is. */
+    /** Hosts ejected by others than this node's operators, by the source of the ejection. */
     private final Map<String, Set<HostId>> ejectedBySource = new HashMap<>();
 
-    /** Changes asked for here: what was read before the latest of them is out of date. */
+    /** Changes requested in this process; what was read before the latest one is out of date. */
     private long changeCount;
 
-    /** {@code keeping} null: bans end with this process. */
+    /** Ejections that {@code store} keeps; null where they end with this process. */
     public HostEjections(Loop loop, Router router, Store store) {
         this.loop = loop;
         this.router = router;
         this.store = store;
     }
 
-    /** Takes a host out or back; {@code done} hears once it is known what became of that. */
-    void setEjected(HostId host, boolean isEjected, Consumer<Outcome> done) {
+    /** Ejects a host or readmits it; {@code done} is called once the outcome is known. */
+    void setEjected(HostId host, boolean eject, Consumer<Outcome> done) {
         long change = ++changeCount;
         double answerDeadline = loop.now() + StallDetector.ANSWER_DEADLINE_SECONDS;
         applyLocally(
                 host,
-                isEjected,
+                eject,
                 () -> {
                     if (store == null) {
                         done.accept(Outcome.HERE_ONLY);
@@ -88,12 +94,12 @@
                                 StoreResult result =
                                         store.change(
                                                 host,
-                                                isEjected,
+                                                eject,
                                                 known,
                                                 () -> loop.now() < answerDeadline);
                                 loop.execute(
                                         () -> {
-                                            if (result.outcome == Outcome.HERE_ONLY && isEjected) {
+                                            if (result.outcome == Outcome.HERE_ONLY && eject) {
                                                 unstored.add(host);
                                             } else {
                                                 unstored.remove(host);
@@ -107,8 +113,8 @@
                 });
     }
 
-    private void applyLocally(HostId host, boolean isEjected, Runnable done) {
-        if (isEjected) {
+    private void applyLocally(HostId host, boolean eject, Runnable done) {
+        if (eject) {
             ejected.add(host);
         } else {
             ejected.remove(host);
@@ -116,34 +122,34 @@
         router.byHand(host, isEjected(host), done);
     }
 
-    /** Whether the host is out by hand, whoever said so. */
+    /** Whether the host is ejected, by whichever source. */
     public boolean isEjected(HostId host) {
         return ejected.contains(host)
-                || ejectedBySource.values().stream().anyMatch(some -> some.contains(host));
+                || ejectedBySource.values().stream().anyMatch(hosts -> hosts.contains(host));
     }
 
-    /**
-     * From now on these are the hosts that {@code whose} has out; what others say of a host stays.
-     */
+    /** Replaces the hosts that {@code source} ejects; ejections by other sources stay in effect. */
     public void replaceEjectedBy(String source, Collection<HostId> hosts) {
         Set<HostId> affected = new LinkedHashSet<>(hosts);
         affected.addAll(ejectedBySource.getOrDefault(source, Set.of()));
-        Map<HostId, Boolean> before = new HashMap<>();
-        affected.forEach(host -> before.put(host, isEjected(host)));
+        Map<HostId, Boolean> wasEjected = new HashMap<>();
+        affected.forEach(host -> wasEjected.put(host, isEjected(host)));
         ejectedBySource.put(source, new LinkedHashSet<>(hosts));
         for (HostId host : affected) {
-            if (isEjected(host) != before.get(host)) {
+            if (isEjected(host) != wasEjected.get(host)) {
                 router.byHand(host, isEjected(host), () -> {});
             }
         }
     }
 
-    /** The hosts that {@code whose} has out. */
+    /** The hosts that {@code source} ejects. */
     public Set<HostId> ejectedBy(String source) {
         return Set.copyOf(ejectedBySource.getOrDefault(source, Set.of()));
     }
 
-    /** Goes by what is kept now, as the other process may have been told something. */
+    /**
+     * Reads and applies the stored ejections, as another process may have been told of a change.
+     */
     public void reloadStored() {
         long countBefore = changeCount;
         loop.aside(
@@ -158,7 +164,7 @@
                 });
     }
 
-    /** Goes by these bans; null where they are not known. */
+    /** Applies the stored ejections; does nothing for null, where they are not known. */
     public void applyStored(Collection<HostId> stored) {
         if (stored == null) {
             return;
--- a/node/src/main/java/embershift/operations/OperatorApi.java
+++ b/node/src/main/java/embershift/operations/OperatorApi.java
@@ -15,7 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * What operators may call, and what each call is answered; no sockets. One thread, the router's.
+ * The requests that operators may send and the answers to them; handles no sockets. Runs on the
+ * router's thread.
  */
 public final class OperatorApi {
 
@@ -23,19 +24,21 @@
 
     private final Router router;
     private final HostEjections ejections;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
 
-    /** {@code ready} says whether clients are taken now. */
-    public OperatorApi(Router router, HostEjections ejections, BooleanSupplier ready) {
+    /** {@code isReady} tells whether the node accepts clients now. */
+    public OperatorApi(Router router, HostEjections ejections, BooleanSupplier isReady) {
         this.router = router;
         this.ejections = ejections;
-        this.ready = ready;
+        this.isReady = isReady;
     }
 
     /**
-     * Answers a call, now or, where it takes effect with the next round, after that. {@code
-     * waited}: it may have lain here so long that its caller has given up, and has since had the
-     * contrary done at another process.
+     * Answers a request, at once or, where it takes effect with the router's next round, after that
+     * round.
+     *
+     * @param mayBeStale whether the request may have waited here so long that its caller has given
+     *     up and has since had the opposite done at another process
      */
     public void handle(HttpRequest request, boolean mayBeStale, Consumer<HttpAnswer> answer) {
         List<String> path = request.path();
@@ -54,27 +57,27 @@
         } else if (isEjection) {
             setEjected(new HostId(path.get(2)), name.equals("exclude"), answer);
         } else {
-            answer.accept(name.equals("ready") ? ready() : telemetry());
+            answer.accept(name.equals("ready") ? readiness() : telemetry());
         }
     }
 
-    private HttpAnswer ready() {
-        return ready.getAsBoolean()
+    private HttpAnswer readiness() {
+        return isReady.getAsBoolean()
                 ? HttpAnswer.of(200, "{\"ready\":true}")
                 : HttpAnswer.error(503, "this node takes no clients now");
     }
 
-    private void setEjected(HostId host, boolean ejected, Consumer<HttpAnswer> answer) {
+    private void setEjected(HostId host, boolean eject, Consumer<HttpAnswer> answer) {
         if (!router.knows(host)) {
             answer.accept(HttpAnswer.error(404, "no host " + host.name() + " is known here"));
             return;
         }
         ejections.setEjected(
                 host,
-                ejected,
-                end ->
+                eject,
+                outcome ->
                         answer.accept(
-                                end == HostEjections.Outcome.TOO_LATE
+                                outcome == HostEjections.Outcome.TOO_LATE
                                         ? HttpAnswer.error(
                                                 503,
                                                 "this process stood still in the middle of it: look which hosts are out, call again")
@@ -85,16 +88,16 @@
                                                         + ",\"out\":"
                                                         + ejections.isEjected(host)
                                                         + ",\"kept\":"
-                                                        + (end == HostEjections.Outcome.KEPT)
+                                                        + (outcome == HostEjections.Outcome.KEPT)
                                                         + "}")));
     }
 
     private HttpAnswer telemetry() {
         Tally tally = router.tally();
-        StringBuilder out = new StringBuilder("{\"operations\":{");
-        String comma = "";
+        StringBuilder json = new StringBuilder("{\"operations\":{");
+        String separator = "";
         for (ProfileId profile : tally.profiles()) {
-            out.append(comma)
+            json.append(separator)
                     .append(Json.quoted(profile.name()))
                     .append(":{\"fulfilled\":")
                     .append(tally.of(profile, Outcome.OPENED))
@@ -103,9 +106,9 @@
                     .append(",\"faulted\":")
                     .append(tally.of(profile, Outcome.CLOSED_WITH_ERROR))
                     .append('}');
-            comma = ",";
+            separator = ",";
         }
-        out.append("},\"relayed\":")
+        json.append("},\"relayed\":")
                 .append(tally.of(Tally.RELAYED))
                 .append(",\"open_requests\":")
                 .append(router.openTunnels())
@@ -116,12 +119,12 @@
                 .append(",\"declined\":{\"want_of_descriptors\":")
                 .append(tally.of(Tally.NO_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
-            out.append(',')
+            json.append(',')
                     .append(Json.quoted(reason.name().toLowerCase(Locale.ROOT)))
                     .append(':')
                     .append(tally.of(reason));
         }
-        out.append("}}");
-        return HttpAnswer.of(200, out.toString());
+        json.append("}}");
+        return HttpAnswer.of(200, json.toString());
     }
 }
--- a/node/src/main/java/embershift/operations/OperatorServer.java
+++ b/node/src/main/java/embershift/operations/OperatorServer.java
@@ -14,32 +14,32 @@
 import java.util.Set;
 
 /**
- * Listens for operators: one call to a connection. Who holds a connection without a whole call
- * keeps nobody out: their number and time are bounded, and the oldest of them gives way to the next
- * that comes.
+ * The HTTP server for operators, with one request to a connection. Connections without a complete
+ * request can't block other callers: their number and time are bounded, and the oldest of them is
+ * closed to make room for a new one.
  */
 public final class OperatorServer {
 
     /**
-     * Callers without a whole call at one time; the other descriptors are for answers on their way
-     * out.
+     * Connections without a complete request at one time; the other descriptors are left for
+     * answers that are still being sent.
      */
     private static final int MAX_WAITING = Router.OPERATORS * 3 / 4;
 
     /**
-     * Of the descriptors for operators, those for callers that the loop has accepted and not handed
-     * over.
+     * How many of the descriptors for operators are left for connections that the loop has accepted
+     * and not yet handed over.
      */
     private static final int ACCEPTED_AHEAD = 8;
 
-    /** Seconds from the accept within which the whole call must have come. */
+    /** Seconds after the accept within which the complete request must have arrived. */
     private static final double REQUEST_TIMEOUT_SECONDS = 5;
 
     private final Loop loop;
     private final OperatorApi api;
     private final Tally tally;
 
-    /** Those without a whole call, oldest first. */
+    /** Connections without a complete request, oldest first. */
     private final Set<OperatorConnection> waiting = new LinkedHashSet<>();
 
     private final StallDetector stallDetector;
@@ -83,9 +83,10 @@
     }
 
     /**
-     * Whether one more may come in, once others have made room. Only their own descriptors count,
-     * which no client takes: where tunnels hold more than there is, as after a lower limit,
-     * operators have to be heard all the more.
+     * Makes room for one more connection if necessary; returns whether there is room. Only the
+     * descriptors reserved for operators count, which clients never take: where tunnels hold more
+     * descriptors than the limit allows, as after it was lowered, operators must be able to reach
+     * the node all the more.
      */
     private boolean makeRoom() {
         while (waiting.size() >= MAX_WAITING) {
@@ -105,10 +106,11 @@
             return false;
         }
         tally.count("operators' connections that gave way");
-        OperatorConnection caller = oldest.next();
-        caller.answer(HttpAnswer.error(503, "others call, and no whole call has come here"));
-        // Nothing that it sent is unread, so the answer is not lost by this.
-        caller.link.close();
+        OperatorConnection connection = oldest.next();
+        connection.answer(HttpAnswer.error(503, "others call, and no whole call has come here"));
+        // All that it sent has been read, so closing does not reset the connection and lose the
+        // answer.
+        connection.link.close();
         return true;
     }
 
@@ -162,8 +164,8 @@
         }
 
         /**
-         * A caller may end its sending once its call is out; one without a whole call hears nothing
-         * more.
+         * The caller has closed its sending side, which is allowed after a complete request;
+         * without one, the connection is closed without an answer.
          */
         @Override
         public void ended() {
--- a/node/src/main/java/embershift/operations/StallDetector.java
+++ b/node/src/main/java/embershift/operations/StallDetector.java
@@ -1,26 +1,32 @@
 package embershift.operations;
 
 /**
- * Whether this process may have stood still: stopped, or kept from the processor. What it reads
- * after that may have waited so long that its sender has given up and has had the contrary done
- * elsewhere. Fed with the time; decides only.
+ * Detects whether this process may have stalled, because it was stopped or got no processor time. A
+ * request that is read after a stall may have waited so long that its sender has given up and has
+ * had the opposite done at another process. Has no clock of its own: callers pass the time.
  */
 final class StallDetector {
 
-    /** Seconds within which operators are owed an answer; who has waited less has not given up. */
+    /**
+     * Seconds within which operators must be answered; a caller that has waited less has not given
+     * up.
+     */
     static final double ANSWER_DEADLINE_SECONDS = 1.0;
 
-    /** Seconds between two beats, so that a gap is told from the loop's usual turns. */
+    /**
+     * Seconds between two heartbeats; tells a stall from the usual duration of a loop iteration.
+     */
     static final double HEARTBEAT_SECONDS = 0.1;
 
     /**
-     * Beats after a gap in which the loop reads what had piled up; those that are late themselves
-     * don't count.
+     * Heartbeats after a stall during which the loop reads the backlog; those that are late
+     * themselves don't count.
      */
     private static final int CATCH_UP_HEARTBEATS = 3;
 
     /**
-     * A gap that, with the longest time between two beats, could hold a caller's whole patience.
+     * Seconds without a heartbeat that count as a stall: together with the interval between two
+     * heartbeats they could cover the whole time that a caller waits.
      */
     private static final double STALL_SECONDS = ANSWER_DEADLINE_SECONDS - HEARTBEAT_SECONDS;
 
@@ -31,19 +37,19 @@
         lastHeartbeatAt = now;
     }
 
-    /** To be told each {@code BEAT} seconds while the process runs. */
+    /** To be called every {@link #HEARTBEAT_SECONDS} while the process runs. */
     void heartbeat(double now) {
         if (now - lastHeartbeatAt > STALL_SECONDS) {
             catchUpHeartbeatsLeft = CATCH_UP_HEARTBEATS;
         } else if (catchUpHeartbeatsLeft > 0 && now - lastHeartbeatAt <= 2 * HEARTBEAT_SECONDS) {
-            // A fixed time would be over before one who gets little of the processor has read
-            // anything.
+            // Counts heartbeats instead of seconds: a fixed time would be over before a process
+            // that gets little processor time has read anything.
             catchUpHeartbeatsLeft--;
         }
         lastHeartbeatAt = now;
     }
 
-    /** Whether what is read now may have come longer ago than its sender waits. */
+    /** Whether a request that is read now may have arrived longer ago than its sender waits. */
     boolean mayBeStale(double now) {
         return now - lastHeartbeatAt > STALL_SECONDS || catchUpHeartbeatsLeft > 0;
     }
--- a/node/src/main/java/embershift/program/Log.java
+++ b/node/src/main/java/embershift/program/Log.java
@@ -3,7 +3,7 @@
 import java.io.PrintStream;
 import java.util.Locale;
 
-/** Lines for the operators, each with the seconds since the program's start. */
+/** The log for operators; each line begins with the seconds since the log was created. */
 final class Log {
 
     private final PrintStream out;
@@ -17,7 +17,7 @@
         out.printf(Locale.ROOT, "%9.3f %s%n", (System.nanoTime() - start) / 1e9, text);
     }
 
-    /** Several lines, as they are. */
+    /** Writes several lines as they are, without a time. */
     synchronized void lines(String text) {
         out.print(text);
         out.flush();
--- a/node/src/main/java/embershift/program/Main.java
+++ b/node/src/main/java/embershift/program/Main.java
@@ -17,19 +17,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** The command line. */
+/** The command line of a node. */
 public final class Main {
 
     private static final int USAGE_ERROR = 2;
 
     private Main() {}
 
-    /** A sub-command; returns the program's exit status, or lets it run on with -1. */
+    /** A command; returns the program's exit status, or -1 where the program keeps running. */
     private interface Command {
         int run() throws IOException, Unreadable;
     }
 
-    @Parameters(commandDescription = "Be a node: listen for clients and place their tunnels")
+    @Parameters(commandDescription = "Run a node: listen for clients and place their tunnels")
     private static final class Serve extends ConfigurationOptions implements Command {
         @Override
         public int run() throws IOException, Unreadable {
@@ -43,7 +43,7 @@
     }
 
     @Parameters(
-            commandDescription = "Read a configuration and say whether a node could start by it")
+            commandDescription = "Read a configuration and tell whether a node could start with it")
     private static final class Check extends ConfigurationOptions implements Command {
         @Override
         public int run() throws IOException, Unreadable {
@@ -62,14 +62,13 @@
     }
 
     @Parameters(
-            commandDescription =
-                    "Play a node with a host and a client, all in this process, and say how it went")
+            commandDescription = "Self-test: run a node with a host and a client in this process")
     private static final class Rehearse implements Command {
         @Override
         public int run() throws IOException, Unreadable {
             try {
                 new SelfTest().run(new Log(System.err));
-                System.out.println("rehearsed: a node can live here");
+                System.out.println("self-test passed: a node can run here");
                 return 0;
             } catch (IOException e) {
                 throw new Unreadable(e.getMessage());
@@ -77,7 +76,7 @@
         }
     }
 
-    @Parameters(commandDescription = "Speak the bench's wire on standard input and output")
+    @Parameters(commandDescription = "Speak the simulator's protocol on standard input and output")
     private static final class RunAdapter implements Command {
         @Override
         public int run() throws IOException {
@@ -101,11 +100,11 @@
         }
     }
 
-    /** Of the program, and of each command. */
+    /** The option that the program and each command have. */
     private static final class Help {
         @Parameter(
                 names = {"--help", "-h"},
-                description = "Say what there is",
+                description = "Print this help",
                 help = true)
         private boolean isRequested;
     }
@@ -113,7 +112,7 @@
     private abstract static class ConfigurationOptions {
         @Parameter(
                 names = "--configuration",
-                description = "File to read; else the one that LB_CONFIG names")
+                description = "File to read; by default the one that LB_CONFIG names")
         private String file = System.getenv("LB_CONFIG");
 
         NodeConfiguration readConfiguration() throws Unreadable {
@@ -141,7 +140,7 @@
         }
     }
 
-    /** The exit status; negative: the program goes on by itself. */
+    /** Runs a command; returns its exit status, negative where the program keeps running. */
     public static int run(String[] args) throws IOException {
         Map<String, Command> commands =
                 Map.of(
@@ -156,25 +155,25 @@
                         "rehearse",
                         new Rehearse());
         Help help = new Help();
-        JCommander line = new JCommander(help);
-        line.setProgramName("java -jar embershift.jar");
+        JCommander parser = new JCommander(help);
+        parser.setProgramName("java -jar embershift.jar");
         commands.keySet().stream()
                 .sorted()
-                .forEach(name -> line.addCommand(name, List.of(commands.get(name), help)));
+                .forEach(name -> parser.addCommand(name, List.of(commands.get(name), help)));
         try {
-            line.parse(args);
+            parser.parse(args);
             if (help.isRequested) {
-                (line.getParsedCommand() == null
-                                ? line
-                                : line.getCommands().get(line.getParsedCommand()))
+                (parser.getParsedCommand() == null
+                                ? parser
+                                : parser.getCommands().get(parser.getParsedCommand()))
                         .usage();
                 return 0;
             }
-            if (line.getParsedCommand() == null) {
+            if (parser.getParsedCommand() == null) {
                 throw new ParameterException(
-                        "a sub-command is wanted: adapter, check, rehearse, serve or version");
+                        "a command is required: adapter, check, rehearse, serve or version");
             }
-            return commands.get(line.getParsedCommand()).run();
+            return commands.get(parser.getParsedCommand()).run();
         } catch (ParameterException | Unreadable e) {
             System.err.println("embershift: " + e.getMessage());
             return USAGE_ERROR;
--- a/node/src/main/java/embershift/program/NodeExtension.java
+++ b/node/src/main/java/embershift/program/NodeExtension.java
@@ -6,24 +6,25 @@
 import embershift.transport.Loop;
 
 /**
- * What else lives on a node's loop, where its operator's file asks for it: takes orders from
- * elsewhere and tells what the node does. The platform's run has none. All calls come on the loop.
+ * Runs on a node's loop besides the node itself, where the operator's settings ask for it: takes
+ * orders from elsewhere and reports what the node does. A node that the platform starts has none.
+ * All methods are called on the loop's thread.
  */
 public interface NodeExtension {
 
-    /** Before clients are taken. */
+    /** Called before the node accepts clients. */
     void start(NodeContext node);
 
-    /** Whether clients may be sent here, as far as this one knows. */
+    /** Whether clients may be sent to the node, as far as the extension is concerned. */
     boolean isReady();
 
-    /** A configuration that was read, with what this one has to say in place of some of it. */
+    /** Returns the configuration as it was read, with the values that the extension overrides. */
     NodeConfiguration adapt(NodeConfiguration configuration);
 
-    /** The node takes no more clients; it ends once what is here is elsewhere. */
+    /** The node accepts no more clients; it exits once its tunnels are elsewhere. */
     void shutDown();
 
-    /** The node, for its companion. */
+    /** The node, as its extension sees it. */
     interface NodeContext {
 
         Loop loop();
@@ -32,15 +33,15 @@
 
         HostEjections ejections();
 
-        /** As it was read last. */
+        /** The configuration as it was read last. */
         NodeConfiguration configuration();
 
-        /** Whether clients are taken now, but for what the companion says. */
+        /** Whether the node accepts clients now, apart from what the extension says. */
         boolean isServing();
 
         void log(String line);
 
-        /** Leaves as at SIGTERM, then ends with that exit status. */
+        /** Shuts the node down as at SIGTERM, then exits with that status. */
         void exit(int status);
     }
 }
--- a/node/src/main/java/embershift/program/NodeProcess.java
+++ b/node/src/main/java/embershift/program/NodeProcess.java
@@ -19,10 +19,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-/** A node from its start to its exit. */
+/** The process of a node, from its start to its exit. */
 public final class NodeProcess {
 
-    /** The phases, in their order; each is entered once, on the loop's thread. */
+    /** The phases in their order; each is entered once, on the loop's thread. */
     enum Phase {
         STARTING,
         SERVING,
@@ -32,13 +32,14 @@
     }
 
     /**
-     * Seconds for which a node that leaves stays at least: its front goes on sending for a moment.
+     * Seconds that a node takes to shut down at least: the front goes on sending it clients for a
+     * moment.
      */
     private static final double MIN_SHUTDOWN_SECONDS = 0.8;
 
     /**
-     * Seconds beyond the longest client timeout, or beyond LONGEST_WAIT, after which it must be
-     * out.
+     * Seconds after the longest client timeout, or after {@link #MAX_CLIENT_WAIT_SECONDS} if that
+     * is shorter, by which the node must have shut down.
      */
     private static final double SHUTDOWN_MARGIN_SECONDS = 0.45;
 
@@ -46,10 +47,10 @@
     private static final double DRAIN_CHECK_SECONDS = 0.02;
     private static final double SIBLING_POLL_SECONDS = 0.1;
 
-    /** Seconds for which last words may still go out. */
+    /** Seconds for which the last answers may still be sent. */
     private static final double FLUSH_SECONDS = 0.1;
 
-    /** Where the configuration is read, at the start and whenever it has been replaced. */
+    /** Reads the configuration, at the start and at each reload. */
     public interface ConfigurationSource {
         NodeConfiguration read() throws Unreadable;
     }
@@ -58,7 +59,7 @@
     private final Log log;
     private final NodeConfiguration startConfiguration;
 
-    /** Null on the platform. */
+    /** Null in a node that the platform starts. */
     private final NodeExtension extension;
 
     private NodeConfiguration latestConfiguration;
@@ -70,7 +71,7 @@
     private double minShutdownSeconds;
     private HostEjections ejections;
 
-    /** Null where operators have no address, or there is no folder for it. */
+    /** Null where operators have no address, or there is no shared folder. */
     private volatile SiblingProcesses siblings;
 
     NodeProcess(ConfigurationSource source, Log log) throws Unreadable {
@@ -87,29 +88,33 @@
     }
 
     /**
-     * Starts a node with a companion; it then lives on its loop. Returns where it listens; fails
-     * where it can't.
+     * Starts a node with an extension; it then runs on its loop. Returns the address that it
+     * listens on; fails where it can't listen.
      */
     public static InetSocketAddress start(ConfigurationSource source, NodeExtension extension)
             throws IOException, Unreadable {
         return new NodeProcess(source, new Log(System.err), extension).start();
     }
 
-    /** Listens, and returns where; the node then lives on its loop. Fails where it can't listen. */
+    /**
+     * Starts the node, which then runs on its loop. Returns the address that it listens on; fails
+     * where it can't listen.
+     */
     InetSocketAddress start() throws IOException {
         loop = new Loop();
         CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
         loop.execute(() -> serve(listening));
-        // Before the node can be seen to be ready: unhandled, both signals would end the program.
+        // Before the node can report that it is ready: unhandled, both signals would end the
+        // program.
         if (!Signals.onHangup(this::reload)) {
-            // As under nohup: what was ignored before the program began can't be had, and nobody
-            // would see why.
+            // As under nohup: a signal that was ignored before the program started can't be
+            // handled, and without this line nobody would see why reloading does nothing.
             log.line(
                     "SIGHUP is ignored by whoever started this process: a new configuration needs a restart");
         }
         Signals.onUser1(() -> loop.execute(this::printTally));
-        // Behind the start on the loop, so that one who leaves finds it over; before its end, as
-        // clients may be here by then.
+        // Queued on the loop after the start, so that a shutdown finds the start completed;
+        // registered before the start completes, as clients may be connected by then.
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDownAndWait, "leave"));
         try {
             return listening.join();
@@ -132,8 +137,8 @@
             requireNoOtherDeployment();
             InetSocketAddress address = router.listen(startConfiguration.listen());
             if (siblings != null) {
-                // Before the yes: at that the other process may be told to leave, and must see who
-                // is here.
+                // Before the node reports that it is ready: after that the other process may be
+                // told to shut down, and must see that this one serves.
                 siblings.claimSlot();
                 requireNoOtherDeployment();
                 ejections.applyStored(siblings.read());
@@ -194,7 +199,7 @@
 
                     @Override
                     public void exit(int status) {
-                        // The end waits for this loop: not on it.
+                        // On a thread of its own: the exit waits for the loop.
                         new Thread(() -> System.exit(status), "end").start();
                     }
                 });
@@ -204,7 +209,10 @@
         return phase == Phase.SERVING && (extension == null || extension.isReady());
     }
 
-    /** First of all: while the node starts, operators hear a no, not nothing. */
+    /**
+     * Comes first in the start, so that operators are answered that the node is not ready instead
+     * of being refused.
+     */
     private void listenForOperators() throws IOException {
         siblings =
                 SiblingProcesses.open(
@@ -217,11 +225,11 @@
         InetSocketAddress address =
                 new OperatorServer(loop, api, router.tally())
                         .listen(startConfiguration.management());
-        log.line("operators call " + Addresses.written(address));
+        log.line("operator API at " + Addresses.written(address));
     }
 
     /**
-     * While another process serves at this address, both go by the same bans and share the
+     * While another process serves at this address, both apply the same ejections and share the
      * descriptors.
      */
     private void pollSiblings() {
@@ -258,8 +266,8 @@
     }
 
     /**
-     * Reads the configuration again; one after the other, so that the latest reading holds at the
-     * end.
+     * Reads the configuration again. Synchronized, so that of several reloads the latest one is in
+     * effect at the end.
      */
     private synchronized void reload() {
         try {
@@ -277,8 +285,8 @@
 
     private void applyConfiguration(NodeConfiguration next) {
         if (!next.belongsTo().equals(startConfiguration.belongsTo())) {
-            // Its discovery and peers are another customer's: this node's tunnels would go to their
-            // hosts.
+            // Discovery and peers would be another customer's: this node's tunnels would go to that
+            // customer's hosts.
             rejectConfiguration("it is another deployment's, of " + next.belongsTo());
             return;
         }
@@ -298,7 +306,7 @@
         log.lines(router.tally().toString());
     }
 
-    /** Holds up the end of the program, as at SIGTERM, until all tunnels are elsewhere. */
+    /** Delays the end of the program, as at SIGTERM, until all tunnels are elsewhere. */
     private void shutDownAndWait() {
         boolean isReplaced = siblings != null && siblings.releaseSlot();
         loop.execute(() -> shutDown(isReplaced));
--- a/node/src/main/java/embershift/program/SelfTest.java
+++ b/node/src/main/java/embershift/program/SelfTest.java
@@ -12,16 +12,16 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A node, a host, a discovery and a client in one process: a tunnel is opened, used and moved. It
- * shows that a node can live on this machine, and a build records by it the classes that nodes need
- * from their start.
+ * Runs a node with a host, a discovery service and a client in one process; tunnels are opened,
+ * used and moved. It shows that a node can run on this machine, and the build uses it to record the
+ * classes that nodes load at their start.
  */
 final class SelfTest {
 
     private static final int READ_TIMEOUT_MS = 5000;
     private static final int TUNNELS = 3;
 
-    /** One side of a talk in lines. */
+    /** Serves one connection of a line-based protocol. */
     private interface ConnectionHandler {
         void handle(Socket socket, BufferedReader in) throws IOException;
     }
@@ -36,7 +36,8 @@
     }
 
     /**
-     * Plays it all; fails where a client does not hear what it should. The node is left to its end.
+     * Runs the test; fails where a client does not receive what it should. The node keeps running
+     * and is shut down with the process.
      */
     void run(Log log) throws IOException, Unreadable {
         serve(host, this::runHost);
@@ -62,7 +63,7 @@
         String received = in.readLine();
         if (!expected.equals(received)) {
             throw new IOException(
-                    "the rehearsal heard '" + received + "' where '" + expected + "' was due");
+                    "self-test received '" + received + "' instead of '" + expected + "'");
         }
     }
 
@@ -78,8 +79,8 @@
                                                 BufferedReader in = reader(socket)) {
                                             handler.handle(socket, in);
                                         } catch (IOException e) {
-                                            // The node has ended this connection, as it does with
-                                            // all at its end.
+                                            // The node has closed this connection, as it does
+                                            // with all connections at its end.
                                         }
                                     });
                         }
@@ -105,7 +106,8 @@
     }
 
     /**
-     * Answers questions, opens tunnels and echoes their lines; the first tunnel is moved instead.
+     * The host: answers probes, opens tunnels and echoes their lines, but moves the first tunnel at
+     * its first line.
      */
     private void runHost(Socket socket, BufferedReader in) throws IOException {
         boolean isFirstTunnel = false;
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -27,43 +27,42 @@
 import java.util.zip.CRC32;
 
 /**
- * The processes that serve at one address, as they see each other in a folder that they have in
- * common: each holds a byte of a lock file from its yes until it leaves, which the system frees
- * when it dies, however that was, and has written how many descriptors it holds. Beside it lie the
- * hosts out by hand, a list a change. Nobody waits for another here, as that one may be stopped.
- * What can't be read or written is told once each, and the node serves on without. All calls may
- * wait for a disk.
+ * The processes that serve at one address, which see each other through a shared folder. Each holds
+ * a lock on one byte (its slot) of a lock file from the moment it is ready until it shuts down; the
+ * system frees the lock however the process dies. In the lock file each process also writes how
+ * many descriptors it holds. The folder also has the hosts ejected by operators, with a new list
+ * for every change. No process waits for another one here, as that one may be stopped. Each kind of
+ * failure to read or write is logged once, and the node goes on without. All methods may block on a
+ * disk.
  */
 final class SiblingProcesses implements HostEjections.Store {
 
-    /** Processes that can tell each other apart at one address. */
+    /** Number of slots: how many processes at one address can tell each other apart. */
     private static final int MAX_PROCESSES = 8;
 
-    /** Where in the lock file the descriptors stand. */
+    /** Offset in the lock file of the processes' statuses, one a slot. */
     private static final int STATUS_OFFSET = 16;
 
-    /** Where it stands whose each slot is. */
+    /** Offset in the lock file of the hashes of the deployments that own the slots. */
     private static final int OWNER_OFFSET =
             STATUS_OFFSET + MAX_PROCESSES * ProcessStatus.SIZE_BYTES;
 
-    /**
-     * Lists of bans that lie there at a time; times that a change, or a reading, is tried while
-     * others write.
-     */
+    /** Lists of ejected hosts that are kept in the folder at a time. */
     private static final int RETAINED_LISTS = 16;
 
+    /** Times that a change or a read is attempted while other processes write. */
     private static final int MAX_ATTEMPTS = 64;
 
     private final Path folder;
 
-    /** How the lists' names begin; their numbers follow. */
+    /** The start of the lists' file names, which their numbers follow. */
     private final String listPrefix;
 
     private final FileChannel lockFile;
 
     /**
-     * What tells the deployment that this process belongs to; what another one's left here concerns
-     * nobody else.
+     * Identifies the deployment that this process belongs to; files and slots of other deployments
+     * are ignored.
      */
     private final int deploymentHash;
 
@@ -72,8 +71,8 @@
     private FileLock ownLock;
 
     /**
-     * The number of the last list seen, or 0: that it is gone since then does not say that none
-     * hold.
+     * The number of the latest list seen, or 0. If that list has disappeared since, this does not
+     * mean that no host is ejected.
      */
     private long latestNumber;
 
@@ -83,7 +82,8 @@
         this.folder = folder;
         deploymentHash = deploymentHash(deployment);
         listPrefix = listPrefix(address, deployment);
-        // Kept open: closed, even a second channel to it would give all locks of this process up.
+        // Stays open: closing any channel to the file, even a second one, would release all locks
+        // that this process holds on it.
         lockFile =
                 FileChannel.open(
                         folder.resolve(fileNamePrefix(address) + ".lock"),
@@ -102,7 +102,7 @@
         return (int) crc.getValue() == 0 ? 1 : (int) crc.getValue();
     }
 
-    /** How the names of the lists of bans begin of a deployment's node at that address. */
+    /** The start of the file names of the lists that a deployment's node at this address writes. */
     static String listPrefix(String address, String deployment) {
         return fileNamePrefix(address)
                 + "."
@@ -111,8 +111,11 @@
     }
 
     /**
-     * Null where there is no folder in common, or none that can be used, which the log then says.
-     * {@code belongsTo}: as {@code NodeConfiguration.belongsTo} has it.
+     * Opens the lock file in the shared folder.
+     *
+     * @param folder null or empty where there is no shared folder
+     * @param deployment the deployment's id, as {@code NodeConfiguration.belongsTo} returns it
+     * @return null where there is no shared folder or it can't be used, which is then logged
      */
     static SiblingProcesses open(
             String folder, String address, String deployment, Consumer<String> log) {
@@ -122,12 +125,12 @@
         try {
             return new SiblingProcesses(Path.of(folder), address, deployment, log);
         } catch (IOException | RuntimeException e) {
-            log.accept("bans by hand will not outlast this process: " + e);
+            log.accept("ejections of hosts will not outlast this process: " + e);
             return null;
         }
     }
 
-    /** From now on the others see that this process serves. */
+    /** Claims a slot, by which the other processes see from now on that this one serves. */
     synchronized void claimSlot() {
         try {
             for (int slot = 0; ownLock == null && slot < MAX_PROCESSES; slot++) {
@@ -139,7 +142,7 @@
                 }
             }
         } catch (IOException e) {
-            logOnce("the others can't see that this process serves", e);
+            logOnce("other processes can't see that this one serves", e);
         }
     }
 
@@ -148,8 +151,8 @@
     }
 
     /**
-     * Whether a process of this deployment holds that slot; one that does not tell is taken for
-     * one.
+     * Whether the process in this slot belongs to this deployment; one that has not written its
+     * deployment is assumed to.
      */
     private boolean isOwnDeployment(int slot) throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate(Integer.BYTES);
@@ -161,8 +164,8 @@
     }
 
     /**
-     * Whether a process of another deployment serves at this address: the system would deal its
-     * clients out to both.
+     * Whether a process of another deployment serves at this address: the system would distribute
+     * the clients of either among both.
      */
     synchronized boolean hasOtherDeployment() {
         boolean found = false;
@@ -171,7 +174,7 @@
                 found |= !isOwnSlot(slot) && isHeldByOther(slot) && !isOwnDeployment(slot);
             }
         } catch (IOException e) {
-            logOnce("who else serves here can't be seen", e);
+            logOnce("can't see which other processes serve at this address", e);
         }
         return found;
     }
@@ -183,14 +186,16 @@
                 ownLock = null;
             }
         } catch (IOException e) {
-            logOnce("the lock can't be given up", e);
+            logOnce("can't release the lock", e);
         }
     }
 
     /**
-     * The lock on a slot, or null while another process, or another node in this one, holds it.
-     * {@code shared}: only to look; one that is stopped while it looks must not be taken by the
-     * others for one that serves.
+     * Returns the lock on a slot, or null while another process, or another node in this process,
+     * holds it.
+     *
+     * @param shared to check a slot only: a process that is stopped during the check must not look
+     *     to the others like one that serves
      */
     private FileLock tryLock(int slot, boolean shared) throws IOException {
         try {
@@ -204,7 +209,7 @@
         return ownLock != null && ownLock.position() == slot;
     }
 
-    /** Whether another than this one holds the slot. */
+    /** Whether another process, or another node in this process, holds the slot. */
     private boolean isHeldByOther(int slot) throws IOException {
         FileLock lock = tryLock(slot, true);
         if (lock != null) {
@@ -214,14 +219,16 @@
     }
 
     /**
-     * What a process tells the others: the descriptors that it holds or may yet take, and how many
-     * tunnels fill a host.
+     * What a process tells the others.
+     *
+     * @param descriptors how many it holds or may yet take
+     * @param tunnelsToFillHost how many tunnels fill a host, as far as it has learned
      */
     record ProcessStatus(int descriptors, double tunnelsToFillHost) {
         static final int SIZE_BYTES = Integer.BYTES + Double.BYTES;
     }
 
-    /** Tells the others this; returns what those that serve here have told. */
+    /** Publishes this process's status; returns the statuses of the others that serve here. */
     synchronized List<ProcessStatus> exchange(ProcessStatus own) {
         List<ProcessStatus> others = new ArrayList<>();
         try {
@@ -245,12 +252,14 @@
                 }
             }
         } catch (IOException e) {
-            logOnce("who else serves here can't be seen", e);
+            logOnce("can't see which other processes serve at this address", e);
         }
         return others;
     }
 
-    /** At the end: gives the slot up; whether another serves here. */
+    /**
+     * Releases the slot at the end of this process; returns whether another process serves here.
+     */
     synchronized boolean releaseSlot() {
         List<ProcessStatus> others = exchange(new ProcessStatus(0, 0));
         releaseLock();
@@ -263,14 +272,12 @@
         return latest == null ? null : latest.hosts;
     }
 
-    /**
-     * The last list that was written, and its number; 0 and none where there has been no list yet.
-     */
+    /** The latest list and its number; 0 and no hosts where there has been no list yet. */
     private record NumberedList(long number, Collection<HostId> hosts) {}
 
     /**
-     * Null where it can't be told; the number of the last list that was seen stands in {@code last}
-     * all the same.
+     * Reads the latest list; returns null where that is not possible. Sets {@link #latestNumber} to
+     * the number of the latest list found in either case.
      */
     private NumberedList readLatest() {
         try {
@@ -283,22 +290,22 @@
                 Path file = listFile(latestNumber);
                 try {
                     if (Files.size(file) > BanList.LONGEST) {
-                        throw new Unreadable("over " + BanList.LONGEST + " bytes");
+                        throw new Unreadable("longer than " + BanList.LONGEST + " bytes");
                     }
                     return new NumberedList(
                             latestNumber,
                             BanList.read(Files.readString(file, StandardCharsets.UTF_8)));
                 } catch (NoSuchFileException e) {
-                    // Others wrote so many meanwhile that this one was swept away; or all lists are
-                    // gone.
+                    // Other processes have written so many lists meanwhile that this one was
+                    // deleted, or all lists are gone.
                     if (previousNumber == latestNumber) {
-                        throw new Unreadable("it is gone");
+                        throw new Unreadable("the latest list no longer exists");
                     }
                 }
             }
-            throw new Unreadable("others write faster than this process reads");
+            throw new Unreadable("other processes write lists faster than this one reads them");
         } catch (IOException | DirectoryIteratorException | Unreadable e) {
-            logOnce("hosts out by hand can't be read from " + folder.resolve(listPrefix), e);
+            logOnce("can't read the ejected hosts from " + folder.resolve(listPrefix), e);
             return null;
         }
     }
@@ -308,8 +315,8 @@
     }
 
     /**
-     * Finds the last list: one at a time from the last one known, or all of them where that one is
-     * not there.
+     * Finds the latest list: number by number from the latest one known, or by listing the folder
+     * where that one does not exist.
      */
     private void findLatest() throws IOException {
         if (latestNumber == 0 || !Files.exists(listFile(latestNumber))) {
@@ -324,18 +331,18 @@
         }
     }
 
-    /** 0 for what is no list. */
+    /** The number of a list by its file name; 0 for a file that is no list. */
     private long listNumber(Path file) {
         String number = file.getFileName().toString().substring(listPrefix.length());
         return number.matches("[1-9]\\d{0,17}") ? Long.parseLong(number) : 0;
     }
 
     /**
-     * Each change is a list of its own under the next number, and only one process can give a file
-     * a name that none has: so nobody holds anything that the others wait for, and who was stopped
-     * in the middle of a change finds, when it goes on, that its number has gone. A call that
-     * changes nothing takes a number too: else one that was stopped before it could still go over
-     * it.
+     * Writes each change as a new list under the next number. Only one process can create a file of
+     * a given name, so no process holds a lock that others wait for, and a process that was stopped
+     * in the middle of a change finds its number taken when it continues. A call that changes
+     * nothing takes a number too: otherwise an earlier change by a process that was stopped could
+     * still overwrite it.
      */
     @Override
     public synchronized HostEjections.StoreResult change(
@@ -350,13 +357,13 @@
                     ejected.remove(host);
                 }
                 if (ejected.size() > BanList.MOST) {
-                    throw new IOException("over " + BanList.MOST + " hosts");
+                    throw new IOException("more than " + BanList.MOST + " hosts");
                 }
                 long next = latestNumber + 1;
                 if (publish(next, BanList.write(ejected))) {
                     if (!inTime.getAsBoolean()) {
-                        // Stopped so long that its number may have been given, swept away and given
-                        // again.
+                        // Stopped for so long that its number may have been taken, deleted and
+                        // taken again.
                         return new HostEjections.StoreResult(
                                 HostEjections.Outcome.TOO_LATE, read());
                     }
@@ -368,14 +375,14 @@
                     return new HostEjections.StoreResult(HostEjections.Outcome.TOO_LATE, read());
                 }
             }
-            throw new IOException("others change them all the time");
+            throw new IOException("other processes change the list all the time");
         } catch (IOException | DirectoryIteratorException e) {
-            logOnce("a host out by hand is known to this process only", e);
+            logOnce("an ejection of a host is in effect in this process only", e);
             return new HostEjections.StoreResult(HostEjections.Outcome.HERE_ONLY, null);
         }
     }
 
-    /** Whether the list is now the one of that number; not where there was one. */
+    /** Creates the list of that number; returns false where it exists already. */
     private boolean publish(long number, String text) throws IOException {
         Path temporary = folder.resolve(listPrefix + "new-" + ProcessHandle.current().pid());
         Files.writeString(temporary, text, StandardCharsets.UTF_8);
@@ -385,18 +392,18 @@
         } catch (FileAlreadyExistsException e) {
             return false;
         } catch (UnsupportedOperationException e) {
-            throw new IOException("no two names for one file here", e);
+            throw new IOException("the file system does not support hard links", e);
         } finally {
             Files.deleteIfExists(temporary);
         }
     }
 
-    /** Takes away the lists of long ago. */
+    /** Deletes all lists but the latest {@link #RETAINED_LISTS}. */
     private void deleteOldLists() throws IOException {
         for (long number = latestNumber - RETAINED_LISTS;
                 number > 0 && Files.deleteIfExists(listFile(number));
                 number--) {
-            // Down to the first one that is gone already.
+            // Down to the first one that has been deleted already.
         }
     }
 
--- a/node/src/test/java/embershift/operations/OperatorsTest.java
+++ b/node/src/test/java/embershift/operations/OperatorsTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Operators' calls on loopback, beside the tunnels that they ask about. */
+/** Operators' requests over loopback sockets, next to the tunnels that they ask about. */
 public class OperatorsTest extends Loopback {
 
     private InetSocketAddress clients;
@@ -28,7 +28,7 @@
     private volatile boolean ready;
 
     @BeforeMethod
-    public void begin() {
+    public void resetReady() {
         ready = true;
     }
 
@@ -76,7 +76,7 @@
 
     private static HttpReply reply(Socket socket) throws Exception {
         HttpReply reply = new HttpReply();
-        // To the end of the connection: each answer must end it.
+        // Reads to the end of the connection, as each answer must close it.
         reply.take(ByteBuffer.wrap(socket.getInputStream().readAllBytes()));
         assertTrue(reply.end());
         return reply;
@@ -86,18 +86,20 @@
         return reply(talk(operators, method + " " + path + " HTTP/1.1\r\nHost: n\r\n\r\n"));
     }
 
-    /** A client's line, and its host's side once that has read it. */
+    /**
+     * Requests a tunnel; returns the client's socket and the host's, which has read the request.
+     */
     private Socket[] tunnel(ServerSocket host, String id) throws IOException {
         Socket client = talk(clients, "OPEN " + id + " k c=p\"q,d=3000\r\n");
-        Socket side = accept(host);
-        hear(side);
-        return new Socket[] {client, side};
+        Socket hostSide = accept(host);
+        hear(hostSide);
+        return new Socket[] {client, hostSide};
     }
 
-    private void telemetryBecomes(String expected) throws Exception {
+    private void awaitTelemetry(String expected) throws Exception {
         String body = "";
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-                System.nanoTime() < until; ) {
+        for (long deadline = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+                System.nanoTime() < deadline; ) {
             body = call("GET", "/api/telemetry").body().trim();
             if (body.equals(expected)) {
                 return;
@@ -106,8 +108,10 @@
         assertEquals(body, expected);
     }
 
-    /** Each decline tells its one reason, so as many reasons are told as tunnels are throttled. */
-    private static String figures(
+    /**
+     * The expected telemetry; each declined tunnel counts as throttled and under its one reason.
+     */
+    private static String telemetry(
             int fulfilled,
             int faulted,
             int relayed,
@@ -128,7 +132,7 @@
     }
 
     @Test
-    public void eachCallHasItsStatus() throws Exception {
+    public void eachRequestIsAnsweredWithItsStatus() throws Exception {
         start(1024);
         assertEquals(call("GET", "/api/ready").status(), 200);
         ready = false;
@@ -142,7 +146,7 @@
     }
 
     @Test
-    public void hostOutByHandIsNotUsedOnceTheNodeHasSaidYes() throws Exception {
+    public void ejectedHostIsNotUsedOnceTheRequestIsAnswered() throws Exception {
         ServerSocket host = listening();
         start(1024, host);
         assertEquals(call("GET", "/api/exclude/s0").status(), 405);
@@ -151,38 +155,39 @@
             assertEquals(call("POST", "/api/exclude/s0").status(), 200);
         }
         assertTrue(hear(talk(clients, "OPEN a k c=p\"q,d=3000\r\n")).startsWith("BUSY"));
-        telemetryBecomes(figures(0, 0, 0, 0, 1, DeclineReason.NO_HOST_READY));
+        awaitTelemetry(telemetry(0, 0, 0, 0, 1, DeclineReason.NO_HOST_READY));
         for (int i = 0; i < 2; i++) {
             assertEquals(call("POST", "/api/include/s%30").status(), 200);
         }
-        telemetryBecomes(figures(0, 0, 0, 0, 0, DeclineReason.NO_HOST_READY));
+        awaitTelemetry(telemetry(0, 0, 0, 0, 0, DeclineReason.NO_HOST_READY));
     }
 
     @Test
-    public void figuresCountEachTunnelOnceByItsAnswer() throws Exception {
+    public void telemetryCountsEachTunnelOnceByItsAnswer() throws Exception {
         ServerSocket host = listening();
         start(1024, host);
-        telemetryBecomes(figures(0, 0, 0, 0, 0));
+        awaitTelemetry(telemetry(0, 0, 0, 0, 0));
         Socket[] opened = tunnel(host, "a");
         say(opened[1], "UP r\r\n");
         assertEquals(hear(opened[0]), "UP r");
-        telemetryBecomes(figures(1, 0, 1, 1, 0));
+        awaitTelemetry(telemetry(1, 0, 1, 1, 0));
         Socket[] failed = tunnel(host, "b");
         say(failed[1], "ERR\r\n");
         assertTrue(hear(failed[0]).startsWith("ERR"));
-        telemetryBecomes(figures(1, 1, 2, 1, 1));
+        awaitTelemetry(telemetry(1, 1, 2, 1, 1));
         host.close();
         Socket declined = talk(clients, "OPEN c k c=p\"q,d=3000\r\n");
         assertTrue(hear(declined).startsWith("BUSY"));
         say(opened[1], "BYE\r\n");
         opened[1].close();
-        telemetryBecomes(figures(1, 1, 2, 0, 1, DeclineReason.HOSTS_SILENT));
+        awaitTelemetry(telemetry(1, 1, 2, 0, 1, DeclineReason.HOSTS_SILENT));
     }
 
     @Test
-    public void crowdWithoutAWholeCallKeepsNoSoundCallerOutNorAnyClient() throws Exception {
+    public void connectionsWithoutACompleteRequestBlockNeitherOperatorsNorClients()
+            throws Exception {
         ServerSocket host = listening();
-        // Beyond what this process holds already: tests before may have left it some.
+        // On top of what this process holds already, as earlier tests may have left descriptors.
         start(on(loop::descriptors) + 1024, host);
         Socket first = talk(operators, "");
         for (int i = 0; i < 100; i++) {
@@ -200,11 +205,10 @@
     }
 
     @Test
-    public void operatorsAreAnsweredWhereALowerLimitLeavesTunnelsMoreThanThereIs()
-            throws Exception {
+    public void operatorsAreAnsweredWhereTunnelsExceedALoweredDescriptorLimit() throws Exception {
         ServerSocket host = listening();
-        int held = on(loop::descriptors);
-        start(held + 200, host);
+        int descriptorsBefore = on(loop::descriptors);
+        start(descriptorsBefore + 200, host);
         List<Socket[]> tunnels = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             Socket[] ends = tunnel(host, "t" + i);
@@ -212,7 +216,7 @@
             assertEquals(hear(ends[0]), "UP r");
             tunnels.add(ends);
         }
-        NodeConfiguration lower = configuration(held + 20, host);
+        NodeConfiguration lower = configuration(descriptorsBefore + 20, host);
         on(
                 () -> {
                     router.reconfigure(lower);
@@ -232,7 +236,7 @@
     }
 
     @Test
-    public void operatorsAreAnsweredWhereClientsHaveTakenAllDescriptors() throws Exception {
+    public void operatorsAreAnsweredWhereClientsHoldAllDescriptors() throws Exception {
         start(on(loop::descriptors) + Router.OPERATORS + 60);
         for (int i = 0; i < 150; i++) {
             talk(clients, i % 2 == 0 ? "" : "OPEN ");
--- a/node/src/test/java/embershift/program/ReadyTest.java
+++ b/node/src/test/java/embershift/program/ReadyTest.java
@@ -19,14 +19,14 @@
 import org.testng.annotations.Test;
 
 /**
- * What a node's yes waits for at its start: never for discovery. Discoveries here never tell a
- * whole list, so a yes that waited would not come.
+ * A starting node must become ready without waiting for discovery. The discovery services here
+ * never send a complete roster, so a node that waited for one would never become ready.
  */
 public class ReadyTest {
 
-    private static final int PATIENCE_MS = 30_000;
-    private static final long PIECE_NS = 1_000_000;
-    private static final String HEAD =
+    private static final int TIMEOUT_MS = 30_000;
+    private static final long BYTE_INTERVAL_NS = 1_000_000;
+    private static final String RESPONSE_START =
             "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"generation\":2,";
 
     @DataProvider
@@ -35,22 +35,23 @@
     }
 
     @Test(dataProvider = "discoveries")
-    public void nodeIsReadyAndPlacesByTheListThatItKnowsWhateverDiscoveryDoesAtItsStart(String kind)
+    public void startingNodeIsReadyAndPlacesByItsKnownRosterWhateverDiscoveryDoes(String kind)
             throws Exception {
         Path folder = Files.createTempDirectory("embershift");
         Process node = null;
-        CountDownLatch called = new CountDownLatch(1);
-        Set<Socket> open = ConcurrentHashMap.newKeySet();
-        ServerSocket discovery = listening();
-        try (ServerSocket host = listening()) {
+        CountDownLatch discoveryCalled = new CountDownLatch(1);
+        Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+        ServerSocket discovery = listenOnLoopback();
+        try (ServerSocket host = listenOnLoopback()) {
             int port = ReplaceTest.freePort();
             int management = ReplaceTest.freePort();
             if (kind.equals("refused")) {
                 discovery.close();
             } else {
-                daemon(() -> answer(kind, discovery, open, called));
+                startDaemonThread(
+                        () -> serveDiscovery(kind, discovery, openSockets, discoveryCalled));
             }
-            daemon(() -> takeAll(host));
+            startDaemonThread(() -> acceptTunnels(host));
             Path file =
                     Files.writeString(
                             folder.resolve("configuration.json"),
@@ -63,26 +64,27 @@
             builder.environment().put("TMPDIR", folder.toString());
             Path log = folder.resolve("log");
             node = builder.redirectOutput(log.toFile()).start();
-            for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-                    !first(management, "GET /api/ready HTTP/1.1\r\n\r\n")
+            for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+                    !firstLine(management, "GET /api/ready HTTP/1.1\r\n\r\n")
                             .startsWith("HTTP/1.1 200");
                     Thread.sleep(10)) {
-                assertTrue(System.nanoTime() < until && node.isAlive(), Files.readString(log));
+                assertTrue(System.nanoTime() < deadline && node.isAlive(), Files.readString(log));
             }
-            assertEquals(first(port, "OPEN i k c=p,d=3000\r\n"), "UP r");
+            assertEquals(firstLine(port, "OPEN i k c=p,d=3000\r\n"), "UP r");
             assertTrue(
-                    kind.equals("refused") || called.await(PATIENCE_MS, TimeUnit.MILLISECONDS),
+                    kind.equals("refused")
+                            || discoveryCalled.await(TIMEOUT_MS, TimeUnit.MILLISECONDS),
                     "discovery was not asked");
         } finally {
             discovery.close();
             if (node != null) {
                 node.destroyForcibly().waitFor();
             }
-            for (Socket each : open) {
+            for (Socket each : openSockets) {
                 each.close();
             }
-            try (var all = Files.list(folder)) {
-                for (Path each : all.toList()) {
+            try (var files = Files.list(folder)) {
+                for (Path each : files.toList()) {
                     Files.delete(each);
                 }
             }
@@ -90,67 +92,71 @@
         }
     }
 
-    private static ServerSocket listening() throws IOException {
+    private static ServerSocket listenOnLoopback() throws IOException {
         return new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     }
 
     private interface Task {
-        void play() throws IOException;
+        void run() throws IOException;
     }
 
-    private static void daemon(Task part) {
+    private static void startDaemonThread(Task task) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
-                                part.play();
+                                task.run();
                             } catch (IOException e) {
-                                // The test is over.
+                                // The sockets are closed at the end of the test.
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    private static void answer(
-            String kind, ServerSocket discovery, Set<Socket> open, CountDownLatch called)
+    private static void serveDiscovery(
+            String kind,
+            ServerSocket discovery,
+            Set<Socket> openSockets,
+            CountDownLatch discoveryCalled)
             throws IOException {
         while (true) {
             Socket socket = discovery.accept();
-            open.add(socket);
-            daemon(
+            openSockets.add(socket);
+            startDaemonThread(
                     () -> {
                         ServeTest.reader(socket.getInputStream()).readLine();
-                        called.countDown();
+                        discoveryCalled.countDown();
                         if (!kind.equals("silent")) {
                             socket.getOutputStream()
-                                    .write(HEAD.getBytes(StandardCharsets.US_ASCII));
+                                    .write(RESPONSE_START.getBytes(StandardCharsets.US_ASCII));
                         }
                         while (kind.equals("never-ending")) {
-                            LockSupport.parkNanos(PIECE_NS);
+                            LockSupport.parkNanos(BYTE_INTERVAL_NS);
                             socket.getOutputStream().write(' ');
                         }
                     });
         }
     }
 
-    private static void takeAll(ServerSocket host) throws IOException {
+    private static void acceptTunnels(ServerSocket host) throws IOException {
         while (true) {
-            Socket side = host.accept();
-            daemon(
+            Socket connection = host.accept();
+            startDaemonThread(
                     () -> {
-                        ServeTest.reader(side.getInputStream()).readLine();
-                        side.getOutputStream()
+                        ServeTest.reader(connection.getInputStream()).readLine();
+                        connection
+                                .getOutputStream()
                                 .write("UP r\r\n".getBytes(StandardCharsets.US_ASCII));
                     });
         }
     }
 
-    /** The first line of the answer; "" where nothing listens. */
-    private static String first(int port, String words) {
+    /** Returns the first line of the answer; "" where nothing listens. */
+    private static String firstLine(int port, String request) {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            socket.setSoTimeout(PATIENCE_MS);
-            socket.getOutputStream().write(words.getBytes(StandardCharsets.US_ASCII));
+            socket.setSoTimeout(TIMEOUT_MS);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return String.valueOf(ServeTest.reader(socket.getInputStream()).readLine());
         } catch (IOException e) {
             return "";
--- a/node/src/test/java/embershift/program/ReplaceTest.java
+++ b/node/src/test/java/embershift/program/ReplaceTest.java
@@ -28,23 +28,23 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Two processes at one address: one takes over from the other. */
+/** Two processes that serve at one address, one of which replaces the other. */
 public class ReplaceTest {
 
-    private static final int PATIENCE_MS = 15_000;
+    private static final int TIMEOUT_MS = 15_000;
 
     private Path folder;
     private ServerSocket host;
     private final List<Process> processes = new ArrayList<>();
 
     @BeforeMethod
-    public void begin() throws IOException {
+    public void createFolderAndHost() throws IOException {
         folder = Files.createTempDirectory("embershift");
         host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
     }
 
     @AfterMethod
-    public void end() throws IOException {
+    public void stopProcesses() throws IOException {
         processes.forEach(Process::destroyForcibly);
         processes.clear();
         host.close();
@@ -54,7 +54,7 @@
         Files.delete(folder);
     }
 
-    /** A port that was free just now: two processes must be told the same one. */
+    /** Returns a port that was free a moment ago, as two processes must be given the same one. */
     static int freePort() throws IOException {
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return server.getLocalPort();
@@ -65,14 +65,14 @@
         return start(port, management, "");
     }
 
-    /** {@code more}: settings beside the usual ones. */
-    private Process start(int port, int management, String more) throws IOException {
+    /** Starts a process, with {@code extraSettings} in front of the usual ones. */
+    private Process start(int port, int management, String extraSettings) throws IOException {
         Path file = folder.resolve("configuration-" + management + ".json");
         Files.writeString(
                 file,
                 ServeTest.configuration(host.getLocalPort(), 9)
                         .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                        .replace("\"balancers\"", more + "\"balancers\""));
+                        .replace("\"balancers\"", extraSettings + "\"balancers\""));
         ProcessBuilder builder = ServeTest.builder("serve", "--configuration", file.toString());
         builder.environment().put("LB_MANAGEMENT", "127.0.0.1:" + management);
         builder.environment().put("TMPDIR", folder.toString());
@@ -82,107 +82,108 @@
         return process;
     }
 
-    private static String call(int management, String line) throws IOException {
+    private static String call(int management, String request) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), management)) {
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream()
-                    .write((line + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                    .write((request + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
     private void awaitReady(int management) throws Exception {
-        for (long until = System.nanoTime() + PATIENCE_MS * 1_000_000L; ; ) {
+        for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L; ; ) {
             try {
                 if (call(management, "GET /api/ready").startsWith("HTTP/1.1 200")) {
                     return;
                 }
             } catch (IOException e) {
-                // It does not listen yet.
+                // The process does not listen yet.
             }
             assertTrue(
-                    System.nanoTime() < until,
+                    System.nanoTime() < deadline,
                     Files.readString(folder.resolve("log-" + management)));
             Thread.sleep(10);
         }
     }
 
-    private void hostTakesAll() {
+    private void acceptTunnels() {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 while (true) {
-                                    Socket side = host.accept();
-                                    ServeTest.reader(side.getInputStream()).readLine();
-                                    side.getOutputStream()
+                                    Socket connection = host.accept();
+                                    ServeTest.reader(connection.getInputStream()).readLine();
+                                    connection
+                                            .getOutputStream()
                                             .write("UP r\r\n".getBytes(StandardCharsets.US_ASCII));
                                 }
                             } catch (IOException e) {
-                                // The test is over.
+                                // The sockets are closed at the end of the test.
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** A tunnel's first answer. */
-    private static String open(Socket client, String id) throws IOException {
-        client.setSoTimeout(PATIENCE_MS);
+    /** Requests a tunnel; returns the first line of the answer. */
+    private static String openTunnel(Socket client, String id) throws IOException {
+        client.setSoTimeout(TIMEOUT_MS);
         client.getOutputStream()
                 .write(("OPEN " + id + " k c=p,d=3000\r\n").getBytes(StandardCharsets.US_ASCII));
         return ServeTest.reader(client.getInputStream()).readLine();
     }
 
     @Test
-    public void aStreamOfConnectionsMeetsNoGapWhileOneProcessTakesOverFromTheOther()
-            throws Exception {
-        hostTakesAll();
+    public void clientsAreServedWithoutAGapWhileOneProcessReplacesTheOther() throws Exception {
+        acceptTunnels();
         int port = freePort();
         int[] management = {freePort(), freePort()};
         Process old = start(port, management[0]);
         awaitReady(management[0]);
-        AtomicBoolean going = new AtomicBoolean(true);
-        List<String> wrong = new ArrayList<>();
+        AtomicBoolean isRunning = new AtomicBoolean(true);
+        List<String> unexpected = new ArrayList<>();
         int[] answered = new int[1];
         int[] reset = new int[1];
         Thread clients =
                 new Thread(
                         () -> {
-                            while (going.get()) {
+                            while (isRunning.get()) {
                                 try (Socket client =
                                         new Socket(InetAddress.getLoopbackAddress(), port)) {
-                                    String answer = open(client, "i" + answered[0]++);
+                                    String answer = openTunnel(client, "i" + answered[0]++);
                                     if (!"UP r".equals(answer)
                                             && !String.valueOf(answer).startsWith("BUSY")) {
-                                        wrong.add(String.valueOf(answer));
+                                        unexpected.add(String.valueOf(answer));
                                     }
                                 } catch (ConnectException e) {
-                                    wrong.add(e.toString());
+                                    unexpected.add(e.toString());
                                 } catch (SocketException e) {
-                                    // The system resets what waits in its queue as a listener
-                                    // closes; that nobody had taken it is shown below.
+                                    // The system resets connections in its accept queue when a
+                                    // listener closes. The counters below show that no process
+                                    // had accepted this one.
                                     reset[0]++;
                                 } catch (IOException e) {
-                                    wrong.add(e.toString());
+                                    unexpected.add(e.toString());
                                 }
                             }
                         });
         clients.start();
         Process next = start(port, management[1]);
         awaitReady(management[1]);
-        try (Socket standing = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            standing.setSoTimeout(PATIENCE_MS);
-            // Until it is known to have been taken in: one that waits at the system would be reset
-            // as the listener closes.
-            standing.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertEquals(ServeTest.reader(standing.getInputStream()).readLine(), "PONG");
+        try (Socket idle = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            idle.setSoTimeout(TIMEOUT_MS);
+            // The answer shows that the connection has been accepted: one that is still in the
+            // system's queue would be reset when the listener closes.
+            idle.getOutputStream().write("PING\r\n".getBytes(StandardCharsets.US_ASCII));
+            assertEquals(ServeTest.reader(idle.getInputStream()).readLine(), "PONG");
             old.toHandle().destroy();
             Path log = folder.resolve("log-" + management[0]);
             while (!Files.readString(log).contains("leaving")) {
                 Thread.onSpinWait();
             }
-            String answer = open(standing, "late");
+            String answer = openTunnel(idle, "late");
             assertTrue(answer.equals("UP r") || answer.startsWith("BUSY"), answer);
             assertTrue(old.waitFor(10, TimeUnit.SECONDS));
         }
@@ -190,37 +191,39 @@
         while (answered[0] < before + 20) {
             Thread.onSpinWait();
         }
-        going.set(false);
+        isRunning.set(false);
         clients.join();
-        assertEquals(wrong, List.of(), wrong.toString());
+        assertEquals(unexpected, List.of(), unexpected.toString());
         assertTrue(next.isAlive());
         String log = Files.readString(folder.resolve("log-" + management[0]));
         assertTrue(log.contains("another process serves at this address"), log);
-        // One client after the other: no more than one can have waited at the one moment of the
-        // close, and whatever either
-        // process took in was answered, the one that stands and those that asked whether it is
-        // ready apart.
+        // Clients connect one after the other, so at most one can have been in the queue at the one
+        // moment when the listener closed. Every connection that either process accepted was
+        // answered: the clients' and the idle one above. Requests whether a process is ready go to
+        // its management port and are not counted.
         assertTrue(reset[0] <= 1, "reset " + reset[0]);
         next.toHandle().destroy();
         assertTrue(next.waitFor(10, TimeUnit.SECONDS));
-        assertEquals(takenIn(management[0]) + takenIn(management[1]), answered[0] - reset[0] + 1);
+        assertEquals(
+                connectionsTakenIn(management[0]) + connectionsTakenIn(management[1]),
+                answered[0] - reset[0] + 1);
     }
 
     /**
-     * Clients' connections that the process with this operators' address has taken in, as it told
-     * at its end.
+     * The number of client connections that the process with this management port has accepted,
+     * from the counters that it logs at its end.
      */
-    private int takenIn(int management) throws IOException {
-        String name = "connections taken in ";
+    private int connectionsTakenIn(int management) throws IOException {
+        String counterName = "connections taken in ";
         return Files.readAllLines(folder.resolve("log-" + management)).stream()
-                .filter(line -> line.startsWith(name))
-                .mapToInt(line -> Integer.parseInt(line.substring(name.length())))
+                .filter(line -> line.startsWith(counterName))
+                .mapToInt(line -> Integer.parseInt(line.substring(counterName.length())))
                 .findFirst()
                 .orElse(0);
     }
 
     @Test
-    public void hostOutByHandStaysOutWhicheverProcessIsTold() throws Exception {
+    public void ejectionsHoldWhicheverProcessIsTold() throws Exception {
         int port = freePort();
         int[] management = {freePort(), freePort()};
         start(port, management[0]);
@@ -245,15 +248,15 @@
                 Set.of());
     }
 
-    private void awaitTelemetry(int management, String part) throws Exception {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        while (!call(management, "GET /api/telemetry").contains(part)) {
-            assertTrue(System.nanoTime() < until, call(management, "GET /api/telemetry"));
+    private void awaitTelemetry(int management, String expected) throws Exception {
+        long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        while (!call(management, "GET /api/telemetry").contains(expected)) {
+            assertTrue(System.nanoTime() < deadline, call(management, "GET /api/telemetry"));
         }
     }
 
     @Test
-    public void whatAProcessLongDeadLeftIsNoReasonNotToStartNorToLeaveInHaste() throws Exception {
+    public void filesOfADeadProcessNeitherPreventAStartNorShortenAShutdown() throws Exception {
         int port = freePort();
         int[] management = {freePort(), freePort()};
         Process dead = start(port, management[0]);
@@ -274,7 +277,7 @@
     }
 
     @Test
-    public void anotherDeploymentAtTheSameAddressFindsNothingOfTheFirst() {
+    public void anotherDeploymentAtTheSameAddressDoesNotSeeTheDataOfTheFirst() {
         SiblingProcesses first =
                 SiblingProcesses.open(folder.toString(), "a:1", "lamps", line -> {});
         SiblingProcesses second =
@@ -284,8 +287,8 @@
         change(first, "h", true, List.of());
         first.claimSlot();
         first.exchange(new SiblingProcesses.ProcessStatus(70, 9.5));
-        // Its replacement finds all of it; the other, later or at once, nothing but that somebody
-        // else is here.
+        // A process of the same deployment finds all data of the first; one of another deployment
+        // finds none, only that another deployment serves here.
         assertEquals(
                 next.exchange(new SiblingProcesses.ProcessStatus(1, 0)),
                 List.of(new SiblingProcesses.ProcessStatus(70, 9.5)));
@@ -300,14 +303,14 @@
     }
 
     @Test
-    public void nodeOfAnotherDeploymentDoesNotListenBesideTheFirst() throws Exception {
+    public void nodeOfAnotherDeploymentDoesNotListenAtTheSameAddress() throws Exception {
         int port = freePort();
         int[] management = {freePort(), freePort()};
         start(port, management[0]);
         awaitReady(management[0]);
-        Process other = start(port, management[1], "\"tiers\":[\"gauges\"],");
-        assertTrue(other.waitFor(PATIENCE_MS, TimeUnit.MILLISECONDS));
-        assertEquals(other.exitValue(), 2);
+        Process second = start(port, management[1], "\"tiers\":[\"gauges\"],");
+        assertTrue(second.waitFor(TIMEOUT_MS, TimeUnit.MILLISECONDS));
+        assertEquals(second.exitValue(), 2);
         String log = Files.readString(folder.resolve("log-" + management[1]));
         assertTrue(
                 log.contains(
@@ -318,15 +321,15 @@
     }
 
     @Test
-    public void processKilledBeforeItsYesLeavesTheOtherAsItWas() throws Exception {
-        hostTakesAll();
+    public void processKilledBeforeItIsReadyDoesNotAffectTheOther() throws Exception {
+        acceptTunnels();
         int port = freePort();
         int[] management = {freePort(), freePort()};
         Process old = start(port, management[0]);
         awaitReady(management[0]);
         start(port, management[1]).destroyForcibly().waitFor();
         try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            assertEquals(open(client, "a"), "UP r");
+            assertEquals(openTunnel(client, "a"), "UP r");
         }
         old.toHandle().destroy();
         assertTrue(old.waitFor(10, TimeUnit.SECONDS));
@@ -336,56 +339,57 @@
     }
 
     private static Collection<HostId> change(
-            SiblingProcesses one, String host, boolean out, List<HostId> known) {
-        return one.change(new HostId(host), out, known, () -> true).ejected();
+            SiblingProcesses siblings, String host, boolean eject, List<HostId> known) {
+        return siblings.change(new HostId(host), eject, known, () -> true).ejected();
     }
 
     @Test
-    public void banThatCannotBeWrittenHoldsHereAndIsToldOnce() throws Exception {
+    public void ejectionThatCannotBeStoredIsLoggedOnce() throws Exception {
         List<String> log = new ArrayList<>();
-        SiblingProcesses one = SiblingProcesses.open(folder.toString(), "a:1", "d", log::add);
-        Path aside =
+        SiblingProcesses siblings = SiblingProcesses.open(folder.toString(), "a:1", "d", log::add);
+        Path temporary =
                 folder.resolve(
                         SiblingProcesses.listPrefix("a:1", "d")
                                 + "new-"
                                 + ProcessHandle.current().pid());
-        Files.createDirectory(aside);
-        assertEquals(change(one, "h", true, List.of()), null);
-        assertEquals(change(one, "h", true, List.of()), null);
+        Files.createDirectory(temporary);
+        assertEquals(change(siblings, "h", true, List.of()), null);
+        assertEquals(change(siblings, "h", true, List.of()), null);
         assertEquals(log.size(), 1, log.toString());
-        Files.delete(aside);
-        assertEquals(change(one, "h", true, List.of()), Set.of(new HostId("h")));
-        assertEquals(one.read(), Set.of(new HostId("h")));
-        assertEquals(change(one, "h", false, List.of()), Set.of());
+        Files.delete(temporary);
+        assertEquals(change(siblings, "h", true, List.of()), Set.of(new HostId("h")));
+        assertEquals(siblings.read(), Set.of(new HostId("h")));
+        assertEquals(change(siblings, "h", false, List.of()), Set.of());
     }
 
     @Test
-    public void bansOutlastAFileThatIsDamagedOrGone() throws Exception {
-        SiblingProcesses one = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
+    public void ejectionsOutlastAListThatIsDamagedOrDeleted() throws Exception {
+        SiblingProcesses siblings =
+                SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
         Path file = folder.resolve(SiblingProcesses.listPrefix("a:1", "d") + 1);
         List<HostId> known = List.of(new HostId("a"), new HostId("b"));
-        assertEquals(one.read(), List.of());
-        change(one, "a", true, List.of());
+        assertEquals(siblings.read(), List.of());
+        change(siblings, "a", true, List.of());
         Files.writeString(file, "embershift-bans 9");
-        assertTrue(one.read() == null);
-        assertEquals(Set.copyOf(change(one, "b", true, known)), Set.copyOf(known));
+        assertTrue(siblings.read() == null);
+        assertEquals(Set.copyOf(change(siblings, "b", true, known)), Set.copyOf(known));
         Files.delete(file);
         Files.delete(folder.resolve(SiblingProcesses.listPrefix("a:1", "d") + 2));
-        assertTrue(one.read() == null, "none is not what that says");
-        assertEquals(Set.copyOf(change(one, "b", true, known)), Set.copyOf(known));
-        assertEquals(Set.copyOf(one.read()), Set.copyOf(known));
+        assertTrue(siblings.read() == null, "a missing list does not mean that no host is ejected");
+        assertEquals(Set.copyOf(change(siblings, "b", true, known)), Set.copyOf(known));
+        assertEquals(Set.copyOf(siblings.read()), Set.copyOf(known));
     }
 
-    /** As a process does that is stopped between its reading and its writing. */
+    /** A process that is stopped between reading the list and writing it is overtaken like this. */
     @Test
-    public void changeThatWasOvertakenGoesOnTopInTimeAndIsDroppedAfterThat() throws Exception {
+    public void overtakenChangeIsAppliedOnTopInTimeAndDroppedAfterThat() throws Exception {
         for (boolean inTime : new boolean[] {true, false}) {
-            SiblingProcesses one =
+            SiblingProcesses first =
                     SiblingProcesses.open(folder.toString(), "a:" + inTime, "d", line -> {});
-            SiblingProcesses other =
+            SiblingProcesses second =
                     SiblingProcesses.open(folder.toString(), "a:" + inTime, "d", line -> {});
-            // Damaged, so that the change looks at what is known here, which is where the other one
-            // comes between.
+            // The list is damaged, so that the change reads the hosts passed as known; reading them
+            // makes the other process's change come in between.
             Files.writeString(
                     folder.resolve(SiblingProcesses.listPrefix("a:" + inTime, "d") + 1),
                     "embershift-bans 9");
@@ -393,49 +397,49 @@
                     new ArrayList<>(List.of(new HostId("k"))) {
                         @Override
                         public Object[] toArray() {
-                            change(other, "b", true, List.of());
+                            change(second, "b", true, List.of());
                             return super.toArray();
                         }
 
                         @Override
                         public Iterator<HostId> iterator() {
-                            change(other, "b", true, List.of());
+                            change(second, "b", true, List.of());
                             return super.iterator();
                         }
                     };
             HostEjections.StoreResult kept =
-                    one.change(new HostId("b"), false, known, () -> inTime);
+                    first.change(new HostId("b"), false, known, () -> inTime);
             assertEquals(
                     kept.outcome(),
                     inTime ? HostEjections.Outcome.KEPT : HostEjections.Outcome.TOO_LATE);
             assertEquals(Set.copyOf(kept.ejected()), inTime ? Set.of() : Set.of(new HostId("b")));
-            assertEquals(other.read(), kept.ejected());
+            assertEquals(second.read(), kept.ejected());
         }
     }
 
     @Test
-    public void processesSeeWhoServesBesideThemAndWhatTheyHold() throws Exception {
-        SiblingProcesses one = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
-        SiblingProcesses other = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
-        one.claimSlot();
-        assertEquals(one.exchange(new SiblingProcesses.ProcessStatus(70, 9.5)), List.of());
+    public void processesSeeTheStatusesOfOthersThatServe() throws Exception {
+        SiblingProcesses first = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
+        SiblingProcesses second = SiblingProcesses.open(folder.toString(), "a:1", "d", line -> {});
+        first.claimSlot();
+        assertEquals(first.exchange(new SiblingProcesses.ProcessStatus(70, 9.5)), List.of());
         assertEquals(
-                other.exchange(new SiblingProcesses.ProcessStatus(1, 0)),
+                second.exchange(new SiblingProcesses.ProcessStatus(1, 0)),
                 List.of(new SiblingProcesses.ProcessStatus(70, 9.5)));
-        assertFalse(one.releaseSlot());
-        assertEquals(other.exchange(new SiblingProcesses.ProcessStatus(1, 0)), List.of());
+        assertFalse(first.releaseSlot());
+        assertEquals(second.exchange(new SiblingProcesses.ProcessStatus(1, 0)), List.of());
         assertTrue(SiblingProcesses.open("/nowhere/at/all", "a:1", "d", line -> {}) == null);
     }
 
     @Test
-    public void banIsReadAsItWasWrittenAndNothingElseIs() throws Exception {
-        Set<HostId> bans = Set.of(new HostId("a\"\n{"), new HostId("\u00e9"));
-        String text = BanList.write(bans);
-        assertEquals(BanList.read(text), bans);
+    public void listIsReadAsWrittenAndTruncatedListsAreRejected() throws Exception {
+        Set<HostId> ejected = Set.of(new HostId("a\"\n{"), new HostId("\u00e9"));
+        String text = BanList.write(ejected);
+        assertEquals(BanList.read(text), ejected);
         for (int i = 0; i < text.length(); i++) {
-            String cut = text.substring(0, i);
+            String truncated = text.substring(0, i);
             org.testng.Assert.assertThrows(
-                    embershift.protocol.Unreadable.class, () -> BanList.read(cut));
+                    embershift.protocol.Unreadable.class, () -> BanList.read(truncated));
         }
     }
 }
--- a/node/src/test/java/embershift/program/ServeTest.java
+++ b/node/src/test/java/embershift/program/ServeTest.java
@@ -17,10 +17,12 @@
 import java.util.concurrent.TimeUnit;
 import org.testng.annotations.Test;
 
-/** The whole program in a process of its own. */
+/** Runs the whole program in a process of its own. */
 public class ServeTest {
 
-    /** The program to be started, with the packages open to it that the jar's manifest opens. */
+    /**
+     * Prepares a start of the program, with the packages exported that the jar's manifest opens.
+     */
     static ProcessBuilder builder(String... args) {
         List<String> line =
                 new ArrayList<>(
@@ -37,7 +39,7 @@
         return builder.redirectErrorStream(true);
     }
 
-    private static Process program(String... args) throws IOException {
+    private static Process startProgram(String... args) throws IOException {
         return builder(args).start();
     }
 
@@ -45,7 +47,7 @@
         return new BufferedReader(new InputStreamReader(in, StandardCharsets.ISO_8859_1));
     }
 
-    private static ServerSocket listening() throws IOException {
+    private static ServerSocket listenOnLoopback() throws IOException {
         ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         server.setSoTimeout(10_000);
         return server;
@@ -66,11 +68,11 @@
     }
 
     @Test
-    public void nodeServesAndAtSigtermMovesWhatStandsAndExits() throws Exception {
+    public void nodeServesAndAtSigtermMovesOpenTunnelsAndExits() throws Exception {
         Path file = Files.createTempFile("embershift", ".json");
-        try (ServerSocket host = listening()) {
+        try (ServerSocket host = listenOnLoopback()) {
             Files.writeString(file, configuration(host.getLocalPort(), 9));
-            Process node = program("serve", "--configuration", file.toString());
+            Process node = startProgram("serve", "--configuration", file.toString());
             BufferedReader log = reader(node.getInputStream());
             assertTrue(log.readLine().endsWith("n serving"));
             int port = Integer.parseInt(log.readLine().replaceAll(".*listening on 127.0.0.1:", ""));
@@ -78,9 +80,11 @@
                 client.setSoTimeout(10_000);
                 client.getOutputStream()
                         .write("OPEN i k c=p,d=3000\r\n".getBytes(StandardCharsets.ISO_8859_1));
-                Socket side = host.accept();
-                reader(side.getInputStream()).readLine();
-                side.getOutputStream().write("UP r\r\n".getBytes(StandardCharsets.ISO_8859_1));
+                Socket connection = host.accept();
+                reader(connection.getInputStream()).readLine();
+                connection
+                        .getOutputStream()
+                        .write("UP r\r\n".getBytes(StandardCharsets.ISO_8859_1));
                 BufferedReader answers = reader(client.getInputStream());
                 assertEquals(answers.readLine(), "UP r");
                 node.toHandle().destroy();
@@ -98,26 +102,28 @@
     }
 
     @Test
-    public void configurationIsReadAgainAtSighupAndOneThatIsWrongChangesNothing() throws Exception {
+    public void configurationIsReloadedAtSighupAndAnInvalidOneChangesNothing() throws Exception {
         Path file = Files.createTempFile("embershift", ".json");
         Process node = null;
-        try (ServerSocket old = listening();
-                ServerSocket discovery = listening()) {
-            Files.writeString(file, configuration(9, old.getLocalPort()));
-            node = program("serve", "--configuration", file.toString());
+        try (ServerSocket oldDiscovery = listenOnLoopback();
+                ServerSocket discovery = listenOnLoopback()) {
+            Files.writeString(file, configuration(9, oldDiscovery.getLocalPort()));
+            node = startProgram("serve", "--configuration", file.toString());
             BufferedReader log = reader(node.getInputStream());
             log.readLine();
             log.readLine();
-            String sound =
+            String valid =
                     configuration(9, discovery.getLocalPort())
                             .replace("fall-s\":1.5", "fall-s\":2");
-            for (String text : List.of(sound.substring(0, sound.length() - 9), "", sound)) {
+            for (String text : List.of(valid.substring(0, valid.length() - 9), "", valid)) {
                 Files.writeString(file, text);
                 signal("HUP", node);
-                boolean taken = text.equals(sound);
+                boolean isApplied = text.equals(valid);
                 String line = log.readLine();
-                assertTrue(line.contains(taken ? "configuration taken" : "stays in force: "), line);
-                assertEquals(line.endsWith("only after a restart: settings"), taken, line);
+                assertTrue(
+                        line.contains(isApplied ? "configuration taken" : "stays in force: "),
+                        line);
+                assertEquals(line.endsWith("only after a restart: settings"), isApplied, line);
             }
             assertTrue(
                     reader(discovery.accept().getInputStream())
@@ -138,14 +144,14 @@
     }
 
     /**
-     * Whoever starts a program under nohup has it deaf to this signal, and would look for the fault
-     * in the file.
+     * A program started under nohup ignores SIGHUP; without the line in the log an operator would
+     * look for the fault in the configuration file.
      */
     @Test
-    public void nodeThatCantHearTheSignalToReloadSaysSo() throws Exception {
+    public void nodeThatCantReceiveSighupLogsIt() throws Exception {
         Path file = Files.createTempFile("embershift", ".json");
         Process node = null;
-        try (ServerSocket discovery = listening()) {
+        try (ServerSocket discovery = listenOnLoopback()) {
             Files.writeString(file, configuration(9, discovery.getLocalPort()));
             ProcessBuilder builder = builder("serve", "--configuration", file.toString());
             List<String> command =
@@ -153,8 +159,8 @@
             command.addAll(builder.command());
             node = builder.command(command).start();
             BufferedReader log = reader(node.getInputStream());
-            String said = log.readLine() + log.readLine() + log.readLine();
-            assertTrue(said.contains("SIGHUP is ignored by whoever started this process"), said);
+            String lines = log.readLine() + log.readLine() + log.readLine();
+            assertTrue(lines.contains("SIGHUP is ignored by whoever started this process"), lines);
         } finally {
             if (node != null) {
                 node.destroyForcibly();
@@ -164,23 +170,23 @@
     }
 
     @Test
-    public void configurationOfAnotherDeploymentIsRefusedWhole() throws Exception {
+    public void configurationOfAnotherDeploymentIsRejectedCompletely() throws Exception {
         Path file = Files.createTempFile("embershift", ".json");
         Process node = null;
-        try (ServerSocket own = listening();
-                ServerSocket others = listening()) {
+        try (ServerSocket ownDiscovery = listenOnLoopback();
+                ServerSocket otherDiscovery = listenOnLoopback()) {
             String tiers = "\"tiers\":[\"lamps\"],\"areas\":[\"a\"],";
             Files.writeString(
                     file,
-                    configuration(9, own.getLocalPort())
+                    configuration(9, ownDiscovery.getLocalPort())
                             .replace("\"balancers\"", tiers + "\"balancers\""));
-            node = program("serve", "--configuration", file.toString());
+            node = startProgram("serve", "--configuration", file.toString());
             BufferedReader log = reader(node.getInputStream());
             log.readLine();
             log.readLine();
             Files.writeString(
                     file,
-                    configuration(9, others.getLocalPort())
+                    configuration(9, otherDiscovery.getLocalPort())
                             .replace(
                                     "\"balancers\"",
                                     tiers.replace("lamps", "gauges") + "\"balancers\""));
@@ -194,8 +200,9 @@
             while (!counters.contains("configurations refused 1")) {
                 counters.add(log.readLine());
             }
-            others.setSoTimeout(300);
-            org.testng.Assert.assertThrows(java.net.SocketTimeoutException.class, others::accept);
+            otherDiscovery.setSoTimeout(300);
+            org.testng.Assert.assertThrows(
+                    java.net.SocketTimeoutException.class, otherDiscovery::accept);
         } finally {
             if (node != null) {
                 node.destroyForcibly();
@@ -205,12 +212,13 @@
     }
 
     @Test
-    public void rehearsalOpensAndMovesTunnelsAndEnds() throws Exception {
-        Process process = program("rehearse");
+    public void selfTestOpensAndMovesTunnelsAndExits() throws Exception {
+        Process process = startProgram("rehearse");
         List<String> lines = reader(process.getInputStream()).lines().toList();
         assertEquals(process.waitFor(), 0, lines.toString());
         assertTrue(
-                lines.containsAll(List.of("rehearsed: a node can live here", "tunnels opened 3")),
+                lines.containsAll(
+                        List.of("self-test passed: a node can run here", "tunnels opened 3")),
                 lines.toString());
     }
 
@@ -221,7 +229,7 @@
     }
 
     @Test
-    public void whatIsWrongIsToldInOneLineWithStatusTwo() throws Exception {
+    public void usageErrorsAreOneLineWithExitStatusTwo() throws Exception {
         for (String[] args :
                 new String[][] {
                     {},
@@ -230,7 +238,7 @@
                     {"serve"},
                     {"check", "--configuration", "/nowhere"}
                 }) {
-            Process process = program(args);
+            Process process = startProgram(args);
             List<String> lines = reader(process.getInputStream()).lines().toList();
             assertEquals(lines.size(), 1, lines.toString());
             assertTrue(lines.get(0).startsWith("embershift: "));
--- a/node/src/test/java/embershift/program/StoppedSiblingTest.java
+++ b/node/src/test/java/embershift/program/StoppedSiblingTest.java
@@ -21,15 +21,17 @@
 import org.testng.annotations.Test;
 
 /**
- * Two processes at one address, one of which stands still: the other owes its operators answers all
- * the same.
+ * Two processes serve at one address and one of them is stopped: the other must still answer its
+ * operators in time.
  */
 public class StoppedSiblingTest {
 
-    /** What an operator waits for an answer, and for all else. */
-    private static final int OWED_MS = 1500;
+    /** How long an operator waits for an answer. */
+    private static final int ANSWER_DEADLINE_MS = 1500;
+
+    /** How long the test waits for anything else. */
+    private static final int TIMEOUT_MS = 15_000;
 
-    private static final int PATIENCE_MS = 15_000;
     private static final int STOPS = 25;
 
     private Path folder;
@@ -38,7 +40,7 @@
     private final int[] management = new int[2];
 
     @BeforeMethod
-    public void begin() throws Exception {
+    public void startProcesses() throws Exception {
         folder = Files.createTempDirectory("embershift");
         host = new ServerSocket(0, 200, InetAddress.getLoopbackAddress());
         int port = ReplaceTest.freePort();
@@ -53,12 +55,12 @@
             builder.environment().put("LB_MANAGEMENT", "127.0.0.1:" + management[i]);
             builder.environment().put("TMPDIR", folder.toString());
             processes.add(builder.redirectOutput(folder.resolve("log-" + i).toFile()).start());
-            await(i, "GET /api/ready", "{\"ready\":true}");
+            awaitAnswer(i, "GET /api/ready", "{\"ready\":true}");
         }
     }
 
     @AfterMethod
-    public void end() throws Exception {
+    public void stopProcesses() throws Exception {
         for (Process process : processes) {
             process.destroyForcibly().waitFor();
         }
@@ -70,37 +72,37 @@
         Files.delete(folder);
     }
 
-    private static Socket say(int management, String line) throws IOException {
+    private static Socket send(int management, String request) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), management);
         socket.getOutputStream()
-                .write((line + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                .write((request + " HTTP/1.1\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
         return socket;
     }
 
     /**
-     * The answer's text; null where none came in the time that is owed: what became of the call is
-     * then unknown.
+     * Sends a request; returns the answer, or null where none came in time, so that the outcome is
+     * unknown.
      */
-    private String call(int process, String line) throws IOException {
-        try (Socket socket = say(management[process], line)) {
-            socket.setSoTimeout(OWED_MS);
+    private String call(int process, String request) throws IOException {
+        try (Socket socket = send(management[process], request)) {
+            socket.setSoTimeout(ANSWER_DEADLINE_MS);
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (SocketTimeoutException e) {
             return null;
         }
     }
 
-    private void await(int process, String line, String part) throws Exception {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-        String last = "";
-        while (last == null || !last.contains(part)) {
+    private void awaitAnswer(int process, String request, String expected) throws Exception {
+        long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
+        String answer = "";
+        while (answer == null || !answer.contains(expected)) {
             assertTrue(
-                    System.nanoTime() < until,
-                    line + ": " + last + Files.readString(folder.resolve("log-" + process)));
+                    System.nanoTime() < deadline,
+                    request + ": " + answer + Files.readString(folder.resolve("log-" + process)));
             try {
-                last = call(process, line);
+                answer = call(process, request);
             } catch (IOException e) {
-                last = e.toString();
+                answer = e.toString();
             }
         }
     }
@@ -108,8 +110,8 @@
     private void signal(int process, String which) throws Exception {
         long pid = processes.get(process).pid();
         assertEquals(new ProcessBuilder("kill", which, String.valueOf(pid)).start().waitFor(), 0);
-        // On a busy machine a stop takes hold after kill has ended: until then the process still
-        // answers.
+        // On a busy machine a stop takes effect only after kill has exited; until then the process
+        // still answers.
         while (which.equals("-STOP")
                 && !Files.readString(Path.of("/proc", String.valueOf(pid), "stat"))
                         .matches("(?s).*\\) T .*")) {
@@ -117,12 +119,12 @@
         }
     }
 
-    /** Calls of both kinds, one after the other, as fast as they are answered. */
-    private Thread hammer(int process, boolean[] going) {
+    /** Sends exclude and include requests in turn, each as soon as the one before is answered. */
+    private Thread sendRequestsContinuously(int process, boolean[] isRunning) {
         Thread thread =
                 new Thread(
                         () -> {
-                            for (int i = 0; going[0]; i++) {
+                            for (int i = 0; isRunning[0]; i++) {
                                 try {
                                     call(
                                             process,
@@ -130,7 +132,7 @@
                                                     + (i % 2 == 0 ? "exclude" : "include")
                                                     + "/s");
                                 } catch (IOException e) {
-                                    // Its process is stopped.
+                                    // The process is stopped.
                                 }
                             }
                         });
@@ -140,61 +142,60 @@
     }
 
     @Test
-    public void processThatRunsAnswersInTimeWhereverTheOtherWasStopped() throws Exception {
+    public void runningProcessAnswersInTimeWhereverTheOtherWasStopped() throws Exception {
         Random random = new Random(7);
         int late = 0;
         for (int i = 0; i < STOPS; i++) {
             int stopped = i % 2;
-            boolean[] going = {true};
-            Thread one = hammer(0, going);
-            Thread other = hammer(1, going);
+            boolean[] isRunning = {true};
+            Thread first = sendRequestsContinuously(0, isRunning);
+            Thread second = sendRequestsContinuously(1, isRunning);
             TimeUnit.MICROSECONDS.sleep(50_000 + random.nextInt(50_000));
             signal(stopped, "-STOP");
-            going[0] = false;
-            (stopped == 0 ? other : one).join();
+            isRunning[0] = false;
+            (stopped == 0 ? second : first).join();
             String answer = call(1 - stopped, "POST /api/exclude/s");
             if (answer == null || !answer.contains("\"out\":true,\"kept\":true")) {
                 late++;
             }
             signal(stopped, "-CONT");
-            one.join();
-            other.join();
+            first.join();
+            second.join();
         }
-        assertEquals(late, 0, "answers not given while the other process stood still, of " + STOPS);
+        assertEquals(late, 0, "answers not given while the other process was stopped, of " + STOPS);
     }
 
     @Test
-    public void callThatWaitedInAStoppedProcessUndoesNothingThatWasAnsweredSince()
-            throws Exception {
+    public void requestThatWaitedInAStoppedProcessUndoesNoLaterChange() throws Exception {
         signal(1, "-STOP");
-        Socket givenUp = say(management[1], "POST /api/exclude/s");
-        TimeUnit.MILLISECONDS.sleep(OWED_MS);
-        givenUp.close();
+        Socket abandoned = send(management[1], "POST /api/exclude/s");
+        TimeUnit.MILLISECONDS.sleep(ANSWER_DEADLINE_MS);
+        abandoned.close();
         assertTrue(
                 String.valueOf(call(0, "POST /api/include/s"))
                         .contains("\"out\":false,\"kept\":true"));
         signal(1, "-CONT");
-        await(1, "GET /api/ready", "{\"ready\":true}");
-        // Longer than the processes take to go by what each other was told.
-        for (long until = System.nanoTime() + 1_000_000_000L; System.nanoTime() < until; ) {
+        awaitAnswer(1, "GET /api/ready", "{\"ready\":true}");
+        // Longer than the processes take to apply each other's changes.
+        for (long deadline = System.nanoTime() + 1_000_000_000L; System.nanoTime() < deadline; ) {
             for (int process = 0; process < 2; process++) {
-                String figures = String.valueOf(call(process, "GET /api/telemetry"));
-                assertTrue(figures.contains("\"out_of_rotation\":0"), process + figures);
+                String telemetry = String.valueOf(call(process, "GET /api/telemetry"));
+                assertTrue(telemetry.contains("\"out_of_rotation\":0"), process + telemetry);
             }
         }
     }
 
     @Test
-    public void callerWhoStillWaitsAtAProcessThatStoodStillIsToldToCallAgain() throws Exception {
+    public void callerThatStillWaitsAtAStalledProcessIsToldToRetry() throws Exception {
         signal(1, "-STOP");
-        try (Socket waiting = say(management[1], "POST /api/exclude/s")) {
-            waiting.setSoTimeout(PATIENCE_MS);
-            TimeUnit.MILLISECONDS.sleep(OWED_MS);
+        try (Socket waiting = send(management[1], "POST /api/exclude/s")) {
+            waiting.setSoTimeout(TIMEOUT_MS);
+            TimeUnit.MILLISECONDS.sleep(ANSWER_DEADLINE_MS);
             signal(1, "-CONT");
             String answer =
                     new String(waiting.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
             assertTrue(answer.startsWith("HTTP/1.1 503"), answer);
         }
-        await(1, "POST /api/exclude/s", "\"out\":true,\"kept\":true");
+        awaitAnswer(1, "POST /api/exclude/s", "\"out\":true,\"kept\":true");
     }
 }
--- a/signals/src/main/java/embershift/signals/Signals.java
+++ b/signals/src/main/java/embershift/signals/Signals.java
@@ -1,9 +1,9 @@
 package embershift.signals;
 
 /**
- * Handlers of operating system signals. Java offers them by {@code sun.misc.Signal} alone, whose
- * compiler warning can't be suppressed: so this class is a module of its own, and warnings are
- * errors in all others.
+ * Handlers for operating system signals. In Java only {@code sun.misc.Signal} can install them, and
+ * its use causes a compiler warning that can't be suppressed. This class therefore has a module of
+ * its own, so that warnings can be errors in all other modules.
  */
 public final class Signals {
 
@@ -12,8 +12,8 @@
     /**
      * Runs {@code action} at each SIGHUP.
      *
-     * @return whether the signal reaches this process: not where whoever started it has it ignored,
-     *     as under nohup
+     * @return whether the signal reaches this process; false where the process was started with the
+     *     signal ignored, as under nohup
      */
     public static boolean onHangup(Runnable action) {
         return sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> action.run())
