--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -346,12 +346,12 @@
      */
     @Override
     public synchronized HostEjections.StoreResult change(
-            HostId host, boolean out, Collection<HostId> known, BooleanSupplier inTime) {
+            HostId host, boolean eject, Collection<HostId> known, BooleanSupplier inTime) {
         try {
             for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
                 NumberedList latest = readLatest();
                 Set<HostId> ejected = new LinkedHashSet<>(latest == null ? known : latest.hosts);
-                if (out) {
+                if (eject) {
                     ejected.add(host);
                 } else {
                     ejected.remove(host);
