--- a/node/src/main/java/embershift/operations/HostEjections.java
+++ b/node/src/main/java/embershift/operations/HostEjections.java
@@ -2,7 +2,7 @@
 
 import embershift.model.HostId;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -55,7 +55,7 @@
         TOO_LATE
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Router router;
     private final Store store;
     private final Set<HostId> ejected = new LinkedHashSet<>();
@@ -70,7 +70,7 @@
     private long changeCount;
 
     /** Ejections that {@code store} keeps; null where they end with this process. */
-    public HostEjections(Loop loop, Router router, Store store) {
+    public HostEjections(EventLoop loop, Router router, Store store) {
         this.loop = loop;
         this.router = router;
         this.store = store;
@@ -89,7 +89,7 @@
                         return;
                     }
                     List<HostId> known = List.copyOf(ejected);
-                    loop.aside(
+                    loop.executeBlocking(
                             () -> {
                                 StoreResult result =
                                         store.change(
@@ -119,7 +119,7 @@
         } else {
             ejected.remove(host);
         }
-        router.byHand(host, isEjected(host), done);
+        router.setOutOfService(host, isEjected(host), done);
     }
 
     /** Whether the host is ejected, by whichever source. */
@@ -137,7 +137,7 @@
         ejectedBySource.put(source, new LinkedHashSet<>(hosts));
         for (HostId host : affected) {
             if (isEjected(host) != wasEjected.get(host)) {
-                router.byHand(host, isEjected(host), () -> {});
+                router.setOutOfService(host, isEjected(host), () -> {});
             }
         }
     }
@@ -152,7 +152,7 @@
      */
     public void reloadStored() {
         long countBefore = changeCount;
-        loop.aside(
+        loop.executeBlocking(
                 () -> {
                     Collection<HostId> stored = store.read();
                     loop.execute(
--- a/node/src/main/java/embershift/operations/OperatorApi.java
+++ b/node/src/main/java/embershift/operations/OperatorApi.java
@@ -3,8 +3,8 @@
 import embershift.model.DeclineReason;
 import embershift.model.HostId;
 import embershift.model.ProfileId;
-import embershift.protocol.HttpAnswer;
-import embershift.protocol.HttpRequest;
+import embershift.protocol.HttpRequestParser;
+import embershift.protocol.HttpResponse;
 import embershift.protocol.Json;
 import embershift.routing.Router;
 import embershift.routing.Tally;
@@ -40,19 +40,20 @@
      * @param mayBeStale whether the request may have waited here so long that its caller has given
      *     up and has since had the opposite done at another process
      */
-    public void handle(HttpRequest request, boolean mayBeStale, Consumer<HttpAnswer> answer) {
+    public void handle(
+            HttpRequestParser request, boolean mayBeStale, Consumer<HttpResponse> answer) {
         List<String> path = request.path();
         String name = path.size() > 1 && path.get(0).equals(PATH_ROOT) ? path.get(1) : "";
         boolean isQuery = path.size() == 2 && (name.equals("ready") || name.equals("telemetry"));
         boolean isEjection = path.size() == 3 && (name.equals("exclude") || name.equals("include"));
         String method = isEjection ? "POST" : "GET";
         if (!isQuery && !isEjection) {
-            answer.accept(HttpAnswer.error(404, "no such call"));
+            answer.accept(HttpResponse.error(404, "no such call"));
         } else if (!request.method().equals(method)) {
-            answer.accept(HttpAnswer.onlyBy(method));
+            answer.accept(HttpResponse.methodNotAllowed(method));
         } else if (isEjection && mayBeStale) {
             answer.accept(
-                    HttpAnswer.error(
+                    HttpResponse.error(
                             503, "this process stood still, nothing was changed: call again"));
         } else if (isEjection) {
             setEjected(new HostId(path.get(2)), name.equals("exclude"), answer);
@@ -61,15 +62,15 @@
         }
     }
 
-    private HttpAnswer readiness() {
+    private HttpResponse readiness() {
         return isReady.getAsBoolean()
-                ? HttpAnswer.of(200, "{\"ready\":true}")
-                : HttpAnswer.error(503, "this node takes no clients now");
+                ? HttpResponse.of(200, "{\"ready\":true}")
+                : HttpResponse.error(503, "this node takes no clients now");
     }
 
-    private void setEjected(HostId host, boolean eject, Consumer<HttpAnswer> answer) {
+    private void setEjected(HostId host, boolean eject, Consumer<HttpResponse> answer) {
         if (!router.knows(host)) {
-            answer.accept(HttpAnswer.error(404, "no host " + host.name() + " is known here"));
+            answer.accept(HttpResponse.error(404, "no host " + host.name() + " is known here"));
             return;
         }
         ejections.setEjected(
@@ -78,13 +79,13 @@
                 outcome ->
                         answer.accept(
                                 outcome == HostEjections.Outcome.TOO_LATE
-                                        ? HttpAnswer.error(
+                                        ? HttpResponse.error(
                                                 503,
                                                 "this process stood still in the middle of it: look which hosts are out, call again")
-                                        : HttpAnswer.of(
+                                        : HttpResponse.of(
                                                 200,
                                                 "{\"host\":"
-                                                        + Json.quoted(host.name())
+                                                        + Json.quote(host.name())
                                                         + ",\"out\":"
                                                         + ejections.isEjected(host)
                                                         + ",\"kept\":"
@@ -92,13 +93,13 @@
                                                         + "}")));
     }
 
-    private HttpAnswer telemetry() {
+    private HttpResponse telemetry() {
         Tally tally = router.tally();
         StringBuilder json = new StringBuilder("{\"operations\":{");
         String separator = "";
         for (ProfileId profile : tally.profiles()) {
             json.append(separator)
-                    .append(Json.quoted(profile.name()))
+                    .append(Json.quote(profile.name()))
                     .append(":{\"fulfilled\":")
                     .append(tally.of(profile, Outcome.OPENED))
                     .append(",\"throttled\":")
@@ -109,7 +110,7 @@
             separator = ",";
         }
         json.append("},\"relayed\":")
-                .append(tally.of(Tally.RELAYED))
+                .append(tally.of(Tally.SETUPS_WRITTEN))
                 .append(",\"open_requests\":")
                 .append(router.openTunnels())
                 .append(",\"registry_entries\":")
@@ -117,14 +118,14 @@
                 .append(",\"out_of_rotation\":")
                 .append(router.avoidedHosts())
                 .append(",\"declined\":{\"want_of_descriptors\":")
-                .append(tally.of(Tally.NO_DESCRIPTORS));
+                .append(tally.of(Tally.DECLINED_FOR_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
             json.append(',')
-                    .append(Json.quoted(reason.name().toLowerCase(Locale.ROOT)))
+                    .append(Json.quote(reason.name().toLowerCase(Locale.ROOT)))
                     .append(':')
                     .append(tally.of(reason));
         }
         json.append("}}");
-        return HttpAnswer.of(200, json.toString());
+        return HttpResponse.of(200, json.toString());
     }
 }
--- a/node/src/main/java/embershift/program/NodeExtension.java
+++ b/node/src/main/java/embershift/program/NodeExtension.java
@@ -3,7 +3,7 @@
 import embershift.operations.HostEjections;
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
-import embershift.transport.Loop;
+import embershift.transport.EventLoop;
 
 /**
  * Runs on a node's loop besides the node itself, where the operator's settings ask for it: takes
@@ -27,7 +27,7 @@
     /** The node, as its extension sees it. */
     interface NodeContext {
 
-        Loop loop();
+        EventLoop loop();
 
         Router router();
 
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -3,7 +3,7 @@
 import embershift.model.HostId;
 import embershift.operations.HostEjections;
 import embershift.protocol.BanList;
-import embershift.protocol.Unreadable;
+import embershift.protocol.MalformedDataException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
@@ -289,22 +289,24 @@
                 }
                 Path file = listFile(latestNumber);
                 try {
-                    if (Files.size(file) > BanList.LONGEST) {
-                        throw new Unreadable("longer than " + BanList.LONGEST + " bytes");
+                    if (Files.size(file) > BanList.MAX_CHARS) {
+                        throw new MalformedDataException(
+                                "longer than " + BanList.MAX_CHARS + " bytes");
                     }
                     return new NumberedList(
                             latestNumber,
-                            BanList.read(Files.readString(file, StandardCharsets.UTF_8)));
+                            BanList.parse(Files.readString(file, StandardCharsets.UTF_8)));
                 } catch (NoSuchFileException e) {
                     // Other processes have written so many lists meanwhile that this one was
                     // deleted, or all lists are gone.
                     if (previousNumber == latestNumber) {
-                        throw new Unreadable("the latest list no longer exists");
+                        throw new MalformedDataException("the latest list no longer exists");
                     }
                 }
             }
-            throw new Unreadable("other processes write lists faster than this one reads them");
-        } catch (IOException | DirectoryIteratorException | Unreadable e) {
+            throw new MalformedDataException(
+                    "other processes write lists faster than this one reads them");
+        } catch (IOException | DirectoryIteratorException | MalformedDataException e) {
             logOnce("can't read the ejected hosts from " + folder.resolve(listPrefix), e);
             return null;
         }
@@ -356,11 +358,11 @@
                 } else {
                     ejected.remove(host);
                 }
-                if (ejected.size() > BanList.MOST) {
-                    throw new IOException("more than " + BanList.MOST + " hosts");
+                if (ejected.size() > BanList.MAX_HOSTS) {
+                    throw new IOException("more than " + BanList.MAX_HOSTS + " hosts");
                 }
                 long next = latestNumber + 1;
-                if (publish(next, BanList.write(ejected))) {
+                if (publish(next, BanList.format(ejected))) {
                     if (!inTime.getAsBoolean()) {
                         // Stopped for so long that its number may have been taken, deleted and
                         // taken again.
--- a/node/src/test/java/embershift/operations/OperatorsTest.java
+++ b/node/src/test/java/embershift/operations/OperatorsTest.java
@@ -3,9 +3,9 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import embershift.model.DeclineReason;
-import embershift.protocol.HttpReply;
+import embershift.protocol.HttpResponseParser;
 import embershift.protocol.NodeConfiguration;
 import embershift.routing.Router;
 import java.io.IOException;
@@ -21,7 +21,7 @@
 import org.testng.annotations.Test;
 
 /** Operators' requests over loopback sockets, next to the tunnels that they ask about. */
-public class OperatorsTest extends Loopback {
+public class OperatorsTest extends LoopbackTestBase {
 
     private InetSocketAddress clients;
     private InetSocketAddress operators;
@@ -40,7 +40,7 @@
                                     .formatted(known.size(), host.getLocalPort())
                             + "\"lifecycle\":\"in_service\",\"weight\":1,\"startedAtMs\":0}");
         }
-        return NodeConfiguration.read(
+        return NodeConfiguration.parse(
                 """
             {"listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":%d},
              "known":{"generation":1,"reset":true,"instances":[%s]},
@@ -57,7 +57,7 @@
 
     private void start(int sockets, ServerSocket... hosts) throws Exception {
         NodeConfiguration configuration = configuration(sockets, hosts);
-        on(
+        callOnLoop(
                 () -> {
                     router = new Router(loop, configuration, line -> {});
                     operators =
@@ -74,31 +74,31 @@
                 });
     }
 
-    private static HttpReply reply(Socket socket) throws Exception {
-        HttpReply reply = new HttpReply();
+    private static HttpResponseParser reply(Socket socket) throws Exception {
+        HttpResponseParser reply = new HttpResponseParser();
         // Reads to the end of the connection, as each answer must close it.
-        reply.take(ByteBuffer.wrap(socket.getInputStream().readAllBytes()));
-        assertTrue(reply.end());
+        reply.feed(ByteBuffer.wrap(socket.getInputStream().readAllBytes()));
+        assertTrue(reply.endOfInput());
         return reply;
     }
 
-    private HttpReply call(String method, String path) throws Exception {
-        return reply(talk(operators, method + " " + path + " HTTP/1.1\r\nHost: n\r\n\r\n"));
+    private HttpResponseParser call(String method, String path) throws Exception {
+        return reply(connect(operators, method + " " + path + " HTTP/1.1\r\nHost: n\r\n\r\n"));
     }
 
     /**
      * Requests a tunnel; returns the client's socket and the host's, which has read the request.
      */
     private Socket[] tunnel(ServerSocket host, String id) throws IOException {
-        Socket client = talk(clients, "OPEN " + id + " k c=p\"q,d=3000\r\n");
+        Socket client = connect(clients, "OPEN " + id + " k c=p\"q,d=3000\r\n");
         Socket hostSide = accept(host);
-        hear(hostSide);
+        readLine(hostSide);
         return new Socket[] {client, hostSide};
     }
 
     private void awaitTelemetry(String expected) throws Exception {
         String body = "";
-        for (long deadline = System.nanoTime() + PATIENCE_MS * 1_000_000L;
+        for (long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
                 System.nanoTime() < deadline; ) {
             body = call("GET", "/api/telemetry").body().trim();
             if (body.equals(expected)) {
@@ -147,14 +147,14 @@
 
     @Test
     public void ejectedHostIsNotUsedOnceTheRequestIsAnswered() throws Exception {
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         start(1024, host);
         assertEquals(call("GET", "/api/exclude/s0").status(), 405);
         assertEquals(call("POST", "/api/exclude/unheard%22of").status(), 404);
         for (int i = 0; i < 2; i++) {
             assertEquals(call("POST", "/api/exclude/s0").status(), 200);
         }
-        assertTrue(hear(talk(clients, "OPEN a k c=p\"q,d=3000\r\n")).startsWith("BUSY"));
+        assertTrue(readLine(connect(clients, "OPEN a k c=p\"q,d=3000\r\n")).startsWith("BUSY"));
         awaitTelemetry(telemetry(0, 0, 0, 0, 1, DeclineReason.NO_HOST_READY));
         for (int i = 0; i < 2; i++) {
             assertEquals(call("POST", "/api/include/s%30").status(), 200);
@@ -164,21 +164,21 @@
 
     @Test
     public void telemetryCountsEachTunnelOnceByItsAnswer() throws Exception {
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         start(1024, host);
         awaitTelemetry(telemetry(0, 0, 0, 0, 0));
         Socket[] opened = tunnel(host, "a");
-        say(opened[1], "UP r\r\n");
-        assertEquals(hear(opened[0]), "UP r");
+        send(opened[1], "UP r\r\n");
+        assertEquals(readLine(opened[0]), "UP r");
         awaitTelemetry(telemetry(1, 0, 1, 1, 0));
         Socket[] failed = tunnel(host, "b");
-        say(failed[1], "ERR\r\n");
-        assertTrue(hear(failed[0]).startsWith("ERR"));
+        send(failed[1], "ERR\r\n");
+        assertTrue(readLine(failed[0]).startsWith("ERR"));
         awaitTelemetry(telemetry(1, 1, 2, 1, 1));
         host.close();
-        Socket declined = talk(clients, "OPEN c k c=p\"q,d=3000\r\n");
-        assertTrue(hear(declined).startsWith("BUSY"));
-        say(opened[1], "BYE\r\n");
+        Socket declined = connect(clients, "OPEN c k c=p\"q,d=3000\r\n");
+        assertTrue(readLine(declined).startsWith("BUSY"));
+        send(opened[1], "BYE\r\n");
         opened[1].close();
         awaitTelemetry(telemetry(1, 1, 2, 0, 1, DeclineReason.HOSTS_SILENT));
     }
@@ -186,66 +186,66 @@
     @Test
     public void connectionsWithoutACompleteRequestBlockNeitherOperatorsNorClients()
             throws Exception {
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         // On top of what this process holds already, as earlier tests may have left descriptors.
-        start(on(loop::descriptors) + 1024, host);
-        Socket first = talk(operators, "");
+        start(callOnLoop(loop::openDescriptors) + 1024, host);
+        Socket first = connect(operators, "");
         for (int i = 0; i < 100; i++) {
-            talk(operators, i % 2 == 0 ? "" : "GET /api/re");
+            connect(operators, i % 2 == 0 ? "" : "GET /api/re");
         }
         assertEquals(call("GET", "/api/ready").status(), 200);
         assertEquals(reply(first).status(), 503);
-        Socket slow = talk(operators, "GET /api/ready HTTP/1.1\r\n");
+        Socket slow = connect(operators, "GET /api/ready HTTP/1.1\r\n");
         for (int i = 0; i < 7; i++) {
-            talk(operators, "");
+            connect(operators, "");
         }
-        say(slow, "\r\n");
+        send(slow, "\r\n");
         assertEquals(reply(slow).status(), 200);
         tunnel(host, "a");
     }
 
     @Test
     public void operatorsAreAnsweredWhereTunnelsExceedALoweredDescriptorLimit() throws Exception {
-        ServerSocket host = listening();
-        int descriptorsBefore = on(loop::descriptors);
+        ServerSocket host = openServerSocket();
+        int descriptorsBefore = callOnLoop(loop::openDescriptors);
         start(descriptorsBefore + 200, host);
         List<Socket[]> tunnels = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             Socket[] ends = tunnel(host, "t" + i);
-            say(ends[1], "UP r\r\n");
-            assertEquals(hear(ends[0]), "UP r");
+            send(ends[1], "UP r\r\n");
+            assertEquals(readLine(ends[0]), "UP r");
             tunnels.add(ends);
         }
         NodeConfiguration lower = configuration(descriptorsBefore + 20, host);
-        on(
+        callOnLoop(
                 () -> {
                     router.reconfigure(lower);
                     return null;
                 });
-        for (int i = 0; i < 2 * Router.OPERATORS; i++) {
+        for (int i = 0; i < 2 * Router.OPERATOR_DESCRIPTORS; i++) {
             assertEquals(call("GET", "/api/ready").status(), 200);
         }
         for (int i = 0; i < 100; i++) {
-            talk(operators, i % 2 == 0 ? "" : "GET /api/re");
+            connect(operators, i % 2 == 0 ? "" : "GET /api/re");
         }
         assertEquals(call("GET", "/api/ready").status(), 200);
         for (Socket[] ends : tunnels) {
-            say(ends[0], "still here\r\n");
-            assertEquals(hear(ends[1]), "still here");
+            send(ends[0], "still here\r\n");
+            assertEquals(readLine(ends[1]), "still here");
         }
     }
 
     @Test
     public void operatorsAreAnsweredWhereClientsHoldAllDescriptors() throws Exception {
-        start(on(loop::descriptors) + Router.OPERATORS + 60);
+        start(callOnLoop(loop::openDescriptors) + Router.OPERATOR_DESCRIPTORS + 60);
         for (int i = 0; i < 150; i++) {
-            talk(clients, i % 2 == 0 ? "" : "OPEN ");
+            connect(clients, i % 2 == 0 ? "" : "OPEN ");
         }
-        while (!on(() -> router.tally().toString()).contains("accepts paused")
-                && !on(() -> router.tally().toString()).contains("turned away")) {
+        while (!callOnLoop(() -> router.tally().toString()).contains("accepts paused")
+                && !callOnLoop(() -> router.tally().toString()).contains("turned away")) {
             Thread.onSpinWait();
         }
-        for (int i = 0; i < 2 * Router.OPERATORS; i++) {
+        for (int i = 0; i < 2 * Router.OPERATOR_DESCRIPTORS; i++) {
             assertEquals(call("GET", "/api/ready").status(), 200);
         }
     }
--- a/node/src/test/java/embershift/program/ReplaceTest.java
+++ b/node/src/test/java/embershift/program/ReplaceTest.java
@@ -239,7 +239,7 @@
         next.destroyForcibly().waitFor();
         assertTrue(call(management[0], "POST /api/include/s").contains("\"kept\":true"));
         assertEquals(
-                BanList.read(
+                BanList.parse(
                         Files.readString(
                                 folder.resolve(
                                         SiblingProcesses.listPrefix(
@@ -434,12 +434,13 @@
     @Test
     public void listIsReadAsWrittenAndTruncatedListsAreRejected() throws Exception {
         Set<HostId> ejected = Set.of(new HostId("a\"\n{"), new HostId("\u00e9"));
-        String text = BanList.write(ejected);
-        assertEquals(BanList.read(text), ejected);
+        String text = BanList.format(ejected);
+        assertEquals(BanList.parse(text), ejected);
         for (int i = 0; i < text.length(); i++) {
             String truncated = text.substring(0, i);
             org.testng.Assert.assertThrows(
-                    embershift.protocol.Unreadable.class, () -> BanList.read(truncated));
+                    embershift.protocol.MalformedDataException.class,
+                    () -> BanList.parse(truncated));
         }
     }
 }
--- a/node/src/test/java/embershift/transport/SocketOptionsTest.java
+++ b/node/src/test/java/embershift/transport/SocketOptionsTest.java
@@ -2,7 +2,7 @@
 
 import static org.testng.Assert.assertTrue;
 
-import embershift.Loopback;
+import embershift.LoopbackTestBase;
 import java.io.IOException;
 import java.lang.reflect.Field;
 import java.net.InetAddress;
@@ -16,16 +16,17 @@
 import org.xnio.StreamConnection;
 
 /** What the system is told of each socket that the loop opens or accepts. */
-public class SocketOptionsTest extends Loopback {
+public class SocketOptionsTest extends LoopbackTestBase {
 
     /** Asks the system, not the program: what a library was told need not have got there. */
-    private static boolean sendsAtOnce(Link link) throws ReflectiveOperationException, IOException {
-        Field connection = Link.class.getDeclaredField("connection");
+    private static boolean sendsAtOnce(TcpConnection link)
+            throws ReflectiveOperationException, IOException {
+        Field connection = TcpConnection.class.getDeclaredField("connection");
         connection.setAccessible(true);
         return ((StreamConnection) connection.get(link)).getOption(Options.TCP_NODELAY);
     }
 
-    private static final class Deaf implements Link.Events {
+    private static final class Deaf implements TcpConnection.Listener {
         private final CompletableFuture<Void> up = new CompletableFuture<>();
 
         @Override
@@ -39,12 +40,12 @@
         }
 
         @Override
-        public void ended() {
+        public void inputEnded() {
             // As above.
         }
 
         @Override
-        public void broken() {
+        public void connectionLost() {
             // As above.
         }
     }
@@ -52,22 +53,25 @@
     @Test
     public void smallWritesOnWhatIsOpenedAndAcceptedWaitForNoAcknowledgement() throws Exception {
         for (boolean shared : new boolean[] {false, true}) {
-            CompletableFuture<Link> accepted = new CompletableFuture<>();
-            Loop.Listening listening =
+            CompletableFuture<TcpConnection> accepted = new CompletableFuture<>();
+            EventLoop.Acceptor listening =
                     loop.listen(
                             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                             shared,
                             () -> true,
                             accepted::complete);
-            talk(listening.address(), "");
-            Link link = accepted.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            assertTrue(on(() -> sendsAtOnce(link)));
+            connect(listening.localAddress(), "");
+            TcpConnection link = accepted.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            assertTrue(callOnLoop(() -> sendsAtOnce(link)));
         }
-        ServerSocket host = listening();
+        ServerSocket host = openServerSocket();
         Deaf events = new Deaf();
-        Link opened =
-                on(() -> loop.connect((InetSocketAddress) host.getLocalSocketAddress(), events));
-        events.up.get(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        assertTrue(on(() -> sendsAtOnce(opened)));
+        TcpConnection opened =
+                callOnLoop(
+                        () ->
+                                loop.connect(
+                                        (InetSocketAddress) host.getLocalSocketAddress(), events));
+        events.up.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        assertTrue(callOnLoop(() -> sendsAtOnce(opened)));
     }
 }
