--- a/node/src/main/java/embershift/adapter/MalformedLineException.java
+++ b/node/src/main/java/embershift/adapter/MalformedLineException.java
@@ -1,6 +1,9 @@
 package embershift.adapter;
 
-/** An input line cannot be parsed; the message names the line, the field and what was expected. */
+/**
+ * Thrown when an input line cannot be parsed; the message names the line, the field and what was
+ * expected.
+ */
 public final class MalformedLineException extends RuntimeException {
 
     private static final int MAX_SHOWN_CHARS = 120;
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -114,7 +114,8 @@
      * Opens the lock file in the shared folder.
      *
      * @param folder null or empty where there is no shared folder
-     * @param deployment the deployment's id, as {@code NodeConfiguration.belongsTo} returns it
+     * @param deployment the deployment's id, as {@code NodeConfiguration.deploymentIdentity}
+     *     returns it
      * @return null where there is no shared folder or it can't be used, which is then logged
      */
     static SiblingProcesses open(
--- a/node/src/main/java/embershift/protocol/HttpRequestParser.java
+++ b/node/src/main/java/embershift/protocol/HttpRequestParser.java
@@ -19,7 +19,7 @@
     /** Limit of the discarded body. */
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** A request is rejected, for the reason in the message. */
+    /** Thrown when a request is rejected; the message states the reason. */
     public static final class RejectedException extends Exception {
 
         private static final long serialVersionUID = 1;
--- a/node/src/main/java/embershift/protocol/MalformedDataException.java
+++ b/node/src/main/java/embershift/protocol/MalformedDataException.java
@@ -1,6 +1,6 @@
 package embershift.protocol;
 
-/** Received data cannot be parsed; the message states what is wrong with it. */
+/** Thrown when received data cannot be parsed; the message states what is wrong with it. */
 public final class MalformedDataException extends Exception {
 
     private static final long serialVersionUID = 1;
