--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -130,7 +130,7 @@
     /** Tunnels whose client has ended its sending, while the host has not. */
     private final TimeoutQueue<TunnelRelay> closingTunnels = new TimeoutQueue<>(CLOSING_SECONDS);
 
-    private final RosterClient roster;
+    private final RosterClient rosterClient;
     private final Peers peers;
     private ExternalRoster externalRoster;
     private final double connectTimeout;
@@ -185,7 +185,7 @@
                         tally,
                         () -> neededHostConnections + probeConnections.unusedReserve());
         applyDescriptorLimits();
-        roster =
+        rosterClient =
                 new RosterClient(
                         this,
                         configuration.discovery(),
@@ -194,12 +194,12 @@
         peers = new Peers(this, configuration);
         if (configuration.initialRoster() != null) {
             RosterUpdate known = configuration.initialRoster();
-            roster.setGeneration(known.generation());
+            rosterClient.setGeneration(known.generation());
             updateEndpoints(known);
             enqueueEvent(events -> events.rosterReplaced(known.listings(), true));
         }
         if (!deployment.rosterOnRequest()) {
-            roster.watch(true);
+            rosterClient.watch(true);
         }
         sweep();
     }
@@ -226,7 +226,7 @@
      * discovery.
      */
     public void useExternalRoster(boolean on) {
-        roster.useExternalRoster(on);
+        rosterClient.useExternalRoster(on);
     }
 
     /** Applies the external source's full list again, as the policy has asked for it. */
@@ -244,7 +244,7 @@
 
     /** The address of discovery that is in use. */
     public InetSocketAddress discoveryAddress() {
-        return roster.address();
+        return rosterClient.address();
     }
 
     /** The limit on descriptors that is in use, before it is shared with other processes. */
@@ -279,7 +279,7 @@
 
     /** Applies those parts of a new configuration that can change while tunnels are open. */
     public void reconfigure(NodeConfiguration next) {
-        roster.moveTo(next.discovery());
+        rosterClient.moveTo(next.discovery());
         peers.setAddresses(next);
         descriptorLimit = next.sockets();
         applyDescriptorLimits();
@@ -785,12 +785,12 @@
 
     @Override
     public void watchRoster(boolean on) {
-        roster.watch(on);
+        rosterClient.watch(on);
     }
 
     @Override
     public void requestRoster() {
-        roster.requestFullList();
+        rosterClient.requestFullList();
     }
 
     @Override
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -268,10 +268,7 @@
         sendFinalAnswer(line, Outcome.DECLINED);
     }
 
-    /**
-     * Sends the final answer of a tunnel that no host accepted, and ends it; a setup in progress is
-     * given up.
-     */
+    /** Sends the final answer of a pending tunnel and ends it; a setup in progress is given up. */
     void sendFinalAnswer(String line, Outcome outcome) {
         if (state != State.PENDING) {
             return;
