--- a/node/src/main/java/embershift/routing/RosterClient.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -215,7 +215,7 @@
         }
         boolean sameAgain =
                 update.generation() == generation
-                        && !update.listings().isEmpty()
+                        && !update.entries().isEmpty()
                         && schedule.isEarly(router.now());
         if (reusedConnection
                 && (update.generation() < generation || (!fullListRequested && sameAgain))) {
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -196,7 +196,7 @@
             RosterUpdate known = configuration.initialRoster();
             rosterClient.setGeneration(known.generation());
             updateEndpoints(known);
-            enqueueEvent(events -> events.rosterReplaced(known.listings(), true));
+            enqueueEvent(events -> events.rosterReplaced(known.entries(), true));
         }
         if (!deployment.rosterOnRequest()) {
             rosterClient.watch(true);
@@ -693,8 +693,8 @@
         updateEndpoints(update);
         enqueueEvent(
                 update.full()
-                        ? events -> events.rosterReplaced(update.listings(), false)
-                        : events -> events.rosterChanged(update.listings()));
+                        ? events -> events.rosterReplaced(update.entries(), false)
+                        : events -> events.rosterChanged(update.entries()));
         // Over a copy: resuming may remove a tunnel from the list, if its client has left.
         for (TunnelRelay relay : List.copyOf(unresumed)) {
             if (resume(relay)) {
@@ -718,7 +718,7 @@
                     });
         }
         update.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
-        for (RosterEntry entry : update.listings()) {
+        for (RosterEntry entry : update.entries()) {
             HostEndpoint endpoint = endpoint(entry.host());
             endpoint.listedReady = entry.state() == RosterEntry.State.READY;
             if (entry.state() == RosterEntry.State.GONE) {
