--- a/node/src/main/java/embershift/program/NodeProcess.java
+++ b/node/src/main/java/embershift/program/NodeProcess.java
@@ -254,7 +254,7 @@
         router.setDescriptorsHeldElsewhere(
                 others.stream().mapToInt(SiblingProcesses.ProcessStatus::descriptors).sum(),
                 others.size());
-        others.forEach(other -> router.learnTunnelsPerFullHost(other.tunnelsToFillHost()));
+        others.forEach(other -> router.learnTunnelsPerFullHost(other.tunnelsPerFullHost()));
         if (!others.isEmpty()) {
             ejections.reloadStored();
         }
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -114,7 +114,8 @@
      * Opens the lock file in the shared folder.
      *
      * @param folder null or empty where there is no shared folder
-     * @param deployment the deployment's id, as {@code NodeConfiguration.belongsTo} returns it
+     * @param deployment the deployment's id, as {@code NodeConfiguration.deploymentIdentity}
+     *     returns it
      * @return null where there is no shared folder or it can't be used, which is then logged
      */
     static SiblingProcesses open(
@@ -222,9 +223,9 @@
      * What a process tells the others.
      *
      * @param descriptors how many it holds or may yet take
-     * @param tunnelsToFillHost how many tunnels fill a host, as far as it has learned
+     * @param tunnelsPerFullHost how many tunnels fill a host, as far as it has learned
      */
-    record ProcessStatus(int descriptors, double tunnelsToFillHost) {
+    record ProcessStatus(int descriptors, double tunnelsPerFullHost) {
         static final int SIZE_BYTES = Integer.BYTES + Double.BYTES;
     }
 
@@ -237,7 +238,7 @@
                 long offset = STATUS_OFFSET + (long) slot * ProcessStatus.SIZE_BYTES;
                 if (isOwnSlot(slot)) {
                     lockFile.write(
-                            buffer.putInt(own.descriptors).putDouble(own.tunnelsToFillHost).flip(),
+                            buffer.putInt(own.descriptors).putDouble(own.tunnelsPerFullHost).flip(),
                             offset);
                     continue;
                 }
