--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -29,8 +29,8 @@
 import java.util.function.Consumer;
 
 /**
- * Speaks the bench's wire: each line in becomes a call on its instance's module, each decision a
- * line out.
+ * Implements the bench's line protocol: each input line becomes a call of its instance's policy
+ * module, each decision becomes an output line.
  */
 public final class Adapter {
 
@@ -45,23 +45,23 @@
     private final List<List<RosterEntry>> lists =
             new ArrayList<>(java.util.Collections.nCopies(MAX_LISTS, null));
 
-    /** The instances with news in the present batch, in the order of their first. */
+    /** Instances with events in the current batch, in the order of their first event. */
     private final Map<Integer, Instance> activeInstances = new LinkedHashMap<>();
 
     private long lineNumber;
 
-    public Adapter(InputStream in, OutputStream out, PrintStream trouble) {
+    public Adapter(InputStream in, OutputStream out, PrintStream errors) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
-        this.errors = trouble;
+        this.errors = errors;
     }
 
-    /** Plays batches until the input ends. */
+    /** Processes batches until the input ends. */
     public void run() throws IOException {
         StringBuilder reply = new StringBuilder();
         for (LineFields line = nextLine(); line != null; line = nextLine()) {
-            String word = line.text("message");
-            if (!word.equals("BEGIN_BATCH")) {
+            String message = line.text("message");
+            if (!message.equals("BEGIN_BATCH")) {
                 throw line.malformed("message", "BEGIN_BATCH");
             }
             double now = line.number("t-s");
@@ -80,13 +80,13 @@
 
     private void decide(double now, int number, Instance instance, StringBuilder reply) {
         DecisionWriter replies = new DecisionWriter(number, reply);
-        List<Consumer<NodeEvents>> arrivals = instance.events;
+        List<Consumer<NodeEvents>> pendingEvents = instance.events;
         try {
             instance.module.round(
                     now,
-                    news -> {
-                        for (Consumer<NodeEvents> arrival : arrivals) {
-                            arrival.accept(news);
+                    events -> {
+                        for (Consumer<NodeEvents> event : pendingEvents) {
+                            event.accept(events);
                         }
                     },
                     replies);
@@ -94,10 +94,10 @@
             e.printStackTrace(errors);
             replies.exception(e);
         }
-        arrivals.clear();
+        pendingEvents.clear();
     }
 
-    /** The next line that is not empty, or null at the end. */
+    /** Returns the next line that is not empty, or null at the end of the input. */
     private LineFields nextLine() throws IOException {
         String line;
         do {
@@ -114,14 +114,14 @@
                 throw new MalformedLineException(
                         lineNumber, "", "message", "COMMIT before the input ends");
             }
-            String word = line.text("message");
-            if (word.equals("COMMIT")) {
+            String message = line.text("message");
+            if (message.equals("COMMIT")) {
                 return;
             }
-            if (word.equals("REGISTER")) {
+            if (message.equals("REGISTER")) {
                 register(line);
             } else {
-                handleEvent(word, line);
+                handleEvent(message, line);
             }
         }
     }
@@ -133,12 +133,12 @@
             throw line.malformed(
                     "table", "a list number from 0 to " + (MAX_LISTS - 1) + " and a count");
         }
-        List<RosterEntry> listings = new ArrayList<>();
+        List<RosterEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             LineFields item = nextLine();
             if (item == null || !item.text("message").equals("ITEM")) {
                 throw (item == null ? line : item)
-                        .malformed("hosts", "as many ITEM lines as were told");
+                        .malformed("hosts", "as many ITEM lines as announced");
             }
             RosterEntry.State state =
                     switch (item.text("health")) {
@@ -150,7 +150,7 @@
             HostId host = new HostId(item.text("host"));
             item.optional("class-of-host");
             String zone = item.optional("az");
-            listings.add(
+            entries.add(
                     new RosterEntry(
                             host,
                             state,
@@ -159,68 +159,68 @@
                             (int) item.numberOr("unit-group", 0),
                             item.numberOr("launched-s", 0)));
         }
-        lists.set(table, List.copyOf(listings));
+        lists.set(table, List.copyOf(entries));
     }
 
-    private void handleEvent(String word, LineFields line) {
-        int who = line.integer("who");
-        if (word.equals("SPAWN")) {
+    private void handleEvent(String message, LineFields line) {
+        int number = line.integer("who");
+        if (message.equals("SPAWN")) {
             long seed = line.longInteger("rng-seed");
-            SpawnSettings first = new SpawnSettings(line);
-            Deployment deployment = first.deployment(seed);
+            SpawnSettings settings = new SpawnSettings(line);
+            Deployment deployment = settings.deployment(seed);
             instances.put(
-                    who,
+                    number,
                     new Instance(
                             new Policy(deployment, new HostCapacityEstimate(deployment)),
-                            first.reportColumns()));
-            activeInstances.remove(who);
-            activeInstances.put(who, instances.get(who));
+                            settings.reportColumns()));
+            activeInstances.remove(number);
+            activeInstances.put(number, instances.get(number));
             return;
         }
-        if (word.equals("TEARDOWN")) {
-            instances.remove(who);
-            activeInstances.remove(who);
+        if (message.equals("TEARDOWN")) {
+            instances.remove(number);
+            activeInstances.remove(number);
             return;
         }
-        Instance instance = instances.get(who);
-        Consumer<NodeEvents> arrival = parseEvent(word, line, instance);
+        Instance instance = instances.get(number);
+        Consumer<NodeEvents> event = parseEvent(message, line, instance);
         if (instance != null) {
-            activeInstances.put(who, instance);
-            if (arrival != null) {
-                instance.events.add(arrival);
+            activeInstances.put(number, instance);
+            if (event != null) {
+                instance.events.add(event);
             }
         }
     }
 
-    /** What the line says, as a call on the module; null where it only stirs the instance. */
-    private Consumer<NodeEvents> parseEvent(String word, LineFields line, Instance instance) {
-        return switch (word) {
+    /** Returns the line's event as a call of the module; null if the line only triggers a round. */
+    private Consumer<NodeEvents> parseEvent(String message, LineFields line, Instance instance) {
+        return switch (message) {
             case "SYNC" -> parseSync(line);
-            case "ACCEPT", "RESUMED" -> parseTunnel(word, line);
+            case "ACCEPT", "RESUMED" -> parseTunnel(message, line);
             case "ACK_FIRST" -> {
                 TunnelId id = new TunnelId(line.text("handle"));
                 int setup = line.integer("trial");
                 HostId host = new HostId(line.text("host"));
-                double took = line.numberOr("cost-time-s", 0);
-                yield news -> news.tunnelOpened(id, setup, host, took);
+                double duration = line.numberOr("cost-time-s", 0);
+                yield events -> events.tunnelOpened(id, setup, host, duration);
             }
             case "HINT_UPDATE" -> parseHint(line);
             case "REPORT_BACK" -> parseSetupEnd(line, instance);
             case "GONE" -> {
                 TunnelId id = new TunnelId(line.text("handle"));
-                yield news -> news.tunnelAbandoned(id);
+                yield events -> events.tunnelAbandoned(id);
             }
             case "PROBE_RESULT" -> parseProbeEnd(line, instance);
             case "PEER_DATA" -> {
                 int node = line.integer("src");
                 byte[] content = line.bytes("content");
-                yield news -> news.nodeMessageReceived(node, content);
+                yield events -> events.nodeMessageReceived(node, content);
             }
             case "WAKEUP" -> {
                 line.longInteger("ctx");
                 yield null;
             }
-            default -> throw line.malformed("message", "an event of the wire");
+            default -> throw line.malformed("message", "a known event");
         };
     }
 
@@ -230,8 +230,8 @@
         double value = line.number("value");
         HostId host = new HostId(line.text("host"));
         return switch (line.integer("sort")) {
-            case 1 -> news -> news.tunnelLoadMeasured(id, value * MICROSECOND);
-            case 2 -> news -> news.messageDelayMeasured(host, value * MILLISECOND);
+            case 1 -> events -> events.tunnelLoadMeasured(id, value * MICROSECOND);
+            case 2 -> events -> events.messageDelayMeasured(host, value * MILLISECOND);
             default -> null;
         };
     }
@@ -239,60 +239,60 @@
     private Consumer<NodeEvents> parseProbeEnd(LineFields line, Instance instance) {
         HostId host = new HostId(line.text("host"));
         boolean answered = line.integer("verdict") == 0;
-        double took = line.numberOr("cost-time-s", 0);
+        double duration = line.numberOr("cost-time-s", 0);
         Consumer<NodeEvents> report = parseReport(host, line, instance);
-        return news -> {
-            news.probeEnded(host, answered, took);
-            report.accept(news);
+        return events -> {
+            events.probeEnded(host, answered, duration);
+            report.accept(events);
         };
     }
 
     private Consumer<NodeEvents> parseSync(LineFields line) {
-        // A failed call has no list: its number is meaningless and may be absent.
+        // A failed call has no list, so its list number has no meaning and may be absent.
         double table = line.numberOr("table", -1);
         String mode = line.text("mode");
         if (mode.equals("lost")) {
             return NodeEvents::rosterWatchLost;
         }
-        List<RosterEntry> listings =
-                table < 0 || table >= MAX_LISTS ? null : lists.get((int) table);
-        if (listings == null) {
-            throw line.malformed("table", "the number of a list given before");
+        List<RosterEntry> entries = table < 0 || table >= MAX_LISTS ? null : lists.get((int) table);
+        if (entries == null) {
+            throw line.malformed("table", "the number of a list that was registered before");
         }
         return switch (mode) {
-            case "incr" -> news -> news.rosterChanged(listings);
-            case "total" -> news -> news.rosterReplaced(listings, false);
-            case "warm_copy" -> news -> news.rosterReplaced(listings, true);
+            case "incr" -> events -> events.rosterChanged(entries);
+            case "total" -> events -> events.rosterReplaced(entries, false);
+            case "warm_copy" -> events -> events.rosterReplaced(entries, true);
             default -> throw line.malformed("mode", "incr, total, warm_copy or lost");
         };
     }
 
-    private Consumer<NodeEvents> parseTunnel(String word, LineFields line) {
+    private Consumer<NodeEvents> parseTunnel(String message, LineFields line) {
         TunnelId id = new TunnelId(line.text("handle"));
         ProfileId profile = new ProfileId(line.text("category"));
         String team = line.optional("team");
         ParticipantId participant = team == null ? null : new ParticipantId(team);
         String object = line.optional("object");
         SubjectId subject = object == null ? null : new SubjectId(object);
-        double left = line.numberOr("left-s", 0);
+        double timeLeft = line.numberOr("left-s", 0);
         line.numberOr("expected-s", 0);
-        String held = line.optional("group");
-        GroupId group = held == null ? null : new GroupId(held);
+        String groupName = line.optional("group");
+        GroupId group = groupName == null ? null : new GroupId(groupName);
         line.flag("is-retry");
         boolean midFlow = line.flag("mid-flow");
         line.flag("came-back");
-        if (word.equals("RESUMED")) {
+        if (message.equals("RESUMED")) {
             HostId host = new HostId(line.text("host"));
-            return news -> news.tunnelResumed(id, profile, participant, subject, group, host);
+            return events -> events.tunnelResumed(id, profile, participant, subject, group, host);
         }
-        return news -> news.tunnelArrived(id, profile, participant, subject, group, left, midFlow);
+        return events ->
+                events.tunnelArrived(id, profile, participant, subject, group, timeLeft, midFlow);
     }
 
     private Consumer<NodeEvents> parseSetupEnd(LineFields line, Instance instance) {
         TunnelId id = new TunnelId(line.text("handle"));
         int setup = line.integer("trial");
         HostId host = new HostId(line.text("host"));
-        SetupOutcome end =
+        SetupOutcome outcome =
                 switch (line.integer("verdict")) {
                     case 0 -> SetupOutcome.COMPLETED;
                     case 13 -> SetupOutcome.ERROR;
@@ -304,27 +304,27 @@
                     case 9 -> SetupOutcome.NOT_SENT;
                     default -> throw line.malformed("verdict", "one of 0, 1, 4, 8, 9, 10, 13, 14");
                 };
-        double took = line.numberOr("cost-time-s", 0);
-        boolean over = line.flag("no-more");
+        double duration = line.numberOr("cost-time-s", 0);
+        boolean last = line.flag("no-more");
         Consumer<NodeEvents> report = parseReport(host, line, instance);
-        return news -> {
-            report.accept(news);
-            news.setupEnded(id, setup, host, end, took, over);
+        return events -> {
+            report.accept(events);
+            events.setupEnded(id, setup, host, outcome, duration, last);
         };
     }
 
     private Consumer<NodeEvents> parseReport(HostId host, LineFields line, Instance instance) {
         double[] row = line.atEnd() ? new double[0] : line.numberRow("metrics");
         if (row.length == 0 || instance == null) {
-            return news -> {};
+            return events -> {};
         }
-        double over = instance.value(row, "x0");
-        double open = instance.value(row, "rif");
+        double loadOverCapacity = instance.value(row, "x0");
+        double openTunnels = instance.value(row, "rif");
         double queued = instance.value(row, "q");
-        return news -> news.hostReported(host, over, open, queued);
+        return events -> events.hostReported(host, loadOverCapacity, openTunnels, queued);
     }
 
-    /** One isolated module with its news of the present batch. */
+    /** An isolated policy module with its events of the current batch. */
     private static final class Instance {
         final Policy module;
         final String[] columns;
--- a/node/src/main/java/embershift/program/NodeProcess.java
+++ b/node/src/main/java/embershift/program/NodeProcess.java
@@ -247,14 +247,14 @@
 
     private SiblingProcesses.ProcessStatus status() {
         return new SiblingProcesses.ProcessStatus(
-                router.claimedDescriptors(), router.tunnelsPerFullHost());
+                router.claimedDescriptors(), router.tunnelsPerWarmHost());
     }
 
     private void applyStatuses(List<SiblingProcesses.ProcessStatus> others) {
         router.setDescriptorsHeldElsewhere(
                 others.stream().mapToInt(SiblingProcesses.ProcessStatus::descriptors).sum(),
                 others.size());
-        others.forEach(other -> router.learnTunnelsPerFullHost(other.tunnelsPerFullHost()));
+        others.forEach(other -> router.adoptTunnelsPerWarmHost(other.tunnelsPerWarmHost()));
         if (!others.isEmpty()) {
             ejections.reloadStored();
         }
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -2,7 +2,7 @@
 
 import embershift.model.HostId;
 import embershift.operations.HostEjections;
-import embershift.protocol.BanList;
+import embershift.protocol.EjectionList;
 import embershift.protocol.MalformedDataException;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -223,9 +223,9 @@
      * What a process tells the others.
      *
      * @param descriptors how many it holds or may yet take
-     * @param tunnelsPerFullHost how many tunnels fill a host, as far as it has learned
+     * @param tunnelsPerWarmHost how many tunnels fill a host, as far as it has learned
      */
-    record ProcessStatus(int descriptors, double tunnelsPerFullHost) {
+    record ProcessStatus(int descriptors, double tunnelsPerWarmHost) {
         static final int SIZE_BYTES = Integer.BYTES + Double.BYTES;
     }
 
@@ -238,7 +238,7 @@
                 long offset = STATUS_OFFSET + (long) slot * ProcessStatus.SIZE_BYTES;
                 if (isOwnSlot(slot)) {
                     lockFile.write(
-                            buffer.putInt(own.descriptors).putDouble(own.tunnelsPerFullHost).flip(),
+                            buffer.putInt(own.descriptors).putDouble(own.tunnelsPerWarmHost).flip(),
                             offset);
                     continue;
                 }
@@ -290,13 +290,13 @@
                 }
                 Path file = listFile(latestNumber);
                 try {
-                    if (Files.size(file) > BanList.MAX_CHARS) {
+                    if (Files.size(file) > EjectionList.MAX_CHARS) {
                         throw new MalformedDataException(
-                                "longer than " + BanList.MAX_CHARS + " bytes");
+                                "longer than " + EjectionList.MAX_CHARS + " bytes");
                     }
                     return new NumberedList(
                             latestNumber,
-                            BanList.parse(Files.readString(file, StandardCharsets.UTF_8)));
+                            EjectionList.parse(Files.readString(file, StandardCharsets.UTF_8)));
                 } catch (NoSuchFileException e) {
                     // Other processes have written so many lists meanwhile that this one was
                     // deleted, or all lists are gone.
@@ -359,11 +359,11 @@
                 } else {
                     ejected.remove(host);
                 }
-                if (ejected.size() > BanList.MAX_HOSTS) {
-                    throw new IOException("more than " + BanList.MAX_HOSTS + " hosts");
+                if (ejected.size() > EjectionList.MAX_HOSTS) {
+                    throw new IOException("more than " + EjectionList.MAX_HOSTS + " hosts");
                 }
                 long next = latestNumber + 1;
-                if (publish(next, BanList.format(ejected))) {
+                if (publish(next, EjectionList.format(ejected))) {
                     if (!inTime.getAsBoolean()) {
                         // Stopped for so long that its number may have been taken, deleted and
                         // taken again.
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -27,59 +27,71 @@
 import java.util.function.Consumer;
 
 /**
- * The module on sockets: what happens on them becomes its news, and its decisions are carried out
- * on them directly. All news of one wake-up of the loop goes into one round.
+ * Connects the placement policy to the node's sockets: turns what happens on them into events for
+ * the policy and carries out its decisions. All events of one wake-up of the loop are processed in
+ * one policy round.
  */
 public final class Router implements Decisions {
 
     /**
-     * By how much a client's wait is taken shorter, as a part of it, and in seconds at the most:
-     * its line was under way, and a node that starts or shares its core may be late by that much.
+     * Safety margin subtracted from a client's timeout, as a fraction of it and at most {@link
+     * #MAX_MARGIN_SECONDS}: the OPEN line has spent time on the network, and a node that is
+     * starting or shares its core may be late by that much.
      */
     private static final double MARGIN_FRACTION = 0.1;
 
     private static final double MAX_MARGIN_SECONDS = 0.1;
 
     /**
-     * Seconds until a tunnel that stood before is sent to its host again, where that did not take
-     * it.
+     * Seconds until the setup of a tunnel that was open before this node started is sent to its
+     * host again, if the previous one certainly did not run there.
      */
     private static final double RESUME_RETRY_SECONDS = 0.25;
 
     /**
-     * Seconds after which a line that brought none back is looked into, as its host may have
-     * vanished.
+     * Seconds without a line from the host after a client's line, after which the host is checked,
+     * as it may have vanished.
      */
     static final double QUIET_SECONDS = 1.5;
 
-    /** Seconds more after which its tunnel is ended in any case. */
+    /** Further seconds without a line from the host after which the tunnel is ended in any case. */
     private static final double SILENCE_SECONDS = 2.5;
 
+    /**
+     * Seconds for which a host may take to end its side of a tunnel whose client has ended its own.
+     */
     private static final double CLOSING_SECONDS = 0.8;
+
     private static final double SWEEP_SECONDS = 0.1;
     private static final double MIN_WAKE_SECONDS = 0.002;
     private static final int MAX_LOGGED_FAULTS = 20;
 
-    /** Descriptors kept for operators, which neither tunnels nor strangers may take. */
+    /**
+     * Descriptors reserved for operators' connections, which neither tunnels nor client connections
+     * without a tunnel may take.
+     */
     public static final int OPERATOR_DESCRIPTORS = 32;
 
     /**
-     * Part of the connect time-out, and its multiple, that setups given up and probes are waited
-     * for.
+     * Time allowed for a host to end a setup that this node has given up, as a fraction of the
+     * connect timeout; {@link #PROBE_TIMEOUT_FACTOR} is the same for the answer to a probe.
      */
     private static final double GIVE_UP_FRACTION = 0.4;
 
     private static final double PROBE_TIMEOUT_FACTOR = 1.6;
 
-    /** Part of it within which a host's answer may come a second time. */
+    /**
+     * Time within which a host's answer may arrive a second time, as a fraction of the connect
+     * timeout.
+     */
     private static final double DUPLICATE_ANSWER_FRACTION = 0.2;
 
-    /** Part of the shortest setup goal from which a message counts as slow. */
+    /** Delay from which a message counts as slow, as a fraction of the shortest setup goal. */
     private static final double SLOW_MESSAGE_FRACTION = 1 / 3.0;
 
     /**
-     * Part of the descriptors, and their least number, that are for the connections on which hosts
-     * are asked.
+     * One in this many descriptors is reserved for probe connections, but at least {@link
+     * #MIN_PROBE_DESCRIPTORS}.
      */
     private static final int PROBE_DESCRIPTORS_DIVISOR = 8;
 
@@ -87,49 +99,60 @@
 
     private final EventLoop loop;
     private final Deployment deployment;
-    private final HostCapacityEstimate filling;
+    private final HostCapacityEstimate capacityEstimate;
     private final Policy policy;
     private final Consumer<String> log;
     private final Tally tally;
 
     /**
-     * By the names that the module knows; those that clients gave, of the same passages, beside it.
+     * Relays by the unique ids under which the policy knows their tunnels; the ids that clients
+     * gave to the same tunnels are in {@link #idsInUse}.
      */
     private final Map<TunnelId, TunnelRelay> relays = new HashMap<>();
 
     private final Set<TunnelId> idsInUse = new HashSet<>();
     private long relayCount;
     private final Map<HostId, HostEndpoint> endpoints = new HashMap<>();
+
+    /** Tunnels that were open before this node started and whose host is not known yet. */
     private final List<TunnelRelay> unresumed = new ArrayList<>();
+
     private final UnopenedConnections unopenedConnections;
     private final ProbeConnectionPool<HostEndpoint> probeConnections;
     private boolean probeRetryDue;
+
+    /** Tunnels with a client's line to which the host has not sent a line yet. */
     private final TimeoutQueue<TunnelRelay> awaitingReply = new TimeoutQueue<>(QUIET_SECONDS);
+
+    /** Those of them that have waited for more than {@link #QUIET_SECONDS}. */
     private final TimeoutQueue<TunnelRelay> quietTunnels = new TimeoutQueue<>(SILENCE_SECONDS);
+
+    /** Tunnels whose client has ended its sending, while the host has not. */
     private final TimeoutQueue<TunnelRelay> closingTunnels = new TimeoutQueue<>(CLOSING_SECONDS);
+
     private final RosterClient roster;
     private final Peers peers;
     private ExternalRoster externalRoster;
     private final double connectTimeout;
     private final double slowMessageDelay;
-    private List<Consumer<NodeEvents>> pendingNews = new ArrayList<>();
+    private List<Consumer<NodeEvents>> pendingEvents = new ArrayList<>();
     private boolean roundDue;
 
-    /** Places in the code whose faults have been told: each is told once. */
+    /** Code locations whose faults have been logged; each is logged once. */
     private final Set<String> loggedFaults = new HashSet<>();
 
     private boolean leaving;
     private boolean replaced;
-    private EventLoop.Acceptor listening;
+    private EventLoop.Acceptor acceptor;
 
-    /** Whether operators have an address, and so descriptors of their own. */
+    /** Whether operators have an address to connect to, and therefore reserved descriptors. */
     private final boolean hasOperators;
 
     private int descriptorLimit;
 
     /**
-     * Tunnels that wait and have no connection to a host, but will have one: in one wake-up many
-     * may be taken in.
+     * Pending tunnels that will need a connection to a host but have none yet; many may be accepted
+     * in one wake-up, before any of them connects.
      */
     private int neededHostConnections;
 
@@ -142,8 +165,8 @@
         this.loop = loop;
         this.log = log;
         deployment = configuration.deployment();
-        filling = new HostCapacityEstimate(deployment);
-        policy = new Policy(deployment, filling);
+        capacityEstimate = new HostCapacityEstimate(deployment);
+        policy = new Policy(deployment, capacityEstimate);
         tally = new Tally(deployment);
         connectTimeout = deployment.connectTimeout() > 0 ? deployment.connectTimeout() : 0.25;
         slowMessageDelay =
@@ -173,7 +196,7 @@
             RosterUpdate known = configuration.initialRoster();
             roster.setGeneration(known.generation());
             updateEndpoints(known);
-            enqueueNews(news -> news.rosterReplaced(known.listings(), true));
+            enqueueEvent(events -> events.rosterReplaced(known.entries(), true));
         }
         if (!deployment.rosterOnRequest()) {
             roster.watch(true);
@@ -181,44 +204,50 @@
         sweep();
     }
 
-    /** Lists of hosts that come from elsewhere than discovery. */
+    /** A source of host lists other than discovery. */
     public interface ExternalRoster {
 
-        /** Discovery has said something itself, of this generation. */
+        /** Discovery itself has answered, with a list of this generation. */
         void discoveryAnswered(long generation);
 
-        /** The whole list, as it was told last. */
+        /** The full list as last received. */
         RosterUpdate fullList();
     }
 
-    /** Who may tell lists from now on, once {@link #useExternalRoster} says that they hold. */
-    public void setExternalRoster(ExternalRoster others) {
-        externalRoster = others;
+    /**
+     * Sets the source that may provide lists; they apply once {@link #useExternalRoster} is called.
+     */
+    public void setExternalRoster(ExternalRoster source) {
+        externalRoster = source;
     }
 
-    /** Whether lists come from elsewhere now, and discovery is not asked. */
+    /**
+     * Switches between lists from the external source, with discovery not being called, and
+     * discovery.
+     */
     public void useExternalRoster(boolean on) {
         roster.useExternalRoster(on);
     }
 
-    /** The module wants the whole list. */
+    /** Applies the external source's full list again, as the policy has asked for it. */
     void applyExternalRoster() {
-        // After the round in which it asked.
+        // After the policy's round that asked for it.
         loop.execute(() -> applyRoster(externalRoster.fullList()));
     }
 
-    void discoveryAnswered(RosterUpdate page) {
+    void discoveryAnswered(RosterUpdate update) {
         if (externalRoster != null) {
-            externalRoster.discoveryAnswered(page.generation());
+            externalRoster.discoveryAnswered(update.generation());
         }
-        applyRoster(page);
+        applyRoster(update);
     }
 
-    /** Where discovery is asked, and how many descriptors may be held, as this node goes by it. */
+    /** The address of discovery that is in use. */
     public InetSocketAddress discoveryAddress() {
         return roster.address();
     }
 
+    /** The limit on descriptors that is in use, before it is shared with other processes. */
     public int descriptorLimit() {
         return descriptorLimit;
     }
@@ -227,28 +256,28 @@
         return peers.addresses();
     }
 
-    /** Setups sent to that host since this node's start. */
+    /** Number of setups sent to the host since this node started. */
     public long setupsSent(HostId host) {
-        HostEndpoint contact = endpoints.get(host);
-        return contact == null ? 0 : contact.setupsSent;
+        HostEndpoint endpoint = endpoints.get(host);
+        return endpoint == null ? 0 : endpoint.setupsSent;
     }
 
-    private void connectionAccepted(TcpConnection link) {
+    private void connectionAccepted(TcpConnection connection) {
         tally.count("connections taken in");
-        unopenedConnections.add(new TunnelRelay(this, link));
+        unopenedConnections.add(new TunnelRelay(this, connection));
     }
 
     /**
-     * Listens for clients; where operators have an address, beside another process that may do so
-     * as well.
+     * Listens for clients; where operators have an address, another process may listen at the same
+     * address too.
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        listening =
+        acceptor =
                 loop.listen(address, hasOperators, unopenedConnections, this::connectionAccepted);
-        return listening.localAddress();
+        return acceptor.localAddress();
     }
 
-    /** Goes by a new configuration, as far as that can change while tunnels stand. */
+    /** Applies those parts of a new configuration that can change while tunnels are open. */
     public void reconfigure(NodeConfiguration next) {
         roster.moveTo(next.discovery());
         peers.setAddresses(next);
@@ -257,28 +286,32 @@
     }
 
     /**
-     * Tunnels that fill a host, as far as this process has learned: one that follows wants to know.
+     * Number of tunnels that fill a host, as learned by this process; passed on to the process that
+     * replaces it.
      */
-    public double tunnelsPerFullHost() {
-        return filling.tunnelsPerWarmHost();
+    public double tunnelsPerWarmHost() {
+        return capacityEstimate.tunnelsPerWarmHost();
     }
 
-    /** What another process at this address has learned of that. */
-    public void learnTunnelsPerFullHost(double tunnels) {
-        filling.adopt(tunnels);
+    /**
+     * Takes the number of tunnels that fill a host, as learned by another process at this address.
+     */
+    public void adoptTunnelsPerWarmHost(double tunnels) {
+        capacityEstimate.adopt(tunnels);
     }
 
     /**
-     * So many descriptors other processes at this node's address hold or may yet take, and so many
-     * they are.
+     * Reports how many other processes share this node's address, and the number of descriptors
+     * that they hold or may still take together.
      */
-    public void setDescriptorsHeldElsewhere(int many, int processes) {
-        if (descriptorShare.update(descriptorLimit, loop.openDescriptors(), many, processes)) {
+    public void setDescriptorsHeldElsewhere(int descriptors, int processes) {
+        if (descriptorShare.update(
+                descriptorLimit, loop.openDescriptors(), descriptors, processes)) {
             applyDescriptorLimits();
         }
     }
 
-    /** Descriptors that this process tells others at its address to be its own. */
+    /** Descriptors that this process claims for itself towards others at its address. */
     public int claimedDescriptors() {
         return descriptorShare.claimed(
                 descriptorLimit, loop.openDescriptors(), leaving, OPERATOR_DESCRIPTORS);
@@ -294,7 +327,7 @@
                 allowedDescriptors() - (hasOperators ? OPERATOR_DESCRIPTORS : 0));
     }
 
-    /** Descriptors that this process may hold now. */
+    /** Number of descriptors that this process may hold now. */
     public int allowedDescriptors() {
         return descriptorShare.allowed(descriptorLimit);
     }
@@ -303,15 +336,15 @@
         return probeConnections;
     }
 
-    /**
-     * Whether one more host may be reached for a question than there are descriptors for that
-     * alone.
-     */
+    /** Whether a probe connection may be opened beyond the reserved descriptors. */
     private boolean hasRoomForProbe() {
         return unopenedConnections.makeRoom();
     }
 
-    /** Has the next in line for a kept connection try again, behind what is under way. */
+    /**
+     * Schedules another attempt for the first host that waits for a probe connection, after the
+     * work in progress.
+     */
     void retryWaitingProbe() {
         if (probeConnections.firstWaiting() != null && !probeRetryDue) {
             probeRetryDue = true;
@@ -326,80 +359,88 @@
     }
 
     /**
-     * The node is to stop: the module moves what is here. Where it is replaced nothing more comes
-     * in here: what has been accepted is still read and answered, the rest finds the other process.
+     * Prepares to stop the node: the policy moves its tunnels away. If another process replaces it,
+     * this one stops listening: accepted connections are still read and answered, later ones reach
+     * the other process.
      */
     public void leave(boolean replaced) {
         leaving = true;
         this.replaced = replaced;
         if (replaced) {
-            listening.close();
+            acceptor.close();
             peers.close();
         }
-        enqueueNews(news -> news.nodeLeaving(replaced));
+        enqueueEvent(events -> events.nodeLeaving(replaced));
     }
 
     /**
-     * Whether the node is about to stop: its front must not take it for one that has just started.
-     * Where another process serves in its place it still is what the front takes it for.
+     * Whether the node is about to stop, so that the front, which distributes clients over the
+     * nodes, must not take it for one that has just started. False if another process serves in its
+     * place, as the node stays in service for the front then.
      */
     boolean isStopping() {
         return leaving && !replaced;
     }
 
     /**
-     * Whether no tunnel is left, nor anybody whose first line has begun; where the node is
-     * replaced, nobody whose first line may still come: its front sends it nothing more.
+     * Whether no tunnel is left, and no connection whose first line has partly arrived. If the node
+     * is replaced, no connection may be left on which a first line may still arrive either, as the
+     * front sends this process nothing new.
      */
     public boolean isDrained() {
         return relays.isEmpty()
                 && !(replaced
-                        ? unopenedConnections.hasAny() || listening.queuedConnections() > 0
+                        ? unopenedConnections.hasAny() || acceptor.queuedConnections() > 0
                         : unopenedConnections.hasPartialFirstLine());
     }
 
-    /** Whether a list or a ban has named this host. */
+    /** Whether a host list or a ban has named this host. */
     public boolean knows(HostId host) {
         return endpoints.containsKey(host);
     }
 
-    /** Staff take a host out, or back; {@code done} runs once that holds. */
-    public void setOutOfService(HostId host, boolean out, Runnable done) {
-        endpoint(host).outOfService = out;
-        enqueueNews(news -> news.hostAdminStateChanged(host, out));
-        log.accept("by hand: " + host.name() + (out ? " out" : " back"));
-        // Behind the round that takes it.
+    /**
+     * Takes a host out of service by an operator's order, or back; {@code done} runs once that is
+     * in effect.
+     */
+    public void setOutOfService(HostId host, boolean outOfService, Runnable done) {
+        endpoint(host).outOfService = outOfService;
+        enqueueEvent(events -> events.hostAdminStateChanged(host, outOfService));
+        log.accept("by hand: " + host.name() + (outOfService ? " out" : " back"));
+        // After the round that processes this event.
         loop.execute(done);
     }
 
-    /** Tunnels taken and not ended. */
+    /** Number of tunnels accepted and not ended, those without a final answer included. */
     public int openTunnels() {
         return relays.size();
     }
 
-    /** Hosts on the list as last told. */
+    /** Number of hosts on the latest list, as of the last sweep. */
     public int listedHosts() {
         return listedHosts;
     }
 
     /**
-     * Listed hosts that the module gives nothing new now, by hand or by its choice; up to SWEEP
-     * old.
+     * Number of listed hosts to which the policy sends no new tunnels, by an operator's order or
+     * its own decision; at most {@link #SWEEP_SECONDS} old.
      */
     public int avoidedHosts() {
         return avoidedHosts;
     }
 
-    /** Ends what is still here. */
+    /** Ends all remaining tunnels and connections. */
     public void stop() {
-        if (listening != null) {
-            listening.handOverAll();
+        if (acceptor != null) {
+            acceptor.handOverAll();
         }
         new ArrayList<>(relays.values()).forEach(TunnelRelay::stop);
         unopenedConnections.closeAll();
     }
 
-    /** Where datagrams of other nodes come in; null where there are none. */
+    /**
+     * The address at which datagrams from other nodes are received, or null where there is none.
+     */
     InetSocketAddress peerListenAddress() {
         return peers.address();
     }
@@ -428,7 +469,7 @@
         return connectTimeout * GIVE_UP_FRACTION;
     }
 
-    /** Seconds for which an answer may be followed by its own double. */
+    /** Seconds after an answer within which a duplicate of it may arrive. */
     double duplicateAnswerWindow() {
         return connectTimeout * DUPLICATE_ANSWER_FRACTION;
     }
@@ -465,11 +506,11 @@
         loop.schedule(SWEEP_SECONDS, this::sweep);
     }
 
-    // ---- News ----
+    // ---- Events for the policy ----
 
-    /** Keeps a piece of news for the round that follows this wake-up. */
-    void enqueueNews(Consumer<NodeEvents> arrival) {
-        pendingNews.add(arrival);
+    /** Queues an event for the policy round after this wake-up. */
+    void enqueueEvent(Consumer<NodeEvents> event) {
+        pendingEvents.add(event);
         if (!roundDue) {
             roundDue = true;
             loop.execute(this::runRound);
@@ -478,19 +519,21 @@
 
     private void runRound() {
         roundDue = false;
-        List<Consumer<NodeEvents>> news = pendingNews;
-        pendingNews = new ArrayList<>();
+        List<Consumer<NodeEvents>> batch = pendingEvents;
+        pendingEvents = new ArrayList<>();
         try {
-            policy.round(now(), heard -> news.forEach(arrival -> deliver(heard, arrival)), this);
+            policy.round(now(), receiver -> batch.forEach(event -> deliver(receiver, event)), this);
         } catch (RuntimeException e) {
             logFault(e);
         }
     }
 
-    /** Guards the rest of a round's news from a piece that the module stumbles over. */
-    private void deliver(NodeEvents heard, Consumer<NodeEvents> arrival) {
+    /**
+     * Delivers one event; if the policy throws, the rest of the round's events are still delivered.
+     */
+    private void deliver(NodeEvents receiver, Consumer<NodeEvents> event) {
         try {
-            arrival.accept(heard);
+            event.accept(receiver);
         } catch (RuntimeException e) {
             logFault(e);
         }
@@ -502,26 +545,27 @@
         if (loggedFaults.size() < MAX_LOGGED_FAULTS
                 && loggedFaults.add(trace.length == 0 ? "" : trace[0].toString())) {
             log.accept("fault: " + e);
-            for (StackTraceElement at : trace) {
-                log.accept("    at " + at);
+            for (StackTraceElement frame : trace) {
+                log.accept("    at " + frame);
             }
         }
     }
 
     /**
-     * A host has left a question unanswered: tunnels there that bring no line back have lost it.
+     * Ends the tunnels to this host that have waited long for a line: as the host has not answered
+     * a probe either, it counts as vanished.
      */
-    void hostUnresponsive(HostEndpoint contact) {
-        for (TunnelRelay passage : quietTunnels.snapshot()) {
-            if (passage.isAt(contact)) {
-                passage.onHostSilent();
+    void hostUnresponsive(HostEndpoint endpoint) {
+        for (TunnelRelay relay : quietTunnels.snapshot()) {
+            if (relay.isAt(endpoint)) {
+                relay.onHostSilent();
             }
         }
     }
 
-    /** A tunnel has come to want a connection to a host, or wants it no more. */
-    void hostConnectionNeeded(boolean does) {
-        neededHostConnections += does ? 1 : -1;
+    /** Counts a tunnel that has come to need a connection to a host, or needs it no longer. */
+    void hostConnectionNeeded(boolean needed) {
+        neededHostConnections += needed ? 1 : -1;
     }
 
     boolean knows(TunnelId id) {
@@ -529,50 +573,50 @@
     }
 
     /**
-     * A name for a tunnel that no other has had here: what is still told of one that is over
-     * reaches none of the same id.
+     * Makes an id that no other tunnel has had in this process, so that a late event of an ended
+     * tunnel does not reach a later one that the client gave the same id.
      */
     TunnelId uniqueId(TunnelId id) {
         return new TunnelId(id.name() + "." + ++relayCount);
     }
 
     /**
-     * A client has opened: its tunnel is the module's to place, or stood at a host before this
-     * start.
+     * Accepts a tunnel: the policy places it, or it is resumed at its host if it was open before
+     * this node started.
      */
-    void tunnelAccepted(TunnelRelay passage) {
-        OpenRequest opening = passage.opening();
-        relays.put(passage.id(), passage);
-        idsInUse.add(opening.id());
+    void tunnelAccepted(TunnelRelay relay) {
+        OpenRequest openRequest = relay.openRequest();
+        relays.put(relay.id(), relay);
+        idsInUse.add(openRequest.id());
         tally.count("tunnels taken");
-        if (!(opening.resumeHost() == null
+        if (!(openRequest.resumeHost() == null
                 ? unopenedConnections.makeRoom()
-                : unopenedConnections.makeRoomForStanding())) {
-            // Guards the descriptors: with none left, nothing could be taken in or answered at all.
+                : unopenedConnections.makeRoomForResumed())) {
+            // With no descriptors left, no connection could be accepted or answered at all.
             tally.count(Tally.DECLINED_FOR_DESCRIPTORS);
-            passage.sendFinalAnswer("BUSY", Tally.Outcome.DECLINED);
+            relay.sendFinalAnswer("BUSY", Tally.Outcome.DECLINED);
             return;
         }
-        if (opening.resumeHost() != null) {
-            if (!resume(passage)) {
-                unresumed.add(passage);
+        if (openRequest.resumeHost() != null) {
+            if (!resume(relay)) {
+                unresumed.add(relay);
             }
             return;
         }
-        if (profile(opening.profile()).isEmpty()) {
-            remove(passage);
-            passage.rejectFirstLine("unknown profile " + opening.profile().name());
+        if (profile(openRequest.profile()).isEmpty()) {
+            remove(relay);
+            relay.rejectFirstLine("unknown profile " + openRequest.profile().name());
             return;
         }
-        enqueueNews(
-                news ->
-                        news.tunnelArrived(
-                                passage.id(),
-                                opening.profile(),
-                                opening.participant(),
-                                opening.subject(),
-                                opening.group(),
-                                passage.timeLeft(now()),
+        enqueueEvent(
+                events ->
+                        events.tunnelArrived(
+                                relay.id(),
+                                openRequest.profile(),
+                                openRequest.participant(),
+                                openRequest.subject(),
+                                openRequest.group(),
+                                relay.timeLeft(now()),
                                 false));
     }
 
@@ -583,7 +627,8 @@
     }
 
     /**
-     * Seconds from its first setup for which a tunnel that may have run may be sent again (rule 2).
+     * Seconds from a tunnel's first setup within which a setup that may have run may be repeated
+     * (rule 2: no effect may take place twice).
      */
     double repeatWindow(ProfileId id) {
         return profile(id)
@@ -592,64 +637,68 @@
                 .orElse(Double.POSITIVE_INFINITY);
     }
 
+    /** Seconds before the client's timeout by which a tunnel should have its final answer. */
     static double answerMargin(double clientTimeout) {
         return Math.min(MAX_MARGIN_SECONDS, MARGIN_FRACTION * clientTimeout);
     }
 
     /**
-     * Guards standing tunnels against a list that is old: their host may be at another address by
-     * now.
+     * Resumes a tunnel again after a delay: its host may have moved to an address that is not on
+     * the current, outdated list.
      */
-    void resumeLater(TunnelRelay passage) {
-        loop.schedule(RESUME_RETRY_SECONDS, () -> resume(passage));
+    void resumeLater(TunnelRelay relay) {
+        loop.schedule(RESUME_RETRY_SECONDS, () -> resume(relay));
     }
 
-    /** Sends a tunnel that stood before back to its host, if that is known by now. */
-    private boolean resume(TunnelRelay passage) {
-        HostEndpoint contact = endpoints.get(passage.opening().resumeHost());
-        if (contact == null) {
+    /**
+     * Resumes a tunnel that was open before this node started at its host; returns false if the
+     * host is not known yet.
+     */
+    private boolean resume(TunnelRelay relay) {
+        HostEndpoint endpoint = endpoints.get(relay.openRequest().resumeHost());
+        if (endpoint == null) {
             return false;
         }
-        passage.sendSetup(contact, 0);
+        relay.sendSetup(endpoint, 0);
         return true;
     }
 
-    void tunnelOpened(TunnelRelay passage, HostEndpoint contact, int setup, double took) {
-        OpenRequest opening = passage.opening();
-        if (opening.resumeHost() != null) {
-            enqueueNews(
-                    news ->
-                            news.tunnelResumed(
-                                    passage.id(),
-                                    opening.profile(),
-                                    opening.participant(),
-                                    opening.subject(),
-                                    opening.group(),
-                                    contact.host));
+    void tunnelOpened(TunnelRelay relay, HostEndpoint endpoint, int setup, double took) {
+        OpenRequest openRequest = relay.openRequest();
+        if (openRequest.resumeHost() != null) {
+            enqueueEvent(
+                    events ->
+                            events.tunnelResumed(
+                                    relay.id(),
+                                    openRequest.profile(),
+                                    openRequest.participant(),
+                                    openRequest.subject(),
+                                    openRequest.group(),
+                                    endpoint.host));
         } else {
-            enqueueNews(news -> news.tunnelOpened(passage.id(), setup, contact.host, took));
+            enqueueEvent(events -> events.tunnelOpened(relay.id(), setup, endpoint.host, took));
         }
     }
 
-    void remove(TunnelRelay passage) {
-        if (relays.remove(passage.id()) != null) {
-            idsInUse.remove(passage.opening().id());
-            unresumed.remove(passage);
+    void remove(TunnelRelay relay) {
+        if (relays.remove(relay.id()) != null) {
+            idsInUse.remove(relay.openRequest().id());
+            unresumed.remove(relay);
         }
     }
 
-    /** A list of hosts, or what is new in one. */
-    public void applyRoster(RosterUpdate page) {
-        tally.add("roster entries unreadable", page.malformedEntries());
-        updateEndpoints(page);
-        enqueueNews(
-                page.full()
-                        ? news -> news.rosterReplaced(page.listings(), false)
-                        : news -> news.rosterChanged(page.listings()));
-        // Over a copy: a client that is found to have left takes its tunnel off the list by itself.
-        for (TunnelRelay passage : List.copyOf(unresumed)) {
-            if (resume(passage)) {
-                unresumed.remove(passage);
+    /** Applies a full list of hosts or changes to it. */
+    public void applyRoster(RosterUpdate update) {
+        tally.add("roster entries unreadable", update.malformedEntries());
+        updateEndpoints(update);
+        enqueueEvent(
+                update.full()
+                        ? events -> events.rosterReplaced(update.entries(), false)
+                        : events -> events.rosterChanged(update.entries()));
+        // Over a copy: resuming may remove a tunnel from the list, if its client has left.
+        for (TunnelRelay relay : List.copyOf(unresumed)) {
+            if (resume(relay)) {
+                unresumed.remove(relay);
             }
         }
     }
@@ -658,66 +707,66 @@
         return endpoints.computeIfAbsent(host, id -> new HostEndpoint(this, id));
     }
 
-    private void updateEndpoints(RosterUpdate page) {
-        if (page.full()) {
+    private void updateEndpoints(RosterUpdate update) {
+        if (update.full()) {
             endpoints.forEach(
-                    (host, contact) -> {
-                        contact.listedReady = false;
-                        if (!page.addresses().containsKey(host)) {
-                            contact.disconnect();
+                    (host, endpoint) -> {
+                        endpoint.listedReady = false;
+                        if (!update.addresses().containsKey(host)) {
+                            endpoint.disconnect();
                         }
                     });
         }
-        page.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
-        for (RosterEntry listing : page.listings()) {
-            HostEndpoint contact = endpoint(listing.host());
-            contact.listedReady = listing.state() == RosterEntry.State.READY;
-            if (listing.state() == RosterEntry.State.GONE) {
-                contact.disconnect();
+        update.addresses().forEach((host, address) -> endpoint(host).setAddress(address));
+        for (RosterEntry entry : update.entries()) {
+            HostEndpoint endpoint = endpoint(entry.host());
+            endpoint.listedReady = entry.state() == RosterEntry.State.READY;
+            if (entry.state() == RosterEntry.State.GONE) {
+                endpoint.disconnect();
             }
         }
     }
 
-    // ---- Decisions ----
+    // ---- Decisions of the policy ----
 
     @Override
     public void sendSetup(TunnelId id, HostId host, double timeOut) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null && passage.sendSetup(endpoint(host), timeOut)) {
+        TunnelRelay relay = relays.get(id);
+        if (relay != null && relay.sendSetup(endpoint(host), timeOut)) {
             endpoint(host).setupsSent++;
         }
     }
 
     @Override
     public void cancelSetup(TunnelId id, int setup) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
-            passage.cancel(setup);
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
+            relay.cancelSetup(setup);
         }
     }
 
     @Override
     public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
             long millis = (long) Math.ceil(returnAfter * 1000);
-            passage.decline(millis > 0 ? "BUSY " + millis : "BUSY", reason);
+            relay.decline(millis > 0 ? "BUSY " + millis : "BUSY", reason);
         }
     }
 
     @Override
     public void closeWithError(TunnelId id) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
-            passage.sendFinalAnswer("ERR no host took it", Tally.Outcome.CLOSED_WITH_ERROR);
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
+            relay.sendFinalAnswer("ERR no host took it", Tally.Outcome.CLOSED_WITH_ERROR);
         }
     }
 
     @Override
     public void move(TunnelId id) {
-        TunnelRelay passage = relays.get(id);
-        if (passage != null) {
-            passage.move();
+        TunnelRelay relay = relays.get(id);
+        if (relay != null) {
+            relay.move();
         }
     }
 
@@ -728,9 +777,9 @@
 
     @Override
     public void closeIdle(HostId host) {
-        HostEndpoint contact = endpoints.get(host);
-        if (contact != null) {
-            contact.disconnect();
+        HostEndpoint endpoint = endpoints.get(host);
+        if (endpoint != null) {
+            endpoint.disconnect();
         }
     }
 
@@ -756,8 +805,8 @@
 
     @Override
     public void wakeAfter(double delay) {
-        // Guards the sockets: a module that asks for rounds without a pause would let none be read.
-        loop.schedule(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueNews(news -> {}));
+        // A policy that asks for rounds without a pause would keep the sockets from being read.
+        loop.schedule(Math.max(delay, MIN_WAKE_SECONDS), () -> enqueueEvent(events -> {}));
     }
 
     @Override
