--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -223,9 +223,9 @@
      * What a process tells the others.
      *
      * @param descriptors how many it holds or may yet take
-     * @param tunnelsToFillHost how many tunnels fill a host, as far as it has learned
+     * @param tunnelsPerWarmHost how many tunnels fill a host, as far as it has learned
      */
-    record ProcessStatus(int descriptors, double tunnelsToFillHost) {
+    record ProcessStatus(int descriptors, double tunnelsPerWarmHost) {
         static final int SIZE_BYTES = Integer.BYTES + Double.BYTES;
     }
 
@@ -238,7 +238,7 @@
                 long offset = STATUS_OFFSET + (long) slot * ProcessStatus.SIZE_BYTES;
                 if (isOwnSlot(slot)) {
                     lockFile.write(
-                            buffer.putInt(own.descriptors).putDouble(own.tunnelsToFillHost).flip(),
+                            buffer.putInt(own.descriptors).putDouble(own.tunnelsPerWarmHost).flip(),
                             offset);
                     continue;
                 }
