--- a/door/src/main/java/embershift/door/EndpointFeed.java
+++ b/door/src/main/java/embershift/door/EndpointFeed.java
@@ -130,7 +130,7 @@
         if (update.removed().isEmpty()) {
             return changedEntries;
         }
-        List<RosterEntry> rosterEntries = new ArrayList<>(changedEntries.listings());
+        List<RosterEntry> rosterEntries = new ArrayList<>(changedEntries.entries());
         update.removed().forEach(host -> rosterEntries.add(removedEntry(host)));
         return new RosterUpdate(
                 changedEntries.generation(),
--- a/node/src/main/java/embershift/adapter/MalformedLineException.java
+++ b/node/src/main/java/embershift/adapter/MalformedLineException.java
@@ -1,7 +1,7 @@
 package embershift.adapter;
 
 /**
- * A line on the wire that can't be read; the message names the line, the field and what was
+ * Thrown when an input line cannot be parsed; the message names the line, the field and what was
  * expected.
  */
 public final class MalformedLineException extends RuntimeException {
--- a/node/src/main/java/embershift/protocol/RosterUpdate.java
+++ b/node/src/main/java/embershift/protocol/RosterUpdate.java
@@ -10,13 +10,15 @@
 import java.util.Map;
 
 /**
- * What discovery says: a whole list or changes, and at which address each host is reached from
- * here.
+ * A message from discovery: the full list of hosts or changes to it, and the address at which this
+ * node reaches each host.
+ *
+ * @param malformedEntries number of entries that could not be parsed and are left out
  */
 public record RosterUpdate(
         long generation,
         boolean full,
-        List<RosterEntry> listings,
+        List<RosterEntry> entries,
         Map<HostId, InetSocketAddress> addresses,
         int malformedEntries) {
 
@@ -24,39 +26,39 @@
         return fromJson(Json.parse(text));
     }
 
-    /** Reads a page that stands within a larger text. */
+    /** Reads an update that is part of a larger JSON text. */
     public static RosterUpdate fromJson(Object json) throws MalformedDataException {
-        JsonObject page = new JsonObject("list of hosts", json);
-        List<RosterEntry> listings = new ArrayList<>();
+        JsonObject update = new JsonObject("list of hosts", json);
+        List<RosterEntry> entries = new ArrayList<>();
         Map<HostId, InetSocketAddress> addresses = new LinkedHashMap<>();
-        int unreadable = 0;
-        for (JsonObject item : page.items("instances")) {
+        int malformedEntries = 0;
+        for (JsonObject item : update.items("instances")) {
             try {
-                RosterEntry listing = listing(item);
+                RosterEntry entry = parseEntry(item);
                 String address = item.textOr("hostPort", null);
                 if (address != null) {
-                    addresses.put(listing.host(), Addresses.parse(address));
+                    addresses.put(entry.host(), Addresses.parse(address));
                 }
-                listings.add(listing);
+                entries.add(entry);
             } catch (MalformedDataException e) {
-                // One bad entry must not lose the others.
-                unreadable++;
+                // One malformed entry must not lose the others.
+                malformedEntries++;
             }
         }
         return new RosterUpdate(
-                (long) page.number("generation"),
-                page.flagOr("reset", false),
-                List.copyOf(listings),
+                (long) update.number("generation"),
+                update.flagOr("reset", false),
+                List.copyOf(entries),
                 addresses,
-                unreadable);
+                malformedEntries);
     }
 
-    private static RosterEntry listing(JsonObject item) throws MalformedDataException {
+    private static RosterEntry parseEntry(JsonObject item) throws MalformedDataException {
         RosterEntry.State state =
                 switch (item.textOr("lifecycle", "")) {
                     case "in_service" -> RosterEntry.State.READY;
                     case "terminating" -> RosterEntry.State.DRAINING;
-                    // A state that came up later must not keep the node from all other news.
+                    // A state introduced by a later version must not make the whole update fail.
                     default -> RosterEntry.State.GONE;
                 };
         String zone = item.textOr("zone", null);
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -16,12 +16,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * One tunnel on this node, from its client's connection to its end: both sides, and what is
- * between.
+ * Relays one tunnel on this node, from the accept of its client's connection to the end of both
+ * connections.
  */
 final class TunnelRelay {
 
-    /** Where a tunnel is: its first line, with the module, open, on its way out, or over. */
+    /**
+     * Stage of a tunnel: no OPEN line yet, with the policy and without a final answer, open, ended
+     * by the client but not yet by the host, or closed.
+     */
     private enum State {
         AWAITING_OPEN,
         PENDING,
@@ -31,12 +34,16 @@
     }
 
     /**
-     * What a client may send ahead of its host's answer: who sends more is not waiting, and must
-     * still be read to its end.
+     * Maximum number of bytes that a client may send before its host's answer. They are buffered,
+     * as only a connection that is read to its end shows that the client has left; a client that
+     * sends more is not waiting for the answer.
      */
     private static final int MAX_EARLY_BYTES = 8 * 1024;
 
-    /** Questions that one connection may ask before it opens: hundreds at once are no front's. */
+    /**
+     * Maximum number of PING lines on one connection before its OPEN line; no front sends hundreds
+     * at once.
+     */
     private static final int MAX_PINGS = 16;
 
     private final Router router;
@@ -44,11 +51,11 @@
     private State state = State.AWAITING_OPEN;
     private LineCodec firstLineReader = new LineCodec();
     private int pings;
-    private OpenRequest opening;
+    private OpenRequest openRequest;
 
     /**
-     * What the module calls this tunnel: no other has it, so that late news of this one reaches
-     * none that has its id.
+     * The policy's id of this tunnel. It is unique, so that a late event of this tunnel does not
+     * reach a later one that the client gave the same id.
      */
     private TunnelId id;
 
@@ -58,15 +65,15 @@
     private boolean moveRequested;
     private boolean needsHostConnection;
 
-    /** The setup that was sent last, and all that is known of it. */
+    /** The latest setup, or null before the first. */
     private Setup setup;
 
     private int setupCount;
     private double firstSetupSentAt;
 
     /**
-     * Until when it may be sent again, once it may have run: the module's word is older than a
-     * host's late connection.
+     * Time until which a setup may be sent again once an earlier one may have run. Checked here as
+     * well, because a connection to a host may be established long after the policy's decision.
      */
     private double repeatableUntil = Double.POSITIVE_INFINITY;
 
@@ -79,7 +86,7 @@
         client.setListener(new ClientSide());
     }
 
-    // ---- The client's first lines ----
+    // ---- The client's lines up to OPEN ----
 
     private void readFirstLines(ByteBuffer bytes) {
         try {
@@ -111,24 +118,27 @@
         if (!OpenRequest.isOpenLine(text)) {
             throw new MalformedDataException("a connection begins with OPEN or PING");
         }
-        opening = OpenRequest.parse(line);
-        if (router.knows(opening.id())) {
-            opening = null;
+        openRequest = OpenRequest.parse(line);
+        if (router.knows(openRequest.id())) {
+            openRequest = null;
             throw new MalformedDataException("this id has been used");
         }
-        id = router.uniqueId(opening.id());
+        id = router.uniqueId(openRequest.id());
         firstLineReader = null;
         router.unopenedConnections().remove(this);
-        double margin = Router.answerMargin(opening.clientTimeout());
-        clientTimeoutAt = router.now() + opening.clientTimeout() - margin;
+        double margin = Router.answerMargin(openRequest.clientTimeout());
+        clientTimeoutAt = router.now() + openRequest.clientTimeout() - margin;
         state = State.PENDING;
         setNeedsHostConnection(true);
         answerTimer =
-                router.loop().schedule(opening.clientTimeout() - margin / 2, this::answerOverdue);
+                router.loop()
+                        .schedule(openRequest.clientTimeout() - margin / 2, this::answerOverdue);
         router.tunnelAccepted(this);
     }
 
-    /** Guards rule 1 whatever befalls the module: the client hears before it stops waiting. */
+    /**
+     * Sends a final answer before the client stops waiting (rule 1), even if the policy fails to.
+     */
     private void answerOverdue() {
         if (state == State.PENDING) {
             failLocally("tunnels overdue", "out of time");
@@ -136,45 +146,48 @@
     }
 
     /**
-     * Ends a tunnel that still waits, without the module, which hears of it; a setup that is out is
-     * given up.
+     * Ends a pending tunnel without a decision of the policy, which is only notified; a setup in
+     * progress is given up.
      */
-    private void failLocally(String counted, String why) {
-        router.tally().count(counted);
-        router.enqueueNews(news -> news.tunnelAbandoned(id));
-        sendFinalAnswer("ERR " + why, Outcome.CLOSED_WITH_ERROR);
+    private void failLocally(String counter, String reason) {
+        router.tally().count(counter);
+        router.enqueueEvent(events -> events.tunnelAbandoned(id));
+        sendFinalAnswer("ERR " + reason, Outcome.CLOSED_WITH_ERROR);
     }
 
-    /** Says what is wrong with a first line, and ends the connection. */
-    void rejectFirstLine(String why) {
+    /** Answers a first line that is not accepted with an error, and ends the connection. */
+    void rejectFirstLine(String reason) {
         router.tally().count("first lines refused");
-        client.write(LineCodec.encode("ERR " + why));
+        client.write(LineCodec.encode("ERR " + reason));
         markClosed();
         client.closeGracefully();
     }
 
-    /** Reads what it has sent by now; whether no tunnel has come of that. */
+    /**
+     * Reads what the client has sent so far, and returns whether it still has not opened a tunnel.
+     */
     boolean isUnopenedAfterRead() {
         client.readAvailable();
         return state == State.AWAITING_OPEN;
     }
 
     /**
-     * No whole first line has come in time, or others need the room: who only asked needs no word.
+     * Ends a connection without a tunnel because its first line is late or its descriptor is
+     * needed. A client that has only sent PING lines gets no final line.
      */
-    void closeUnopened(String word) {
+    void closeUnopened(String line) {
         if (pings == 0 || firstLineReader.hasPartialLine()) {
-            client.write(LineCodec.encode(word));
+            client.write(LineCodec.encode(line));
         }
         markClosed();
         client.closeGracefully();
     }
 
-    /** Whether it still needs a connection to a host that it does not have. */
-    private void setNeedsHostConnection(boolean is) {
-        if (needsHostConnection != is) {
-            needsHostConnection = is;
-            router.hostConnectionNeeded(is);
+    /** Sets whether this tunnel needs a connection to a host and does not have one. */
+    private void setNeedsHostConnection(boolean needed) {
+        if (needsHostConnection != needed) {
+            needsHostConnection = needed;
+            router.hostConnectionNeeded(needed);
         }
     }
 
@@ -192,20 +205,24 @@
         earlyBytes = null;
     }
 
+    /**
+     * Stops waiting for a line from the host; returns when the wait began, or NaN if there was
+     * none.
+     */
     private double stopReplyTimeouts() {
         router.quietTunnels().remove(this);
         return router.awaitingReply().remove(this);
     }
 
-    OpenRequest opening() {
-        return opening;
+    OpenRequest openRequest() {
+        return openRequest;
     }
 
     TunnelId id() {
         return id;
     }
 
-    /** Whether a first line has begun to come, and may still become a tunnel. */
+    /** Whether part of a first line has arrived that may still open a tunnel. */
     boolean hasPartialFirstLine() {
         return state == State.AWAITING_OPEN && firstLineReader.hasPartialLine();
     }
@@ -214,17 +231,16 @@
         return clientTimeoutAt - now;
     }
 
-    // ---- Decisions ----
+    // ---- Decisions of the policy ----
 
     /**
-     * Sends the next setup, unless the client has left; {@code timeOut} 0 waits as long as the
-     * client does.
+     * Sends the next setup and returns true, unless the client has left. A {@code timeOut} of 0
+     * means that only the client's timeout applies.
      */
-    boolean sendSetup(HostEndpoint contact, double timeOut) {
-        // What was decided may be late: a list that came in the same wake-up, a round behind a
-        // pause of the process. A host
-        // may count an attempt from its connection on, so the client is looked at before that is
-        // begun.
+    boolean sendSetup(HostEndpoint endpoint, double timeOut) {
+        // The decision may be late, after a list in the same wake-up or a pause of the process. A
+        // host may count an attempt from its connection on, so check first whether the client has
+        // left.
         if (state == State.PENDING) {
             client.readAvailable();
         }
@@ -232,23 +248,19 @@
             return false;
         }
         double left = timeLeft(router.now());
-        setup = new Setup(contact, setupCount++);
+        setup = new Setup(endpoint, setupCount++);
         firstSetupSentAt = setupCount == 1 ? setup.sentAt : firstSetupSentAt;
         setup.start(timeOut == 0 ? left : Math.min(left, timeOut));
         return true;
     }
 
-    void cancel(int number) {
+    void cancelSetup(int number) {
         if (setup != null && setup.number == number) {
             setup.cancel();
         }
     }
 
-    /**
-     * The final answer of a tunnel that no host took; nothing goes on for it after that, though a
-     * setup be out.
-     */
-    /** The final answer that the module declines it. */
+    /** Sends the final answer of a tunnel that the policy declines. */
     void decline(String line, DeclineReason reason) {
         if (state == State.PENDING) {
             router.tally().count(reason);
@@ -256,11 +268,12 @@
         sendFinalAnswer(line, Outcome.DECLINED);
     }
 
+    /** Sends the final answer of a pending tunnel and ends it; a setup in progress is given up. */
     void sendFinalAnswer(String line, Outcome outcome) {
         if (state != State.PENDING) {
             return;
         }
-        router.tally().count(outcome, opening.profile());
+        router.tally().count(outcome, openRequest.profile());
         client.write(LineCodec.encode(line));
         markClosed();
         client.closeGracefully();
@@ -270,7 +283,10 @@
         router.remove(this);
     }
 
-    /** Tells an open tunnel's client to come again, as soon as no line is in the middle. */
+    /**
+     * Tells an open tunnel's client to open it again (MOVE), as soon as the host's stream is
+     * between two lines.
+     */
     void move() {
         if (state != State.OPEN || moveRequested) {
             return;
@@ -285,36 +301,37 @@
             client.write(LineCodec.encode("MOVE"));
             endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
             client.closeGracefully();
-            setup.link.closeGracefully();
+            setup.connection.closeGracefully();
         }
     }
 
     /**
-     * No line has come back for a while. Where the host does not answer questions either, it has
-     * vanished; else the module hears of it, which asks the host, and the tunnel waits for longer.
+     * Handles a host that has not sent a line for a while. If it did not answer the latest probe
+     * either, it counts as vanished; otherwise the delay is reported to the policy, which probes
+     * the host, and the tunnel goes on waiting.
      */
     void onHostQuiet() {
         if (client.hasPendingWrites()) {
-            // A client that does not read keeps its host's lines from coming; that is no host's
-            // silence.
+            // A client that does not read keeps its host's lines from arriving; the host is not
+            // silent.
             return;
         }
-        if (setup.contact.isUnresponsive()) {
+        if (setup.endpoint.isUnresponsive()) {
             onHostSilent();
         } else {
             double now = router.now();
-            setup.contact.recordMessageDelay(Router.QUIET_SECONDS, now);
+            setup.endpoint.recordMessageDelay(Router.QUIET_SECONDS, now);
             router.quietTunnels().add(this, now);
         }
     }
 
-    boolean isAt(HostEndpoint contact) {
-        return setup != null && setup.contact == contact;
+    boolean isAt(HostEndpoint endpoint) {
+        return setup != null && setup.endpoint == endpoint;
     }
 
     /**
-     * No line has come back from the host for too long: as it says nothing, its client is sent
-     * away.
+     * Ends an open tunnel whose host has not sent a line for too long, and tells its client to
+     * move.
      */
     void onHostSilent() {
         if (state == State.OPEN) {
@@ -324,28 +341,28 @@
             }
             endTunnel(SetupOutcome.BROKEN, LoadReport.NONE);
             client.closeGracefully();
-            setup.link.close();
+            setup.connection.close();
         }
     }
 
-    /** The open tunnel has ended; the module hears it once. */
+    /** Marks an open tunnel as ended, and reports that to the policy once. */
     private void endTunnel(SetupOutcome end, LoadReport report) {
         markClosed();
         reportSetupEnd(setup, end, report, true);
         router.remove(this);
     }
 
-    private void reportSetupEnd(Setup of, SetupOutcome end, LoadReport report, boolean last) {
-        double took = router.now() - of.sentAt;
+    private void reportSetupEnd(Setup ended, SetupOutcome end, LoadReport report, boolean last) {
+        double took = router.now() - ended.sentAt;
         router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
-        router.enqueueNews(
-                news -> {
-                    of.contact.reportLoad(news, report);
-                    news.setupEnded(id, of.number, of.contact.host, end, took, last);
+        router.enqueueEvent(
+                events -> {
+                    ended.endpoint.reportLoad(events, report);
+                    events.setupEnded(id, ended.number, ended.endpoint.host, end, took, last);
                 });
     }
 
-    // ---- The two sides ----
+    // ---- Events of the two connections ----
 
     private final class ClientSide implements TcpConnection.Listener {
 
@@ -365,14 +382,14 @@
                         router.awaitingReply().add(TunnelRelay.this, router.now());
                     }
                     router.tally().add("bytes to hosts", bytes.remaining());
-                    setup.link.write(bytes);
-                    if (setup.link.hasPendingWrites()) {
+                    setup.connection.write(bytes);
+                    if (setup.connection.hasPendingWrites()) {
                         client.setReading(false);
                     }
                 }
                 default -> {
                     if (state == State.CLOSING && setup != null) {
-                        setup.link.write(bytes);
+                        setup.connection.write(bytes);
                     }
                 }
             }
@@ -387,7 +404,7 @@
             }
             earlyBytes = grown.put(bytes).flip();
             if (earlyBytes.remaining() > MAX_EARLY_BYTES) {
-                // Left unread until a host answers, its end would go unseen.
+                // If reading stopped until a host answers, the client's end would go unnoticed.
                 failLocally("tunnels closed for what was sent ahead", "too much before the answer");
             }
         }
@@ -396,11 +413,10 @@
         public void inputEnded() {
             switch (state) {
                 case OPEN -> {
-                    // The host may still say BYE; what ends the tunnel is the end of its
-                    // connection.
+                    // The host may still send BYE; the tunnel ends when its connection does.
                     state = State.CLOSING;
                     stopReplyTimeouts();
-                    setup.link.shutdownOutput();
+                    setup.connection.shutdownOutput();
                     router.closingTunnels().add(TunnelRelay.this, router.now());
                 }
                 case CLOSING -> close();
@@ -415,22 +431,22 @@
 
         @Override
         public void flushed() {
-            if (setup != null && setup.link != null) {
-                setup.link.setReading(true);
+            if (setup != null && setup.connection != null) {
+                setup.connection.setReading(true);
             }
         }
     }
 
-    /** The client is gone. */
+    /** The client has closed or reset its connection. */
     private void clientLeft(boolean reset) {
         State was = state;
         if (was == State.OPEN || was == State.CLOSING) {
             router.closingTunnels().remove(this);
             endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
             if (reset) {
-                setup.link.reset();
+                setup.connection.reset();
             } else {
-                setup.link.closeGracefully();
+                setup.connection.closeGracefully();
             }
             client.close();
             return;
@@ -441,7 +457,7 @@
             router.tally().count("tunnels left early");
             router.tally()
                     .count("tunnels left early " + (setup == null ? "unplaced" : setup.stage()));
-            router.enqueueNews(news -> news.tunnelAbandoned(id));
+            router.enqueueEvent(events -> events.tunnelAbandoned(id));
             if (setup != null) {
                 setup.cancel();
             }
@@ -449,7 +465,10 @@
         }
     }
 
-    /** The node stops: what is still here ends now, as politely as may be. */
+    /**
+     * Ends this tunnel because the node stops, with a final answer if it is pending and with MOVE
+     * where possible if it is open.
+     */
     void stop() {
         switch (state) {
             case PENDING -> sendFinalAnswer("ERR node stops", Outcome.CLOSED_WITH_ERROR);
@@ -459,16 +478,16 @@
                 }
                 endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
                 client.closeGracefully();
-                setup.link.close();
+                setup.connection.close();
             }
-            // Its client has taken its leave: the end goes on to both sides, as it would when the
-            // host answers.
+            // The client has ended its sending: end both connections, as when the host ends its
+            // own.
             case CLOSING -> close();
             default -> {}
         }
     }
 
-    /** An ending that the host does not answer. */
+    /** Ends a tunnel whose client has ended its sending and whose host has not followed in time. */
     void onClosingTimeout() {
         if (state == State.CLOSING) {
             close();
@@ -479,10 +498,10 @@
         router.closingTunnels().remove(this);
         endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
         client.closeGracefully();
-        setup.link.closeGracefully();
+        setup.connection.closeGracefully();
     }
 
-    /** The host has ended its sending, or its connection broke, on an open tunnel. */
+    /** The host of an open tunnel has ended its sending, or reset the connection. */
     private void hostEnded(boolean reset) {
         if (state == State.CLOSED) {
             return;
@@ -495,13 +514,13 @@
                 hostLineTracker.atLineBoundary()
                         ? hostLineTracker.lastLine().type()
                         : HostLine.Type.OTHER;
-        // A host that takes its leave while a client's line is under way has its end turned into a
-        // reset.
-        boolean tookLeave = last == HostLine.Type.BYE || last == HostLine.Type.MOVE;
+        // If a host closes after BYE or MOVE while a client's line is in flight, its end arrives as
+        // a reset.
+        boolean closedNormally = last == HostLine.Type.BYE || last == HostLine.Type.MOVE;
         SetupOutcome end =
                 last == HostLine.Type.BYE
                         ? SetupOutcome.COMPLETED
-                        : tookLeave || (state == State.CLOSING && !reset)
+                        : closedNormally || (state == State.CLOSING && !reset)
                                 ? SetupOutcome.CANCELLED
                                 : SetupOutcome.BROKEN;
         router.closingTunnels().remove(this);
@@ -510,51 +529,53 @@
                 end == SetupOutcome.COMPLETED
                         ? hostLineTracker.lastLine().report()
                         : LoadReport.NONE);
-        if (reset && !tookLeave) {
+        if (reset && !closedNormally) {
             client.reset();
         } else {
             client.closeGracefully();
         }
-        setup.link.closeGracefully();
+        setup.connection.closeGracefully();
     }
 
-    /** A setup, and the tunnel that comes of it, on the connection to its host. */
+    /** One setup on its connection to the host, and the open tunnel if the host accepts it. */
     private final class Setup implements TcpConnection.Listener {
-        final HostEndpoint contact;
+        final HostEndpoint endpoint;
         final int number;
         final double sentAt = router.now();
-        TcpConnection link;
+        TcpConnection connection;
         private LineCodec lineReader = new LineCodec();
         private EventLoop.Timer timer;
         private double deadline;
 
         /**
-         * Whether the last byte of the first line has been handed over: from then on it may have
-         * run.
+         * Whether the whole first line has been handed to the system; from then on the setup may
+         * have run.
          */
         private boolean firstLineWritten;
 
+        /** Whether the setup has opened its tunnel or ended. */
         private boolean resolved;
 
         /**
-         * How it will end once its connection has, where this node has given it up; null before.
+         * The end to report once the host has ended its connection, if this node has given the
+         * setup up; else null.
          */
         private SetupOutcome pendingEnd;
 
-        Setup(HostEndpoint contact, int number) {
-            this.contact = contact;
+        Setup(HostEndpoint endpoint, int number) {
+            this.endpoint = endpoint;
             this.number = number;
         }
 
         void start(double wait) {
             router.tally().count("setups sent");
             deadline = sentAt + wait;
-            if (wait <= 0 || contact.address() == null) {
+            if (wait <= 0 || endpoint.address() == null) {
                 router.loop().execute(() -> end(SetupOutcome.NOT_SENT, LoadReport.NONE));
                 return;
             }
             setNeedsHostConnection(false);
-            link = router.loop().connect(contact.address(), this);
+            connection = router.loop().connect(endpoint.address(), this);
             timer =
                     router.loop()
                             .schedule(
@@ -567,30 +588,29 @@
             timer.cancel();
             client.readAvailable();
             if (resolved) {
-                // The client had left: nothing goes on for it.
+                // The client has left, and this setup has been cancelled.
                 return;
             }
             double wait = deadline - router.now();
             if (wait <= 0
-                    || (!standing() && !contact.acceptsNewTunnels())
+                    || (!isResuming() && !endpoint.acceptsNewTunnels())
                     || router.now() >= repeatableUntil) {
-                // This node came late to it, or was told meanwhile that the host drains or is gone:
-                // by the time that the
-                // connection took, the grace may be over, and so may the time in which a repeat is
-                // dropped (rule 2).
-                // None of these is a host out of reach.
+                // The timeout has passed, or meanwhile the host drains or is gone. The connection
+                // may have outlasted the host's grace and the time in which the host drops a repeat
+                // (rule 2: no effect twice). In none of these cases is the host unreachable.
                 end(SetupOutcome.NOT_SENT, LoadReport.NONE);
                 return;
             }
             timer = router.loop().schedule(wait, this::timedOut);
-            if (link.write(opening.encodeForHost(wait)) && !link.hasPendingWrites()) {
+            if (connection.write(openRequest.encodeForHost(wait))
+                    && !connection.hasPendingWrites()) {
                 markFirstLineWritten();
             }
         }
 
         /**
-         * A line whose rest waits for a host that does not read: its client may have left
-         * meanwhile.
+         * The rest of the first line has waited for a host that did not read; the client may have
+         * left meanwhile.
          */
         @Override
         public void beforeFlush() {
@@ -599,9 +619,9 @@
             }
         }
 
-        /** How far it has come, for the tally. */
+        /** How far the setup has come, as part of a counter's name. */
         String stage() {
-            return standing()
+            return isResuming()
                     ? "standing before"
                     : resolved
                             ? "between setups"
@@ -619,7 +639,7 @@
 
         @Override
         public void connectFailed() {
-            link = null;
+            connection = null;
             end(SetupOutcome.NO_CONNECTION, LoadReport.NONE);
         }
 
@@ -634,23 +654,26 @@
         }
 
         /**
-         * Ends the sending and waits a moment for the host's end: a setup is out until then, and no
-         * other may follow before. A final answer that is due does not wait.
+         * Gives the setup up: ends the sending and waits a moment for the host to end its side, as
+         * no other setup may follow while this one is in progress. Does not wait if the client's
+         * final answer is due.
          */
-        private void giveUp(SetupOutcome as) {
+        private void giveUp(SetupOutcome reason) {
             if (resolved) {
                 return;
             }
             if (!firstLineWritten
                     || state != State.PENDING
                     || timeLeft(router.now()) < router.giveUpTimeout()) {
-                end(firstLineWritten ? as : SetupOutcome.NO_CONNECTION, LoadReport.NONE);
+                end(firstLineWritten ? reason : SetupOutcome.NO_CONNECTION, LoadReport.NONE);
                 return;
             }
-            pendingEnd = as;
+            pendingEnd = reason;
             timer.cancel();
-            timer = router.loop().schedule(router.giveUpTimeout(), () -> end(as, LoadReport.NONE));
-            link.shutdownOutput();
+            timer =
+                    router.loop()
+                            .schedule(router.giveUpTimeout(), () -> end(reason, LoadReport.NONE));
+            connection.shutdownOutput();
         }
 
         private void end(SetupOutcome end, LoadReport report) {
@@ -661,15 +684,15 @@
             if (timer != null) {
                 timer.cancel();
             }
-            if (link != null) {
-                link.close();
+            if (connection != null) {
+                connection.close();
             }
             setNeedsHostConnection(state == State.PENDING);
-            if (standing() && end.neverRan() && state == State.PENDING) {
+            if (isResuming() && end.neverRan() && state == State.PENDING) {
                 router.resumeLater(TunnelRelay.this);
                 return;
             }
-            if (standing()) {
+            if (isResuming()) {
                 router.tally().count("standing tunnels lost");
                 sendFinalAnswer(
                         "ERR host " + end.name().toLowerCase(java.util.Locale.ROOT),
@@ -677,13 +700,14 @@
                 return;
             }
             if (!end.neverRan()) {
-                repeatableUntil = firstSetupSentAt + router.repeatWindow(opening.profile());
+                repeatableUntil = firstSetupSentAt + router.repeatWindow(openRequest.profile());
             }
             reportSetupEnd(this, end, report, state != State.PENDING);
         }
 
-        private boolean standing() {
-            return opening.resumeHost() != null;
+        /** Whether the tunnel was open at a host before this node started. */
+        private boolean isResuming() {
+            return openRequest.resumeHost() != null;
         }
 
         @Override
@@ -710,18 +734,17 @@
             if (line == null) {
                 return;
             }
-            HostLine said = HostLine.parse(LineCodec.decode(line));
-            switch (said.type()) {
+            HostLine answer = HostLine.parse(LineCodec.decode(line));
+            switch (answer.type()) {
                 case UP -> openTunnel(line);
-                case BUSY -> end(SetupOutcome.FULL, said.report());
-                default -> end(SetupOutcome.ERROR, said.report());
+                case BUSY -> end(SetupOutcome.FULL, answer.report());
+                default -> end(SetupOutcome.ERROR, answer.report());
             }
         }
 
         private void openTunnel(byte[] line) {
             if (pendingEnd != null || state != State.PENDING) {
-                // It came too late: this node has ended its sending, and the tunnel could not live
-                // so.
+                // Too late: this node has ended its sending, so the tunnel could not be used.
                 end(pendingEnd == null ? SetupOutcome.CANCELLED : pendingEnd, LoadReport.NONE);
                 return;
             }
@@ -734,14 +757,14 @@
             hostLineTracker = new HostLineTracker();
             partialLineBuffer = new PartialLineBuffer();
             double took = router.now() - sentAt;
-            if (standing()) {
+            if (isResuming()) {
                 router.tally().count("standing tunnels resumed");
             }
-            router.tally().count(Outcome.OPENED, opening.profile());
+            router.tally().count(Outcome.OPENED, openRequest.profile());
             client.write(ByteBuffer.wrap(line));
-            router.tunnelOpened(TunnelRelay.this, contact, number, took);
+            router.tunnelOpened(TunnelRelay.this, endpoint, number, took);
             if (earlyBytes != null) {
-                link.write(earlyBytes);
+                connection.write(earlyBytes);
                 earlyBytes = null;
                 client.setReading(true);
             }
@@ -751,12 +774,12 @@
             double now = router.now();
             double since = stopReplyTimeouts();
             if (!Double.isNaN(since)) {
-                contact.recordMessageDelay(now - since, now);
+                endpoint.recordMessageDelay(now - since, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
             partialLineBuffer.forward(bytes, this::writeToClient);
             if (client.hasPendingWrites()) {
-                link.setReading(false);
+                connection.setReading(false);
             }
             moveIfBetweenLines();
         }
@@ -765,7 +788,7 @@
             hostLineTracker.observe(bytes);
             double load = hostLineTracker.takeLoad();
             if (!Double.isNaN(load)) {
-                router.enqueueNews(news -> news.tunnelLoadMeasured(id, load * 1e-6));
+                router.enqueueEvent(events -> events.tunnelLoadMeasured(id, load * 1e-6));
             }
             client.write(bytes);
         }
