--- a/fleet/src/main/java/embershift/fleet/audit/AuditReport.java
+++ b/fleet/src/main/java/embershift/fleet/audit/AuditReport.java
@@ -11,8 +11,8 @@
 
 /**
  * Reports which node applied which config revision, as far as the stored audit logs show it, and
- * what they cannot show. The result depends on the stored segments alone. Times are in milliseconds
- * since 1970.
+ * what they cannot show. The same segments give the same report. Times are in milliseconds since
+ * 1970.
  */
 public final class AuditReport {
 
@@ -134,7 +134,7 @@
                                 (one, other) ->
                                         other.from().compareTo(one.from()) >= 0 ? other : one);
         if (current.isEmpty()) {
-            return unknown(node, "its log has no entry so early");
+            return unknown(node, "no entry of its log is so early");
         }
         RevisionPeriod period = current.get();
         if (period.to().isPresent() && millis >= period.to().get().millis()) {
@@ -183,7 +183,7 @@
         List<RevisionPeriod> nodePeriods =
                 periods.stream().filter(each -> each.node().equals(node)).toList();
         if (nodePeriods.isEmpty()) {
-            return Optional.of("it has no log");
+            return Optional.of("its log names no revision");
         }
         if (nodePeriods.stream().anyMatch(each -> !each.isComplete())) {
             return Optional.of("entries are missing");
