--- a/raft/src/main/java/embershift/raft/ElectionProtocol.java
+++ b/raft/src/main/java/embershift/raft/ElectionProtocol.java
@@ -32,7 +32,7 @@
     }
 
     /** Whether this member has a leader that it heard of within the shortest election timeout. */
-    boolean hearsLeader() {
+    boolean hasRecentLeader() {
         return state.hasLeader() && election.isWithinMinimumTimeout();
     }
 
--- a/raft/src/main/java/embershift/raft/Leadership.java
+++ b/raft/src/main/java/embershift/raft/Leadership.java
@@ -121,7 +121,7 @@
             uncommittedBytes = Math.max(0, uncommittedBytes);
             state.commitIndex = index;
             if (isOwnRemovalCommitted()) {
-                replication.sendFarewell();
+                replication.sendFinalCommit();
                 stepDown.run();
                 return;
             }
--- a/raft/src/main/java/embershift/raft/Membership.java
+++ b/raft/src/main/java/embershift/raft/Membership.java
@@ -81,8 +81,8 @@
     }
 
     /** Whether a majority of the voters is among these members. */
-    boolean isQuorum(Collection<MemberId> some) {
-        return some.stream().filter(this::isVoter).count() >= quorum();
+    boolean isQuorum(Collection<MemberId> ids) {
+        return ids.stream().filter(this::isVoter).count() >= quorum();
     }
 
     /** Returns the number of members of any role. */
--- a/raft/src/main/java/embershift/raft/MembershipChanges.java
+++ b/raft/src/main/java/embershift/raft/MembershipChanges.java
@@ -65,9 +65,9 @@
     /**
      * Whether a majority of those left is reached and up to date: else the group could get stuck.
      */
-    private boolean hasQuorumUpToDate(Membership left) {
-        List<MemberId> upToDate = left.voters().stream().filter(this::isUpToDate).toList();
-        return left.isQuorum(upToDate);
+    private boolean hasQuorumUpToDate(Membership remaining) {
+        List<MemberId> upToDate = remaining.voters().stream().filter(this::isUpToDate).toList();
+        return remaining.isQuorum(upToDate);
     }
 
     private boolean isUpToDate(MemberId id) {
@@ -87,10 +87,10 @@
     }
 
     private boolean hasCaughtUp(MemberId id) {
-        long committed = Math.max(state.commitIndex, state.termStartIndex);
+        long requiredIndex = Math.max(state.commitIndex, state.termStartIndex);
         return replication
                 .progressOf(id)
-                .filter(each -> each.isRecentlyActive() && each.matchIndex() >= committed)
+                .filter(each -> each.isRecentlyActive() && each.matchIndex() >= requiredIndex)
                 .isPresent();
     }
 }
--- a/raft/src/main/java/embershift/raft/Raft.java
+++ b/raft/src/main/java/embershift/raft/Raft.java
@@ -192,7 +192,7 @@
             return true;
         }
         if (message instanceof RaftMessage.VoteRequest request) {
-            if (!request.leadershipTransfer() && elections.hearsLeader()) {
+            if (!request.leadershipTransfer() && elections.hasRecentLeader()) {
                 // Whoever does not hear the leader must not unseat it.
                 return false;
             }
@@ -315,16 +315,16 @@
      * Takes a snapshot of the state after an entry that was committed here. Once it is durable, the
      * log before it is dropped, but for {@link RaftLimits#retainedEntries}.
      */
-    public void compact(Snapshot taken) {
-        if (!isNewerSnapshot(taken)) {
+    public void compact(Snapshot newSnapshot) {
+        if (!isNewerSnapshot(newSnapshot)) {
             return;
         }
-        state.writes.writeSnapshot(taken, false);
+        state.writes.writeSnapshot(newSnapshot, false);
         state.writes.whenDurable(
                 () -> {
-                    if (isNewerSnapshot(taken)) {
-                        state.snapshot = Optional.of(taken);
-                        dropEntriesBefore(taken.index());
+                    if (isNewerSnapshot(newSnapshot)) {
+                        state.snapshot = Optional.of(newSnapshot);
+                        dropEntriesBefore(newSnapshot.index());
                     }
                 });
         applyCommitted();
@@ -335,12 +335,12 @@
     }
 
     private void dropEntriesBefore(long snapshotIndex) {
-        long through =
+        long compactIndex =
                 Math.min(snapshotIndex, state.log.lastIndex()) - state.limits.retainedEntries();
-        if (through > state.log.compactedIndex()) {
-            Membership membershipThen = state.memberships.at(through);
-            state.log.compactThrough(through);
-            state.memberships.compactThrough(through, membershipThen);
+        if (compactIndex > state.log.compactedIndex()) {
+            Membership compactMembership = state.memberships.at(compactIndex);
+            state.log.compactThrough(compactIndex);
+            state.memberships.compactThrough(compactIndex, compactMembership);
         }
     }
 }
--- a/raft/src/main/java/embershift/raft/RaftPersistence.java
+++ b/raft/src/main/java/embershift/raft/RaftPersistence.java
@@ -68,15 +68,15 @@
     private void recover() throws IOException {
         Optional<Snapshot> snapshot = snapshots.latest().map(RaftCodec::decodeSnapshot);
         snapshotIndex = snapshot.map(Snapshot::index).orElse(0L);
-        RecordLog.Recovery found = log.takeRecovery();
-        truncatedBytes = found.truncatedBytes();
+        RecordLog.Recovery recovery = log.takeRecovery();
+        truncatedBytes = recovery.truncatedBytes();
         List<LogEntry> entries = new ArrayList<>();
-        for (RecordLog.StoredRecord record : found.records()) {
+        for (RecordLog.StoredRecord record : recovery.records()) {
             replay(record, entries);
         }
         List<LogEntry> valid = entriesThatFollow(snapshot, entries);
         isLogResetPending = valid.size() < entries.size();
-        recovered = new RecoveredState(hardState, snapshot, valid, markUntrusted(found));
+        recovered = new RecoveredState(hardState, snapshot, valid, markUntrusted(recovery));
     }
 
     private void replay(RecordLog.StoredRecord record, List<LogEntry> entries)
@@ -134,9 +134,9 @@
     }
 
     /** Returns whether the member is untrusted, and has that noted on disk. */
-    private boolean markUntrusted(RecordLog.Recovery found) throws IOException {
+    private boolean markUntrusted(RecordLog.Recovery recovery) throws IOException {
         boolean isMarked = disk.fileNames().contains(UNTRUSTED_MARKER);
-        if (found.isUntrusted() && !isMarked) {
+        if (recovery.isUntrusted() && !isMarked) {
             // Before the log is truncated: after that nothing else tells.
             ChecksummedFile.write(disk, UNTRUSTED_MARKER, new byte[0]);
             return true;
@@ -146,9 +146,9 @@
 
     /** Returns what {@link #open} found; once only, so that it need not stay in memory. */
     public RecoveredState takeRecovered() {
-        RecoveredState taken = recovered;
+        RecoveredState result = recovered;
         recovered = null;
-        return taken;
+        return result;
     }
 
     /** Returns how many bytes were discarded at the end of the log when it was opened. */
--- a/raft/src/main/java/embershift/raft/Replication.java
+++ b/raft/src/main/java/embershift/raft/Replication.java
@@ -237,7 +237,7 @@
      * Tells all others what is committed, as this member, which is not part of the group any more,
      * stops to lead. The one that has most is to take its place.
      */
-    void sendFarewell() {
+    void sendFinalCommit() {
         broadcastHeartbeat();
         followers.forEach(
                 (id, progress) ->
--- a/raft/src/test/java/embershift/raft/WireFormatTest.java
+++ b/raft/src/test/java/embershift/raft/WireFormatTest.java
@@ -22,7 +22,7 @@
 public class WireFormatTest {
 
     private static final String MESSAGES = "messages.txt";
-    private static final String MEMBER = "member-directory.txt";
+    private static final String DIRECTORY = "member-directory.txt";
     private static final long FILE_BYTES = 400;
     private static final MemberId FIRST = new MemberId(0x1122334455667788L);
     private static final Membership GROUP =
@@ -52,28 +52,28 @@
                         entry(10, LogEntry.Kind.NO_OP, new byte[0]),
                         entry(11, LogEntry.Kind.COMMAND, bytes("put")),
                         entry(12, LogEntry.Kind.MEMBERSHIP, RaftCodec.encode(GROUP)));
-        Map<String, RaftMessage> all = new LinkedHashMap<>();
-        all.put("vote request", new RaftMessage.VoteRequest(6, 12, 5, false, true));
-        all.put("pre-vote request", new RaftMessage.VoteRequest(6, 12, 5, true, false));
-        all.put("vote reply", new RaftMessage.VoteReply(6, true, false));
-        all.put("pre-vote reply", new RaftMessage.VoteReply(6, false, true));
-        all.put("append request", new RaftMessage.AppendRequest(6, 9, 4, entries, 8, 12, 77));
-        all.put("append reply", new RaftMessage.AppendReply(6, true, 12, 0, 0, 77, 0xabcdef));
-        all.put(
+        Map<String, RaftMessage> messages = new LinkedHashMap<>();
+        messages.put("vote request", new RaftMessage.VoteRequest(6, 12, 5, false, true));
+        messages.put("pre-vote request", new RaftMessage.VoteRequest(6, 12, 5, true, false));
+        messages.put("vote reply", new RaftMessage.VoteReply(6, true, false));
+        messages.put("pre-vote reply", new RaftMessage.VoteReply(6, false, true));
+        messages.put("append request", new RaftMessage.AppendRequest(6, 9, 4, entries, 8, 12, 77));
+        messages.put("append reply", new RaftMessage.AppendReply(6, true, 12, 0, 0, 77, 0xabcdef));
+        messages.put(
                 "append reply, rejected",
                 new RaftMessage.AppendReply(6, false, 9, 7, 3, 77, 0xabcdef));
-        all.put(
+        messages.put(
                 "snapshot request",
                 new RaftMessage.SnapshotRequest(
                         6, 8, 4, GROUP, 5, bytes("piece"), 20, 0x12345678, 78));
-        all.put("snapshot reply", new RaftMessage.SnapshotReply(6, 8, 10, 78, 0xabcdef));
-        all.put("timeout now", new RaftMessage.TimeoutNow(6));
-        all.put("application message", new RaftMessage.ApplicationMessage(6, bytes("sum")));
-        return all;
+        messages.put("snapshot reply", new RaftMessage.SnapshotReply(6, 8, 10, 78, 0xabcdef));
+        messages.put("timeout now", new RaftMessage.TimeoutNow(6));
+        messages.put("application message", new RaftMessage.ApplicationMessage(6, bytes("sum")));
+        return messages;
     }
 
     @Test
-    public void messagesAreWrittenAsBefore() {
+    public void messageEncodingIsUnchanged() {
         GoldenSamples samples = new GoldenSamples();
         messages()
                 .forEach((name, message) -> samples.bytes(name, RaftMessageCodec.encode(message)));
@@ -91,7 +91,7 @@
     }
 
     @Test
-    public void messagesOfAnEarlierVersionAreRead() {
+    public void messagesOfEarlierVersionAreDecoded() {
         messages()
                 .forEach(
                         (name, message) -> {
@@ -152,10 +152,10 @@
     }
 
     /** Votes, entries, a snapshot within the log and one in its place. */
-    private static MemoryDisk written() throws IOException {
+    private static MemoryDisk writeSampleDirectory() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        RaftPersistence keeper = RaftPersistence.open(disk, FILE_BYTES);
-        keeper.write(
+        RaftPersistence persistence = RaftPersistence.open(disk, FILE_BYTES);
+        persistence.write(
                 List.of(
                         request(1, new HardState(1, FIRST), null, false, List.of()),
                         request(
@@ -169,7 +169,7 @@
                                                 1,
                                                 LogEntry.Kind.MEMBERSHIP,
                                                 RaftCodec.encode(GROUP))))));
-        keeper.write(
+        persistence.write(
                 List.of(
                         request(
                                 3,
@@ -183,8 +183,9 @@
                                                 1,
                                                 LogEntry.Kind.COMMAND,
                                                 bytes("a command"))))));
-        keeper.write(List.of(request(4, null, Snapshot.of(2, 1, GROUP, STATE), false, List.of())));
-        keeper.write(
+        persistence.write(
+                List.of(request(4, null, Snapshot.of(2, 1, GROUP, STATE), false, List.of())));
+        persistence.write(
                 List.of(
                         request(
                                 5,
@@ -203,7 +204,7 @@
                                                 4,
                                                 LogEntry.Kind.COMMAND,
                                                 bytes("x".repeat(400)))))));
-        keeper.write(
+        persistence.write(
                 List.of(
                         request(
                                 7,
@@ -217,20 +218,20 @@
     }
 
     @Test
-    public void directoryIsWrittenAsBefore() throws IOException {
-        MemoryDisk disk = written();
+    public void directoryFormatIsUnchanged() throws IOException {
+        MemoryDisk disk = writeSampleDirectory();
         GoldenSamples samples = new GoldenSamples();
         for (String name : new TreeSet<>(disk.fileNames())) {
             samples.bytes(name, disk.read(name));
         }
-        samples.assertMatch(getClass(), MEMBER);
+        samples.assertMatch(getClass(), DIRECTORY);
     }
 
     @Test
-    public void directoryOfAnEarlierVersionIsRead() throws IOException {
+    public void directoryOfEarlierVersionIsRead() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        for (String name : written().fileNames()) {
-            disk.put(name, GoldenSamples.expectedBytes(getClass(), MEMBER, name));
+        for (String name : writeSampleDirectory().fileNames()) {
+            disk.put(name, GoldenSamples.expectedBytes(getClass(), DIRECTORY, name));
         }
         // A mark that what was once promised may be lost, as a start after a damaged log leaves it.
         disk.put("doubt", GoldenSamples.expectedBytes(getClass(), "doubt.txt", "doubt"));
@@ -248,8 +249,8 @@
      * as before.
      */
     @Test
-    public void markOfADamagedLogIsWrittenAsBefore() throws IOException {
-        MemoryDisk disk = written();
+    public void untrustedMarkerFormatIsUnchanged() throws IOException {
+        MemoryDisk disk = writeSampleDirectory();
         String last =
                 new TreeSet<>(disk.fileNames())
                         .stream()
--- a/storage/src/main/java/embershift/storage/LogRecovery.java
+++ b/storage/src/main/java/embershift/storage/LogRecovery.java
@@ -31,7 +31,7 @@
 
     static LogRecovery run(Disk disk) throws IOException {
         LogRecovery recovery = new LogRecovery(disk);
-        NavigableSet<String> names = RecordLog.FILE_NAMES.listed(disk);
+        NavigableSet<String> names = RecordLog.FILE_NAMES.listFiles(disk);
         for (String name : names) {
             recovery.readFile(name, name.equals(names.last()));
         }
--- a/storage/src/main/java/embershift/storage/NumberedFileName.java
+++ b/storage/src/main/java/embershift/storage/NumberedFileName.java
@@ -21,7 +21,7 @@
     }
 
     /** Returns the names of this form on a disk, in the order of their numbers. */
-    NavigableSet<String> listed(Disk disk) throws IOException {
+    NavigableSet<String> listFiles(Disk disk) throws IOException {
         NavigableSet<String> names = new TreeSet<>();
         for (String name : disk.fileNames()) {
             if (name.matches(prefix + DIGITS)) {
--- a/storage/src/main/java/embershift/storage/RecordLog.java
+++ b/storage/src/main/java/embershift/storage/RecordLog.java
@@ -80,9 +80,9 @@
 
     /** Returns what {@link #open} found; once only, so that it need not stay in memory. */
     public Recovery takeRecovery() {
-        Recovery taken = recovery;
+        Recovery result = recovery;
         recovery = null;
-        return taken;
+        return result;
     }
 
     /**
@@ -162,13 +162,13 @@
      * Deletes the oldest files as long as all their records' retention keys are below {@code key}.
      */
     public void discardBelow(long key) throws IOException {
-        Set<String> unneeded = new TreeSet<>();
+        Set<String> obsolete = new TreeSet<>();
         while (maxKeyByFirstRecord.size() > 1
                 && maxKeyByFirstRecord.firstEntry().getValue() < key) {
-            unneeded.add(FILE_NAMES.of(maxKeyByFirstRecord.pollFirstEntry().getKey()));
+            obsolete.add(FILE_NAMES.of(maxKeyByFirstRecord.pollFirstEntry().getKey()));
         }
         // The oldest first: a process killed in between must leave no gap.
-        for (String name : unneeded) {
+        for (String name : obsolete) {
             disk.delete(Set.of(name));
         }
     }
--- a/storage/src/main/java/embershift/storage/SnapshotStore.java
+++ b/storage/src/main/java/embershift/storage/SnapshotStore.java
@@ -26,7 +26,7 @@
      * @throws CorruptDataException if it can't be what was written
      */
     public Optional<byte[]> latest() throws IOException {
-        NavigableSet<String> names = NAMES.listed(disk);
+        NavigableSet<String> names = NAMES.listFiles(disk);
         return names.isEmpty()
                 ? Optional.empty()
                 : Optional.of(ChecksummedFile.read(disk, names.last()));
@@ -40,6 +40,6 @@
     public void write(long number, byte[] content) throws IOException {
         String name = NAMES.of(number);
         ChecksummedFile.write(disk, name, content);
-        disk.delete(NAMES.listed(disk).headSet(name, false));
+        disk.delete(NAMES.listFiles(disk).headSet(name, false));
     }
 }
--- a/storage/src/test/java/embershift/storage/RecordLogTest.java
+++ b/storage/src/test/java/embershift/storage/RecordLogTest.java
@@ -21,7 +21,7 @@
  */
 public class RecordLogTest {
 
-    private static final long FILE = 200;
+    private static final long FILE_BYTES = 200;
 
     private static List<RecordLog.NewRecord> records(int from, int to) {
         List<RecordLog.NewRecord> records = new ArrayList<>();
@@ -34,141 +34,144 @@
         return records;
     }
 
-    private static MemoryDisk written(int many) throws IOException {
+    private static MemoryDisk writeSampleLog(int count) throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        RecordLog log = RecordLog.open(disk, FILE);
-        for (int i = 0; i < many; i++) {
+        RecordLog log = RecordLog.open(disk, FILE_BYTES);
+        for (int i = 0; i < count; i++) {
             log.append(records(i, i + 1));
             log.force();
         }
         return disk;
     }
 
-    private static int found(Disk disk) throws IOException {
-        RecordLog.Recovery found = RecordLog.open(disk, FILE).takeRecovery();
-        for (int i = 0; i < found.records().size(); i++) {
-            assertEquals(found.records().get(i).retentionKey(), i);
-            assertEquals(found.records().get(i).body(), records(i, i + 1).get(0).body());
+    private static int verifyRecords(Disk disk) throws IOException {
+        RecordLog.Recovery recovery = RecordLog.open(disk, FILE_BYTES).takeRecovery();
+        for (int i = 0; i < recovery.records().size(); i++) {
+            assertEquals(recovery.records().get(i).retentionKey(), i);
+            assertEquals(recovery.records().get(i).body(), records(i, i + 1).get(0).body());
         }
-        return found.records().size();
+        return recovery.records().size();
     }
 
     /** The files of a disk, with one of them in place of what it was. */
-    private static MemoryDisk with(Disk disk, String name, byte[] content) throws IOException {
-        MemoryDisk other = new MemoryDisk();
+    private static MemoryDisk copyWithFile(Disk disk, String name, byte[] content)
+            throws IOException {
+        MemoryDisk copy = new MemoryDisk();
         for (String each : disk.fileNames()) {
-            other.put(each, each.equals(name) ? content : disk.read(each));
+            copy.put(each, each.equals(name) ? content : disk.read(each));
         }
-        return other;
+        return copy;
     }
 
-    private static String last(Disk disk) throws IOException {
+    private static String lastFileName(Disk disk) throws IOException {
         return disk.fileNames().stream().reduce((one, other) -> other).orElseThrow();
     }
 
     @Test
-    public void killAtEachByteOfTheLastFileLosesOnlyWhatWasNotWhole() throws Exception {
-        MemoryDisk disk = written(20);
+    public void truncationOfLastFileLosesOnlyIncompleteRecords() throws Exception {
+        MemoryDisk disk = writeSampleLog(20);
         assertTrue(disk.fileNames().size() > 3);
-        String name = last(disk);
-        byte[] whole = disk.read(name);
-        int before = 20;
-        for (int length = whole.length; length >= 0; length--) {
-            MemoryDisk cut = with(disk, name, Arrays.copyOf(whole, length));
-            RecordLog log = RecordLog.open(cut, FILE);
-            RecordLog.Recovery found = log.takeRecovery();
-            int many = found.records().size();
-            assertTrue(many == before || many == before - 1, length + ": " + many);
-            assertFalse(found.isUntrusted());
-            before = many;
-            log.append(records(many, many + 2));
+        String name = lastFileName(disk);
+        byte[] original = disk.read(name);
+        int previousCount = 20;
+        for (int length = original.length; length >= 0; length--) {
+            MemoryDisk truncated = copyWithFile(disk, name, Arrays.copyOf(original, length));
+            RecordLog log = RecordLog.open(truncated, FILE_BYTES);
+            RecordLog.Recovery recovery = log.takeRecovery();
+            int count = recovery.records().size();
+            assertTrue(count == previousCount || count == previousCount - 1, length + ": " + count);
+            assertFalse(recovery.isUntrusted());
+            previousCount = count;
+            log.append(records(count, count + 2));
             log.force();
-            assertEquals(found(cut), many + 2);
+            assertEquals(verifyRecords(truncated), count + 2);
         }
-        assertTrue(before < 20);
+        assertTrue(previousCount < 20);
     }
 
     @Test
-    public void byteChangedAnywhereIsFoundAndOnlyTheLastRecordIsEverCutForIt() throws Exception {
-        MemoryDisk disk = written(20);
-        int cuts = 0;
-        int refused = 0;
+    public void flippedBitIsDetectedAndDiscardsAtMostLastRecord() throws Exception {
+        MemoryDisk disk = writeSampleLog(20);
+        int discarded = 0;
+        int rejected = 0;
         for (String name : disk.fileNames()) {
             byte[] content = disk.read(name);
-            for (int at = 0; at < content.length; at++) {
+            for (int offset = 0; offset < content.length; offset++) {
                 byte[] changed = content.clone();
-                changed[at] ^= (byte) (1 << (at % 8));
-                MemoryDisk other = with(disk, name, changed);
+                changed[offset] ^= (byte) (1 << (offset % 8));
+                MemoryDisk corrupted = copyWithFile(disk, name, changed);
                 try {
-                    RecordLog.Recovery found = RecordLog.open(other, FILE).takeRecovery();
-                    assertEquals(found.records().size(), 19, name + " at " + at);
-                    assertTrue(found.isUntrusted());
-                    cuts++;
+                    RecordLog.Recovery recovery =
+                            RecordLog.open(corrupted, FILE_BYTES).takeRecovery();
+                    assertEquals(recovery.records().size(), 19, name + " at " + offset);
+                    assertTrue(recovery.isUntrusted());
+                    discarded++;
                 } catch (CorruptDataException e) {
                     assertFalse(e.getMessage().contains("\n"));
-                    refused++;
+                    rejected++;
                 }
             }
         }
-        assertTrue(cuts > 20 && refused > 400, cuts + " " + refused);
+        assertTrue(discarded > 20 && rejected > 400, discarded + " " + rejected);
     }
 
     @Test
-    public void fileThatIsMissingInTheMiddleIsRefused() throws Exception {
-        MemoryDisk disk = written(20);
+    public void missingMiddleFileIsRejected() throws Exception {
+        MemoryDisk disk = writeSampleLog(20);
         disk.delete(Set.of(disk.fileNames().stream().skip(1).findFirst().orElseThrow()));
-        assertThrows(CorruptDataException.class, () -> RecordLog.open(disk, FILE));
+        assertThrows(CorruptDataException.class, () -> RecordLog.open(disk, FILE_BYTES));
     }
 
     @Test
-    public void fullDiskHarmsNothingAndIsUsedAgainOnceThereIsRoom() throws Exception {
+    public void fullDiskLosesNoRecordsAndWritesResumeOnceThereIsSpace() throws Exception {
         MemoryDisk disk = new MemoryDisk();
-        RecordLog log = RecordLog.open(disk, FILE);
-        int many = 0;
+        RecordLog log = RecordLog.open(disk, FILE_BYTES);
+        int count = 0;
         for (int i = 0; i < 40; i++) {
-            int next = many;
+            int next = count;
             disk.setFull(i % 3 != 0);
             if (i % 3 == 0) {
                 log.append(records(next, next + 1));
                 log.force();
-                many++;
+                count++;
             } else {
                 assertThrows(OutOfSpaceException.class, () -> log.append(records(next, next + 1)));
             }
             disk.setFull(false);
-            MemoryDisk copy = with(disk, null, null);
-            assertEquals(found(copy), many);
+            MemoryDisk copy = copyWithFile(disk, null, null);
+            assertEquals(verifyRecords(copy), count);
         }
-        assertEquals(found(disk), many);
+        assertEquals(verifyRecords(disk), count);
     }
 
     @Test
-    public void oldestFilesGoOnceTheirMarksAreBelowAndTheRestIsRead() throws Exception {
-        MemoryDisk disk = written(20);
-        RecordLog log = RecordLog.open(disk, FILE);
-        int files = log.fileCount();
+    public void oldestFilesBelowRetentionKeyAreDeletedAndTheRestIsReadable() throws Exception {
+        MemoryDisk disk = writeSampleLog(20);
+        RecordLog log = RecordLog.open(disk, FILE_BYTES);
+        int initialFileCount = log.fileCount();
         log.discardBelow(10);
-        assertTrue(log.fileCount() < files);
-        List<RecordLog.StoredRecord> left = RecordLog.open(disk, FILE).takeRecovery().records();
-        assertTrue(left.get(0).retentionKey() <= 10 && left.get(0).retentionKey() > 0);
-        assertEquals(left.get(left.size() - 1).retentionKey(), 19);
+        assertTrue(log.fileCount() < initialFileCount);
+        List<RecordLog.StoredRecord> remaining =
+                RecordLog.open(disk, FILE_BYTES).takeRecovery().records();
+        assertTrue(remaining.get(0).retentionKey() <= 10 && remaining.get(0).retentionKey() > 0);
+        assertEquals(remaining.get(remaining.size() - 1).retentionKey(), 19);
     }
 
     @Test
-    public void folderOfTheSystemKeepsTheSameAndBelongsToOneAtATime() throws Exception {
+    public void fileSystemDirectoryIsPersistentAndLocked() throws Exception {
         Path path = Files.createTempDirectory("embershift");
-        try (FileSystemDisk folder = FileSystemDisk.open(path)) {
-            RecordLog log = RecordLog.open(folder, FILE);
+        try (FileSystemDisk directory = FileSystemDisk.open(path)) {
+            RecordLog log = RecordLog.open(directory, FILE_BYTES);
             log.append(records(0, 20));
             log.force();
             log.close();
-            assertEquals(found(folder), 20);
-            new SnapshotStore(folder).write(3, new byte[] {1});
-            new SnapshotStore(folder).write(4, new byte[] {2});
-            assertEquals(new SnapshotStore(folder).latest().orElseThrow(), new byte[] {2});
+            assertEquals(verifyRecords(directory), 20);
+            new SnapshotStore(directory).write(3, new byte[] {1});
+            new SnapshotStore(directory).write(4, new byte[] {2});
+            assertEquals(new SnapshotStore(directory).latest().orElseThrow(), new byte[] {2});
             assertThrows(IOException.class, () -> FileSystemDisk.open(path));
-            for (String name : folder.fileNames()) {
-                folder.delete(Set.of(name));
+            for (String name : directory.fileNames()) {
+                directory.delete(Set.of(name));
             }
         }
         Files.delete(path.resolve("lock"));
@@ -176,33 +179,37 @@
     }
 
     @Test
-    public void snapshotThatWasChangedOrCutIsRefused() throws Exception {
+    public void corruptOrTruncatedSnapshotIsRejected() throws Exception {
         MemoryDisk disk = new MemoryDisk();
         new SnapshotStore(disk).write(1, "content".getBytes(StandardCharsets.UTF_8));
-        byte[] whole = disk.read(last(disk));
-        for (int at = 0; at < whole.length; at++) {
-            byte[] changed = whole.clone();
-            changed[at] ^= 4;
+        byte[] original = disk.read(lastFileName(disk));
+        for (int offset = 0; offset < original.length; offset++) {
+            byte[] changed = original.clone();
+            changed[offset] ^= 4;
             assertThrows(
                     CorruptDataException.class,
-                    () -> new SnapshotStore(with(disk, last(disk), changed)).latest());
-            byte[] cut = Arrays.copyOf(whole, at);
+                    () ->
+                            new SnapshotStore(copyWithFile(disk, lastFileName(disk), changed))
+                                    .latest());
+            byte[] truncated = Arrays.copyOf(original, offset);
             assertThrows(
                     CorruptDataException.class,
-                    () -> new SnapshotStore(with(disk, last(disk), cut)).latest());
+                    () ->
+                            new SnapshotStore(copyWithFile(disk, lastFileName(disk), truncated))
+                                    .latest());
         }
     }
 
     @Test
-    public void drillFillsTheDiskUntilItsFileIsTakenAway() throws Exception {
-        MemoryDisk under = new MemoryDisk();
-        FaultInjectingDisk disk = new FaultInjectingDisk(under);
-        RecordLog log = RecordLog.open(disk, FILE);
+    public void markerFileMakesDiskFullUntilItIsDeleted() throws Exception {
+        MemoryDisk delegate = new MemoryDisk();
+        FaultInjectingDisk disk = new FaultInjectingDisk(delegate);
+        RecordLog log = RecordLog.open(disk, FILE_BYTES);
         log.append(records(0, 1));
-        under.put(FaultInjectingDisk.FULL_MARKER, new byte[0]);
+        delegate.put(FaultInjectingDisk.FULL_MARKER, new byte[0]);
         assertThrows(OutOfSpaceException.class, () -> log.append(records(1, 2)));
-        under.delete(Set.of(FaultInjectingDisk.FULL_MARKER));
+        delegate.delete(Set.of(FaultInjectingDisk.FULL_MARKER));
         log.append(records(1, 2));
-        assertEquals(found(under), 2);
+        assertEquals(verifyRecords(delegate), 2);
     }
 }
--- a/storage/src/test/java/embershift/storage/StoredFormatTest.java
+++ b/storage/src/test/java/embershift/storage/StoredFormatTest.java
@@ -24,11 +24,11 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    private static RecordLog.NewRecord record(long mark, String text) {
-        return new RecordLog.NewRecord(mark, body(text));
+    private static RecordLog.NewRecord record(long retentionKey, String text) {
+        return new RecordLog.NewRecord(retentionKey, body(text));
     }
 
-    private static MemoryDisk written() throws IOException {
+    private static MemoryDisk writeSampleFiles() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         RecordLog log = RecordLog.open(disk, FILE_BYTES);
         log.append(List.of(record(7, "first"), record(-1, "")));
@@ -42,8 +42,8 @@
     }
 
     @Test
-    public void filesAreWrittenAsBefore() throws IOException {
-        MemoryDisk disk = written();
+    public void fileFormatIsUnchanged() throws IOException {
+        MemoryDisk disk = writeSampleFiles();
         GoldenSamples samples = new GoldenSamples();
         for (String name : new TreeSet<>(disk.fileNames())) {
             samples.bytes(name, disk.read(name));
@@ -52,18 +52,19 @@
     }
 
     @Test
-    public void filesOfAnEarlierVersionAreRead() throws IOException {
+    public void filesOfEarlierVersionAreRead() throws IOException {
         MemoryDisk disk = new MemoryDisk();
-        for (String name : written().fileNames()) {
+        for (String name : writeSampleFiles().fileNames()) {
             disk.put(name, GoldenSamples.expectedBytes(getClass(), GOLDEN, name));
         }
-        RecordLog.Recovery found = RecordLog.open(disk, FILE_BYTES).takeRecovery();
-        assertEquals(found.truncatedBytes(), 0);
+        RecordLog.Recovery recovery = RecordLog.open(disk, FILE_BYTES).takeRecovery();
+        assertEquals(recovery.truncatedBytes(), 0);
         assertEquals(
-                found.records().stream().map(RecordLog.StoredRecord::retentionKey).toList(),
+                recovery.records().stream().map(RecordLog.StoredRecord::retentionKey).toList(),
                 List.of(7L, -1L, Long.MAX_VALUE, 9L));
         assertEquals(
-                found.records().get(2).body(), body("third, in the same file as those before it"));
+                recovery.records().get(2).body(),
+                body("third, in the same file as those before it"));
         assertEquals(ChecksummedFile.read(disk, "identity"), body("who"));
         assertEquals(new SnapshotStore(disk).latest().orElseThrow(), body("state"));
     }
@@ -72,10 +73,10 @@
     @Test
     public void directoryHoldsTheSameFiles() throws IOException {
         Path path = Files.createTempDirectory("stored");
-        try (FileSystemDisk folder = FileSystemDisk.open(path)) {
-            MemoryDisk disk = written();
+        try (FileSystemDisk directory = FileSystemDisk.open(path)) {
+            MemoryDisk disk = writeSampleFiles();
             for (String name : disk.fileNames()) {
-                folder.replace(name, disk.read(name));
+                directory.replace(name, disk.read(name));
             }
             try (var files = Files.list(path)) {
                 assertEquals(
@@ -100,8 +101,8 @@
 
     /** The golden comparison is one: any byte that changes is seen. */
     @Test
-    public void changedByteIsSeen() throws IOException {
-        MemoryDisk disk = written();
+    public void changedByteIsDetected() throws IOException {
+        MemoryDisk disk = writeSampleFiles();
         Random random = new Random(1);
         for (String name : disk.fileNames()) {
             byte[] changed = disk.read(name);
