--- a/raft/src/main/java/embershift/raft/Election.java
+++ b/raft/src/main/java/embershift/raft/Election.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /**
- * The election timer and the votes of the current election. The timer expires after a random time
- * of one to two {@link RaftTiming#electionTicks}.
+ * The election timer and the votes received in the current election. The timer expires after a
+ * random time of one to two {@link RaftTiming#electionTicks}.
  */
 final class Election {
 
-    /** How an election stands. */
+    /** The state of an election. */
     enum Outcome {
         PENDING,
         WON,
@@ -34,23 +34,23 @@
         return electionTicks + random.nextInt(electionTicks);
     }
 
-    /** Counts a tick; returns whether the timer has expired. */
+    /** Advances the timer by one tick; returns whether it has expired. */
     boolean tick() {
         return ++elapsedTicks >= timeoutTicks;
     }
 
-    /** Starts the timer again with the same timeout. */
+    /** Restarts the timer with the same timeout. */
     void resetTimer() {
         elapsedTicks = 0;
     }
 
-    /** Starts the timer again with another timeout. */
+    /** Restarts the timer with a new random timeout. */
     void restartTimer() {
         elapsedTicks = 0;
         timeoutTicks = randomTimeout();
     }
 
-    /** Has the timer expire with the next tick. */
+    /** Makes the timer expire at the next tick. */
     void expireTimer() {
         elapsedTicks = timeoutTicks;
     }
@@ -60,7 +60,7 @@
         return elapsedTicks < electionTicks;
     }
 
-    /** Forgets the votes of the election before. */
+    /** Starts an election; discards the votes of the previous one. */
     void begin() {
         granted.clear();
         rejected.clear();
--- a/raft/src/main/java/embershift/raft/ElectionProtocol.java
+++ b/raft/src/main/java/embershift/raft/ElectionProtocol.java
@@ -5,7 +5,7 @@
 
 /**
  * Elections (thesis, 3.4), pre-votes (9.6) and the changes between the roles of follower,
- * pre-candidate, candidate and leader. What a leader does is {@link Leadership}'s.
+ * pre-candidate, candidate and leader. {@link Leadership} implements what a leader does.
  */
 final class ElectionProtocol {
 
@@ -19,29 +19,31 @@
         election = new Election(state.timing, seed);
     }
 
-    /** Counts a tick of a member that does not lead, and stands for election when it is time. */
+    /**
+     * Handles a tick of a non-leader; starts a pre-vote if its timer expired and it is eligible.
+     */
     void tick() {
         if (election.tick() && mayStandForElection()) {
             startPreVote();
         }
     }
 
-    /** Has the next tick begin an election. */
+    /** Makes the next tick start an election. */
     void expireTimer() {
         election.expireTimer();
     }
 
-    /** Whether this member has a leader that it heard of within the shortest election timeout. */
+    /** Whether a leader is known and was heard from within the minimum election timeout. */
     boolean hasRecentLeader() {
         return state.hasLeader() && election.isWithinMinimumTimeout();
     }
 
-    /** Leads no more in this term. */
+    /** Becomes a follower in the current term, with no known leader. */
     void stepDown() {
         becomeFollower(state.term, MemberId.NONE);
     }
 
-    /** Follows a leader in that term, or nobody yet where {@code leader} is none. */
+    /** Becomes a follower in a term; {@code leader} is {@link MemberId#NONE} while unknown. */
     void becomeFollower(long term, MemberId leader) {
         boolean isChange =
                 term > state.term || state.role != Role.FOLLOWER || !state.leader.equals(leader);
@@ -137,7 +139,7 @@
             }
             case LOST -> stepDown();
             case PENDING -> {
-                // Further votes decide it, or the timer begins another election.
+                // Decided by further votes, or the timer starts another election.
             }
         }
     }
--- a/raft/src/main/java/embershift/raft/FollowerLog.java
+++ b/raft/src/main/java/embershift/raft/FollowerLog.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * The follower's side of replication: takes entries and snapshots of the leader into the log, and
+ * The follower's side of replication: adds the leader's entries and snapshots to the log, and
  * replies once they are durable.
  */
 final class FollowerLog {
@@ -65,7 +65,7 @@
                         state.term, true, matchIndex, 0, 0, heartbeatRound, state.incarnation));
     }
 
-    /** Appends what the log lacks, in place of conflicting entries; returns what is new. */
+    /** Appends missing entries, replacing conflicting ones; returns the appended entries. */
     private List<LogEntry> append(List<LogEntry> entries) {
         LogEntries log = state.log;
         List<LogEntry> appended = new ArrayList<>();
@@ -76,7 +76,7 @@
             if (entry.index() <= log.lastIndex() && log.termAt(entry.index()) != entry.term()) {
                 if (entry.index() <= state.commitIndex) {
                     throw new IllegalStateException(
-                            "entry " + entry.index() + " was agreed otherwise");
+                            "entry " + entry.index() + " conflicts with a committed entry");
                 }
                 state.truncateFrom(entry.index());
             }
@@ -130,7 +130,7 @@
                         state.incarnation));
     }
 
-    /** Goes on from a snapshot; entries behind it stay only where the log agrees with it. */
+    /** Installs a snapshot; later entries are kept only if the log matches the snapshot. */
     private void install(Snapshot snapshot) {
         long index = snapshot.index();
         boolean replacesLog = state.log.termAt(index) != snapshot.term();
--- a/raft/src/main/java/embershift/raft/FollowerProgress.java
+++ b/raft/src/main/java/embershift/raft/FollowerProgress.java
@@ -3,33 +3,33 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What a leader knows of one other member's log, and how it sends to it. */
+/** A leader's view of one other member's log, and the state of sending to that member. */
 final class FollowerProgress {
 
     /** How entries are sent. */
     enum State {
-        /** One message at a time, until it is known where the logs match. */
+        /** One message at a time, until the matching index is known. */
         PROBE,
-        /** Ahead of the replies. */
+        /** Pipelined, without waiting for replies. */
         REPLICATE,
-        /** A snapshot in chunks, as the follower lacks entries that are compacted. */
+        /** A snapshot in chunks, as the follower lacks entries that have been compacted. */
         SNAPSHOT
     }
 
     private State state = State.PROBE;
 
-    /** The last index known to be durable there as the leader has it. */
+    /** The last index known to be durable at the follower and equal to the leader's log. */
     private long matchIndex;
 
     private long nextIndex;
 
-    /** Whether a probe is out; the next heartbeat allows another. */
+    /** Whether a probe is unanswered; the next heartbeat allows another. */
     private boolean isProbeSent;
 
-    /** The last index of each message without a reply. */
+    /** The last index of each unacknowledged message. */
     private final Deque<Long> inflight = new ArrayDeque<>();
 
-    /** Whether it was heard of in the current activity period, and in the one before. */
+    /** Whether it replied in the current activity period, and in the previous one. */
     private boolean isRecentlyActive;
 
     private boolean wasPreviouslyActive;
@@ -89,11 +89,11 @@
         ticksSinceChunk++;
     }
 
-    /** Notes which process of the follower replied, to a heartbeat of which round. */
+    /** Records a reply: the incarnation of the follower's process and the heartbeat round. */
     void recordReply(long replyIncarnation, long round, long lastLogIndex) {
         if (incarnation != replyIncarnation) {
             if (incarnation != 0) {
-                // It was restarted, and may have lost what it had acknowledged.
+                // The follower was restarted and may have lost entries it had acknowledged.
                 matchIndex = 0;
                 becomeProbe(Math.min(nextIndex, lastLogIndex + 1));
             }
@@ -103,7 +103,7 @@
         heartbeatRound = Math.max(heartbeatRound, round);
     }
 
-    /** Notes that the logs match up to that index; returns whether that is more than was known. */
+    /** Records that the logs match up to an index; returns whether that advances the match. */
     boolean recordMatch(long index) {
         boolean hasAdvanced = index > matchIndex;
         acknowledge(index);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Whether a rejection of entries behind {@code previousIndex} is news. */
+    /** Whether a rejection of the entries after {@code previousIndex} is not outdated. */
     boolean isCurrentRejection(long previousIndex) {
         return state != State.SNAPSHOT
                 && previousIndex > matchIndex
@@ -146,17 +146,17 @@
         snapshotOffset = 0;
     }
 
-    /** Allows another probe, as the one before may be lost. */
+    /** Allows another probe, as the previous one may be lost. */
     void allowProbe() {
         isProbeSent = false;
     }
 
-    /** Whether entries are what it is sent next, and no probe is out. */
+    /** Whether entries may be sent: no snapshot is being sent and no probe is unanswered. */
     boolean isAwaitingEntries() {
         return state == State.REPLICATE || (state == State.PROBE && !isProbeSent);
     }
 
-    /** Whether it has been sent all there is, or as much as may be in flight. */
+    /** Whether all entries have been sent, or the in-flight limit is reached. */
     boolean isSaturated(long lastLogIndex, int maxInflightMessages) {
         return state == State.REPLICATE
                 && (nextIndex > lastLogIndex || inflight.size() >= maxInflightMessages);
--- a/raft/src/main/java/embershift/raft/Leadership.java
+++ b/raft/src/main/java/embershift/raft/Leadership.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * What a member does while it leads: appends to its log, commits what a quorum has on disk, serves
- * reads, changes the membership and hands over.
+ * A member's work as leader: appends to its log, commits what a quorum has on disk, serves reads,
+ * changes the membership and transfers leadership.
  */
 final class Leadership {
 
@@ -17,12 +17,10 @@
     private final MembershipChanges membershipChanges;
     private final Runnable stepDown;
 
-    /** What this leader has accepted and not committed yet, in bytes. */
+    /** The bytes of the entries that this leader has accepted but not committed yet. */
     private int uncommittedBytes;
 
-    /**
-     * Creates the part of a member that does not lead yet; {@code stepDown} ends its leadership.
-     */
+    /** Creates the inactive leadership of a member; {@code stepDown} ends an active one. */
     Leadership(RaftState state, Runnable stepDown) {
         this.state = state;
         this.stepDown = stepDown;
@@ -55,7 +53,8 @@
 
     void tick() {
         if (state.writes.isStalled() || !replication.checkQuorum()) {
-            // The others go on without it: it can promise nothing more, or reaches too few.
+            // It can make nothing durable or has lost contact with a quorum: the others elect a new
+            // leader.
             stepDown.run();
             return;
         }
--- a/raft/src/main/java/embershift/raft/LeadershipTransfer.java
+++ b/raft/src/main/java/embershift/raft/LeadershipTransfer.java
@@ -1,6 +1,6 @@
 package embershift.raft;
 
-/** A leader's hand-over to another voter (thesis, 3.10), given up after an election timeout. */
+/** A leadership transfer to another voter (thesis, 3.10), aborted after an election timeout. */
 final class LeadershipTransfer {
 
     private MemberId target = MemberId.NONE;
--- a/raft/src/main/java/embershift/raft/LogEntries.java
+++ b/raft/src/main/java/embershift/raft/LogEntries.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The entries of the log that are in memory: all behind {@link #compactedIndex}, the last one that
- * a snapshot has taken the place of.
+ * The log entries in memory: all after {@link #compactedIndex}, the last one replaced by a
+ * snapshot.
  */
 final class LogEntries {
 
@@ -20,7 +20,7 @@
         reset(compactedIndex, compactedTerm);
     }
 
-    /** Drops all entries: the log goes on behind that index. */
+    /** Drops all entries; the log continues after the given index. */
     void reset(long index, long term) {
         compactedIndex = index;
         compactedTerm = term;
@@ -61,17 +61,18 @@
 
     void append(LogEntry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalStateException("entry " + entry.index() + " after " + lastIndex());
+            throw new IllegalStateException(
+                    "entry " + entry.index() + " appended after " + lastIndex());
         }
         entries.add(entry);
     }
 
-    /** Drops that entry and all behind it. */
+    /** Drops the entry at {@code index} and all later ones. */
     void truncateFrom(long index) {
         entries.subList(offset(index), entries.size()).clear();
     }
 
-    /** Drops all entries up to that one. */
+    /** Drops all entries up to and including {@code index}. */
     void compactThrough(long index) {
         if (index > compactedIndex) {
             long term = termAt(index);
@@ -82,7 +83,7 @@
         }
     }
 
-    /** Returns entries from an index on: at least one if there is any, up to {@code maxBytes}. */
+    /** Returns entries from an index on, up to {@code maxBytes} but at least one if any exists. */
     List<LogEntry> entriesFrom(long index, int maxBytes) {
         List<LogEntry> selected = new ArrayList<>();
         int totalBytes = 0;
--- a/raft/src/main/java/embershift/raft/LogEntry.java
+++ b/raft/src/main/java/embershift/raft/LogEntry.java
@@ -3,19 +3,19 @@
 /**
  * An entry of the log.
  *
- * @param index its position, from 1 on
+ * @param index its position in the log, starting at 1
  * @param term the term of the leader that appended it
- * @param data belongs to the entry from now on: nobody may change it
+ * @param data owned by the entry: must not be modified
  */
 public record LogEntry(long index, long term, Kind kind, byte[] data) {
 
-    /** What an entry is for. */
+    /** The type of an entry. */
     public enum Kind {
-        /** A command of the state machine. */
+        /** A command for the state machine. */
         COMMAND(0),
         /** The membership of the group from this entry on. */
         MEMBERSHIP(1),
-        /** Nothing: a leader appends one at the beginning of its term. */
+        /** No content: a leader appends one at the start of its term. */
         NO_OP(2);
 
         private final int code;
@@ -24,7 +24,7 @@
             this.code = code;
         }
 
-        /** Returns the number that stands for this kind in messages and on disk. */
+        /** Returns the code of this kind in messages and on disk. */
         public int code() {
             return code;
         }
@@ -35,14 +35,14 @@
                     return each;
                 }
             }
-            throw new MalformedBytesException("an entry of kind " + code);
+            throw new MalformedBytesException("unknown log entry kind " + code);
         }
     }
 
-    /** What an entry costs beside its data, in bytes. */
+    /** The size of an entry in addition to its data, in bytes. */
     public static final int OVERHEAD_BYTES = 32;
 
-    /** Returns what this entry counts for against limits, in bytes. */
+    /** Returns the size that counts against limits, in bytes. */
     public int sizeBytes() {
         return OVERHEAD_BYTES + data.length;
     }
--- a/raft/src/main/java/embershift/raft/MalformedBytesException.java
+++ b/raft/src/main/java/embershift/raft/MalformedBytesException.java
@@ -1,6 +1,6 @@
 package embershift.raft;
 
-/** Bytes are not an encoding that this program knows. The message is one line. */
+/** Thrown when bytes are not a valid encoding. The message is one line. */
 public final class MalformedBytesException extends IllegalArgumentException {
 
     private static final long serialVersionUID = 1;
--- a/raft/src/main/java/embershift/raft/Member.java
+++ b/raft/src/main/java/embershift/raft/Member.java
@@ -3,18 +3,17 @@
 /**
  * A member of a group.
  *
- * @param address where the other members reach it, as HOST:PORT, unless their settings say
- *     otherwise
+ * @param address the address for other members, as HOST:PORT, unless overridden by their settings
  */
 public record Member(MemberId id, String name, String address, Role role) {
 
-    /** The part that a member has in the group. */
+    /** The role of a member in the group. */
     public enum Role {
-        /** Counts for every quorum. */
+        /** Votes, and counts towards every quorum. */
         VOTER(0),
-        /** Receives the log, and becomes a voter once it has caught up. */
+        /** Receives the log and becomes a voter once it has caught up. */
         JOINING(1),
-        /** Receives the log, and never votes. */
+        /** Receives the log but never votes. */
         LEARNER(2);
 
         private final int code;
@@ -23,7 +22,7 @@
             this.code = code;
         }
 
-        /** Returns the number that stands for this role in messages and on disk. */
+        /** Returns the code of this role in messages and on disk. */
         public int code() {
             return code;
         }
@@ -34,7 +33,7 @@
                     return each;
                 }
             }
-            throw new MalformedBytesException("a member of role " + code);
+            throw new MalformedBytesException("unknown member role " + code);
         }
     }
 
--- a/raft/src/main/java/embershift/raft/MemberId.java
+++ b/raft/src/main/java/embershift/raft/MemberId.java
@@ -2,7 +2,7 @@
 
 /**
  * Identifies a member of a group for as long as its directory exists: one that lost its directory
- * comes back under another identity.
+ * returns with a new identity.
  */
 public record MemberId(long number) implements Comparable<MemberId> {
 
--- a/raft/src/main/java/embershift/raft/Membership.java
+++ b/raft/src/main/java/embershift/raft/Membership.java
@@ -11,10 +11,10 @@
 /** The members of a group as of one entry of the log. Immutable. */
 public final class Membership {
 
-    /** The most members that a group may have. */
+    /** The maximum number of members in a group. */
     public static final int MAX_MEMBERS = 32;
 
-    /** A group without members, as before it is bootstrapped. */
+    /** The membership of a group that is not bootstrapped yet. */
     public static final Membership EMPTY = new Membership(new TreeMap<>());
 
     private final SortedMap<MemberId, Member> members;
@@ -29,21 +29,21 @@
                         .toList();
     }
 
-    /** Creates a membership; of two members with the same identity the later one counts. */
+    /** Creates a membership; of members with the same identity, the last one is used. */
     public static Membership of(Collection<Member> members) {
         SortedMap<MemberId, Member> byId = new TreeMap<>();
         members.forEach(member -> byId.put(member.id(), member));
         return new Membership(byId);
     }
 
-    /** Returns this membership with a member added, or replaced where its identity is known. */
+    /** Returns a membership with a member added, or replaced if its identity exists. */
     public Membership with(Member member) {
         SortedMap<MemberId, Member> changed = new TreeMap<>(members);
         changed.put(member.id(), member);
         return new Membership(changed);
     }
 
-    /** Returns this membership without a member. */
+    /** Returns a membership without the given member. */
     public Membership without(MemberId id) {
         SortedMap<MemberId, Member> changed = new TreeMap<>(members);
         changed.remove(id);
@@ -65,7 +65,7 @@
         return members.values().stream().filter(member -> member.name().equals(name)).findFirst();
     }
 
-    /** Returns the identities of all voters, in their order. */
+    /** Returns the identities of all voters, sorted. */
     public List<MemberId> voters() {
         return voters;
     }
@@ -75,12 +75,12 @@
         return voters.contains(id);
     }
 
-    /** Returns the number of voters that is a majority. */
+    /** Returns the number of voters that form a majority. */
     public int quorum() {
         return voters.size() / 2 + 1;
     }
 
-    /** Whether a majority of the voters is among these members. */
+    /** Whether these members include a majority of the voters. */
     boolean isQuorum(Collection<MemberId> ids) {
         return ids.stream().filter(this::isVoter).count() >= quorum();
     }
--- a/raft/src/main/java/embershift/raft/MembershipChanges.java
+++ b/raft/src/main/java/embershift/raft/MembershipChanges.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /**
- * Which changes of the membership a leader may make: one member at a time (thesis, 4.1), and none
+ * The membership changes that a leader may make: one member at a time (thesis, 4.1), and none
  * before an entry of its own term is committed.
  */
 final class MembershipChanges {
@@ -25,7 +25,7 @@
                 || transfer.isActive();
     }
 
-    /** Why a member can't be added now. */
+    /** Returns why a member can't be added now, or empty if it can. */
     Optional<RejectionReason> checkAdd(Member member) {
         Membership membership = state.membership();
         if (membership.find(member.id()).isPresent()) {
@@ -40,7 +40,7 @@
         return checkInProgress();
     }
 
-    /** Why a member can't be removed now. */
+    /** Returns why a member can't be removed now, or empty if it can. */
     Optional<RejectionReason> checkRemove(MemberId id) {
         Membership membership = state.membership();
         if (membership.find(id).isEmpty()) {
@@ -63,7 +63,8 @@
     }
 
     /**
-     * Whether a majority of those left is reached and up to date: else the group could get stuck.
+     * Whether a majority of the remaining voters is active and up to date: otherwise the group
+     * could become unable to commit.
      */
     private boolean hasQuorumUpToDate(Membership remaining) {
         List<MemberId> upToDate = remaining.voters().stream().filter(this::isUpToDate).toList();
@@ -75,7 +76,7 @@
                 && (id.equals(state.self) || replication.matchIndexOf(id) >= state.commitIndex);
     }
 
-    /** The membership with a joining member as a voter, if one has caught up. */
+    /** Returns the membership with a joining member promoted to voter, if one has caught up. */
     Optional<Membership> promotion() {
         if (isChangeInProgress()) {
             return Optional.empty();
--- a/raft/src/main/java/embershift/raft/MembershipHistory.java
+++ b/raft/src/main/java/embershift/raft/MembershipHistory.java
@@ -3,8 +3,8 @@
 import java.util.TreeMap;
 
 /**
- * The memberships of a group by the index of the entry from which each is in force. The latest one
- * is in force as soon as it is in the log, committed or not (thesis, 4.1).
+ * The memberships of a group, by the log index from which each takes effect. The latest one takes
+ * effect as soon as it is in the log, committed or not (thesis, 4.1).
  */
 final class MembershipHistory {
 
@@ -34,13 +34,13 @@
         byIndex.tailMap(index, true).clear();
     }
 
-    /** Forgets all before an index, at which this membership is in force. */
+    /** Drops all up to an index, at which the given membership is in effect. */
     void compactThrough(long index, Membership membership) {
         byIndex.headMap(index, true).clear();
         byIndex.put(index, membership);
     }
 
-    /** Forgets all: from that index on this membership is in force. */
+    /** Drops all; the given membership is in effect from the given index on. */
     void reset(long index, Membership membership) {
         byIndex.clear();
         byIndex.put(index, membership);
--- a/raft/src/main/java/embershift/raft/PendingWrites.java
+++ b/raft/src/main/java/embershift/raft/PendingWrites.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The writes to disk that are not durable yet, and what waits for them. */
+/** Disk writes that are not durable yet, and the actions deferred until they are. */
 final class PendingWrites {
 
     private record Write(long number, int startedAt) {}
@@ -18,7 +18,7 @@
     private final Deque<Write> incomplete = new ArrayDeque<>();
     private final Deque<DeferredAction> deferred = new ArrayDeque<>();
 
-    /** Of each incomplete write with log entries or a snapshot, the index that it makes durable. */
+    /** The index made durable by each incomplete write with log entries or a snapshot. */
     private final TreeMap<Long, Long> indexByWrite = new TreeMap<>();
 
     private long lastNumber;
@@ -35,12 +35,12 @@
         ticks++;
     }
 
-    /** Whether the oldest write has been incomplete for too long. */
+    /** Whether the oldest write has been incomplete for {@code stallTicks} or longer. */
     boolean isStalled() {
         return !incomplete.isEmpty() && ticks - incomplete.peek().startedAt >= stallTicks;
     }
 
-    /** The last index of the log that is durable here. */
+    /** The last log index that is durable at this member. */
     long durableIndex() {
         return durableIndex;
     }
@@ -67,7 +67,7 @@
         write(Optional.empty(), Optional.of(snapshot), replacesLog, List.of());
     }
 
-    /** All writes up to that number are durable. */
+    /** Called once all writes up to {@code number} are durable. */
     void completed(long number) {
         while (!incomplete.isEmpty() && incomplete.peek().number <= number) {
             Long index = indexByWrite.remove(incomplete.remove().number);
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Runs an action once all writes until now are durable, at once if they are. */
+    /** Runs an action once all writes so far are durable; immediately if they already are. */
     void whenDurable(Runnable action) {
         if (incomplete.isEmpty()) {
             action.run();
@@ -89,13 +89,13 @@
         }
     }
 
-    /** Entries from that index on are no longer in the log, whether they were durable or not. */
+    /** Called when entries from an index on are dropped from the log, durable or not. */
     void truncateFrom(long index) {
         durableIndex = Math.min(durableIndex, index - 1);
         indexByWrite.replaceAll((number, written) -> Math.min(written, index - 1));
     }
 
-    /** A snapshot takes the place of the whole log. */
+    /** Called when a snapshot replaces the whole log. */
     void reset() {
         durableIndex = 0;
         indexByWrite.clear();
--- a/raft/src/main/java/embershift/raft/Raft.java
+++ b/raft/src/main/java/embershift/raft/Raft.java
@@ -9,22 +9,22 @@
  * of heartbeats (6.4), leadership transfer (3.10) and changes of one member at a time (4.1), none
  * before an entry of the leader's own term is committed.
  *
- * <p>A state machine without I/O, clock or threads: it is fed ticks, messages and completed writes,
- * and acts through its {@link RaftEnvironment}. It promises nothing to other members before that is
- * durable. This class takes what is fed in and hands it to the part that it is for: {@link
- * ElectionProtocol}, {@link Leadership} or {@link FollowerLog}.
+ * <p>A state machine without I/O, clock or threads: its inputs are ticks, messages and completed
+ * writes, and it acts through its {@link RaftEnvironment}. It sends no reply to other members
+ * before the state behind it is durable. This class dispatches inputs to the component that handles
+ * them: {@link ElectionProtocol}, {@link Leadership} or {@link FollowerLog}.
  */
 public final class Raft {
 
     /** The role of a member in its term. */
     public enum Role {
-        /** Follows a leader, or waits for one. */
+        /** Follows a leader, or has none yet. */
         FOLLOWER,
-        /** Asks whether it would be elected, before it begins a term. */
+        /** Asks whether it would be elected, before it starts a new term. */
         PRE_CANDIDATE,
-        /** Stands for election. */
+        /** Requests votes to become leader. */
         CANDIDATE,
-        /** Leads. */
+        /** Replicates its log to the other members. */
         LEADER
     }
 
@@ -34,10 +34,10 @@
     private final FollowerLog followerLog;
 
     /**
-     * Creates a member from what is on its disk.
+     * Creates a member from its recovered state.
      *
-     * @param incarnation another number at each start of this member
-     * @param seed of its election timeouts
+     * @param incarnation a different number at each start of this member
+     * @param seed the random seed of the election timeouts
      */
     public Raft(
             MemberId self,
@@ -72,7 +72,7 @@
         return state.term;
     }
 
-    /** Returns the leader of this term; empty while none is known. */
+    /** Returns the leader of the current term; empty while unknown. */
     public Optional<MemberId> leader() {
         return state.leader();
     }
@@ -87,22 +87,22 @@
         return state.log.lastIndex();
     }
 
-    /** Returns the last index whose entry is not in memory any more. */
+    /** Returns the last index whose entry is no longer in memory. */
     public long compactedIndex() {
         return state.log.compactedIndex();
     }
 
-    /** Returns the term of an entry, or -1 where that is not known any more. */
+    /** Returns the term of an entry, or -1 if it is unknown. */
     public long termAt(long index) {
         return state.log.termAt(index);
     }
 
-    /** Returns an entry; empty where it is not in memory. */
+    /** Returns an entry; empty if it is not in memory. */
     public Optional<LogEntry> entry(long index) {
         return state.log.contains(index) ? Optional.of(state.log.get(index)) : Optional.empty();
     }
 
-    /** Returns the membership in force, committed or not. */
+    /** Returns the membership in effect, committed or not. */
     public Membership membership() {
         return state.membership();
     }
@@ -112,22 +112,22 @@
         return state.memberships.at(index);
     }
 
-    /** Whether this member may have lost what it once promised, and needs a leader's help. */
+    /** Whether this member may have lost durable state and has to catch up with a leader first. */
     public boolean isUntrusted() {
         return state.isUntrusted;
     }
 
-    /** Returns the last index that a member is known to have, as this leader knows; else 0. */
+    /** Returns the last index that a member is known by this leader to have, or 0. */
     public long matchIndexOf(MemberId id) {
         return leadership.replication().matchIndexOf(id);
     }
 
-    /** Whether this leader has heard of a member within the last two election timeouts. */
+    /** Whether a member has replied to this leader within the last two election timeouts. */
     public boolean isRecentlyActive(MemberId id) {
         return leadership.replication().isActive(id);
     }
 
-    /** One tick of time has passed. */
+    /** Called once per tick of time. */
     public void tick() {
         state.writes.tick();
         if (state.isLeader()) {
@@ -138,7 +138,7 @@
         applyCommitted();
     }
 
-    /** All writes up to that number are durable. */
+    /** Called once all writes up to {@code number} are durable. */
     public void writesCompleted(long number) {
         state.writes.completed(number);
         if (state.isLeader()) {
@@ -148,10 +148,10 @@
     }
 
     /**
-     * Takes a message of another member, which may not be known here yet.
+     * Handles a message from another member, which may not be known to this member yet.
      *
-     * @throws IllegalStateException if the protocol is broken: two leaders in a term, or a
-     *     committed entry that another is to take the place of
+     * @throws IllegalStateException if the protocol is violated: two leaders in one term, or a
+     *     request to replace a committed entry
      */
     public void receive(MemberId from, RaftMessage message) {
         if (message instanceof RaftMessage.ApplicationMessage application) {
@@ -182,7 +182,7 @@
         }
     }
 
-    /** Follows a message's later term; returns whether the message is to be looked at. */
+    /** Adopts a later term of a message; returns whether the message is to be processed. */
     private boolean acceptTerm(MemberId from, RaftMessage message) {
         if (message.term() < state.term) {
             answerEarlierTerm(from, message);
@@ -193,7 +193,7 @@
         }
         if (message instanceof RaftMessage.VoteRequest request) {
             if (!request.leadershipTransfer() && elections.hasRecentLeader()) {
-                // Whoever does not hear the leader must not unseat it.
+                // A member that has lost contact with the leader must not depose it.
                 return false;
             }
             if (request.preVote()) {
@@ -214,7 +214,7 @@
 
     private void answerEarlierTerm(MemberId from, RaftMessage message) {
         if (isFromLeader(message)) {
-            // So that a leader of an earlier term learns that it is one.
+            // Tells a leader of an earlier term that its term has ended.
             state.sendWhenDurable(
                     from,
                     new RaftMessage.AppendReply(state.term, false, 0, 0, 0, 0, state.incarnation));
@@ -240,7 +240,7 @@
     /**
      * Proposes a command.
      *
-     * @param command belongs to the log from now on: nobody may change it
+     * @param command owned by the log: must not be modified
      */
     public ProposeResult propose(byte[] command) {
         ProposeResult result = leadership.propose(command);
@@ -248,14 +248,14 @@
         return result;
     }
 
-    /** Adds a member, as one that joins or as a learner. */
+    /** Adds a member, either joining or as a learner. */
     public ProposeResult addMember(Member member) {
         ProposeResult result = leadership.addMember(member);
         applyCommitted();
         return result;
     }
 
-    /** Removes a member, this leader among them: it then steps down once that is committed. */
+    /** Removes a member; a leader that removes itself steps down once that is committed. */
     public ProposeResult removeMember(MemberId id) {
         ProposeResult result = leadership.removeMember(id);
         applyCommitted();
@@ -263,14 +263,14 @@
     }
 
     /**
-     * Begins a group with this member as its only voter.
+     * Bootstraps a group with this member as its only voter.
      *
-     * @throws IllegalStateException if this member's directory is not empty, or {@code first} is
-     *     another member
+     * @throws IllegalStateException if this member already has state, or {@code first} is another
+     *     member
      */
     public void bootstrap(Member first) {
         if (state.log.lastIndex() > 0 || state.term > 0 || !first.id().equals(state.self)) {
-            throw new IllegalStateException("only an empty member founds a group");
+            throw new IllegalStateException("only a member without state can bootstrap a group");
         }
         state.term = 1;
         state.writeHardState();
@@ -283,20 +283,20 @@
     }
 
     /**
-     * Begins to hand over to another voter; given up after an election timeout.
+     * Starts a leadership transfer to another voter; aborted after an election timeout.
      *
-     * @return why it can't be begun, or empty
+     * @return why it can't be started, or empty
      */
     public Optional<RejectionReason> transferLeadership(MemberId target) {
         return leadership.transferLeadership(target);
     }
 
-    /** Returns the voter that would take over soonest. */
+    /** Returns the active voter with the most complete log. */
     public Optional<MemberId> bestTransferTarget() {
         return leadership.replication().mostCompleteVoter();
     }
 
-    /** Begins a linearizable read: the environment is told when it may be answered. */
+    /** Starts a linearizable read; the environment is notified when it may be answered. */
     public void read(long ticket) {
         if (state.isLeader()) {
             leadership.read(ticket);
@@ -306,14 +306,14 @@
         applyCommitted();
     }
 
-    /** Sends another member data of the application; it may be lost. */
+    /** Sends application data to another member; it may be lost. */
     public void sendApplicationMessage(MemberId to, byte[] payload) {
         state.environment.send(to, new RaftMessage.ApplicationMessage(state.term, payload));
     }
 
     /**
-     * Takes a snapshot of the state after an entry that was committed here. Once it is durable, the
-     * log before it is dropped, but for {@link RaftLimits#retainedEntries}.
+     * Stores a snapshot of the state after an entry that was committed at this member. Once it is
+     * durable, the log before it is dropped, except for {@link RaftLimits#retainedEntries}.
      */
     public void compact(Snapshot newSnapshot) {
         if (!isNewerSnapshot(newSnapshot)) {
--- a/raft/src/main/java/embershift/raft/RaftCodec.java
+++ b/raft/src/main/java/embershift/raft/RaftCodec.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * The encoding of what a member keeps on disk, big-endian; {@link RaftMessageCodec} has that of
- * messages. Other bytes are rejected, never guessed at.
+ * The big-endian encoding of the state that a member keeps on disk; {@link RaftMessageCodec}
+ * encodes messages. Malformed input is rejected.
  */
 public final class RaftCodec {
 
@@ -31,7 +31,7 @@
         T readFrom(DataInputStream in) throws IOException;
     }
 
-    /** Returns the bytes that an encoder writes. */
+    /** Returns the bytes written by an encoder. */
     public static byte[] encode(Encoder encoder) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
@@ -43,20 +43,20 @@
     }
 
     /**
-     * Decodes a value that takes up all of the bytes.
+     * Decodes a value that occupies all of the bytes.
      *
-     * @throws MalformedBytesException if they are too few, too many or no such value
+     * @throws MalformedBytesException if bytes are missing, left over or malformed
      */
     static <T> T decode(byte[] bytes, Decoder<T> decoder) {
         DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes));
         try {
             T value = decoder.readFrom(in);
             if (in.read() >= 0) {
-                throw new MalformedBytesException("more bytes than were written");
+                throw new MalformedBytesException("unexpected bytes after the end of the value");
             }
             return value;
         } catch (IOException e) {
-            throw new MalformedBytesException("bytes are missing");
+            throw new MalformedBytesException("unexpected end of data");
         }
     }
 
@@ -68,7 +68,7 @@
     static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
-            throw new MalformedBytesException("a length of " + length);
+            throw new MalformedBytesException("invalid length " + length);
         }
         return in.readNBytes(length);
     }
@@ -91,7 +91,7 @@
     /**
      * Decodes a membership.
      *
-     * @throws MalformedBytesException if these bytes are none
+     * @throws MalformedBytesException if the bytes are malformed
      */
     public static Membership decodeMembership(byte[] bytes) {
         return decode(bytes, RaftCodec::readMembership);
@@ -100,11 +100,11 @@
     private static Membership readMembership(DataInputStream in) throws IOException {
         int version = in.readByte();
         if (version != MEMBERSHIP_VERSION) {
-            throw new MalformedBytesException("members of version " + version);
+            throw new MalformedBytesException("unsupported membership version " + version);
         }
         int count = in.readInt();
         if (count < 0 || count > Membership.MAX_MEMBERS) {
-            throw new MalformedBytesException(count + " members");
+            throw new MalformedBytesException(count + " is not a valid member count");
         }
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -131,7 +131,7 @@
     /**
      * Decodes an entry.
      *
-     * @throws MalformedBytesException if these bytes are none
+     * @throws MalformedBytesException if the bytes are malformed
      */
     public static LogEntry decodeEntry(byte[] bytes) {
         return decode(bytes, RaftCodec::readEntry);
@@ -156,7 +156,7 @@
     /**
      * Decodes a hard state.
      *
-     * @throws MalformedBytesException if these bytes are none
+     * @throws MalformedBytesException if the bytes are malformed
      */
     public static HardState decodeHardState(byte[] bytes) {
         return decode(bytes, in -> new HardState(in.readLong(), new MemberId(in.readLong())));
@@ -175,9 +175,9 @@
     }
 
     /**
-     * Decodes a snapshot. Whether its data fits its checksum is not looked at.
+     * Decodes a snapshot. Does not verify the checksum of its data.
      *
-     * @throws MalformedBytesException if these bytes are none
+     * @throws MalformedBytesException if the bytes are malformed
      */
     public static Snapshot decodeSnapshot(byte[] bytes) {
         return decode(
--- a/raft/src/main/java/embershift/raft/RaftEnvironment.java
+++ b/raft/src/main/java/embershift/raft/RaftEnvironment.java
@@ -3,44 +3,46 @@
 import java.util.Optional;
 
 /**
- * What a {@link Raft} member needs done for it. It is called from within the member's methods and
- * must not call back.
+ * The services and callbacks that a {@link Raft} member needs. Called from within the member's
+ * methods; implementations must not call back into it.
  */
 public interface RaftEnvironment {
 
     /**
-     * Sends a message. It may be lost, delayed, duplicated or reordered, but neither changed nor
-     * delivered to a later process of the receiver.
+     * Sends a message. The transport may lose, delay, duplicate or reorder it, but must neither
+     * alter it nor deliver it to a later process of the receiver.
      */
     void send(MemberId to, RaftMessage message);
 
-    /** Writes to disk; {@link Raft#writesCompleted} is owed for each request. */
+    /** Writes to disk; the environment must report each request to {@link Raft#writesCompleted}. */
     void persist(WriteRequest request);
 
     /**
-     * Everything that may have been lost is durable again. Until this is noted on disk as well, the
-     * member is untrusted when it starts.
+     * Called once all state that may have been lost is durable again. Until that is recorded on
+     * disk too, the member is untrusted after a restart.
      */
     void stateTrusted();
 
-    /** An entry is committed: each once and in order, from the last restored snapshot on. */
+    /** Called for each committed entry, once and in order, after the last restored snapshot. */
     void committed(LogEntry entry);
 
-    /** The state machine must take the state of this snapshot. */
+    /** Called when the state machine must load the state of a snapshot. */
     void restored(Snapshot snapshot);
 
-    /** A read may be answered once the state machine has applied the entry at {@code index}. */
+    /**
+     * Allows a read to be answered once the state machine has applied the entry at {@code index}.
+     */
     void readReady(long ticket, long index);
 
-    /** This member can't answer a read. */
+    /** Called when this member can't answer a read. */
     void readRejected(long ticket);
 
-    /** This member leads from now on. */
+    /** Called when this member becomes leader. */
     void becameLeader(long term);
 
-    /** This member follows from now on; {@code leader} is empty while none is known. */
+    /** Called when this member becomes a follower; {@code leader} is empty while unknown. */
     void becameFollower(long term, Optional<MemberId> leader);
 
-    /** Another member sent an application message: see {@link Raft#sendApplicationMessage}. */
+    /** Handles data that another member sent by {@link Raft#sendApplicationMessage}. */
     void applicationMessage(MemberId from, byte[] payload);
 }
--- a/raft/src/main/java/embershift/raft/RaftLimits.java
+++ b/raft/src/main/java/embershift/raft/RaftLimits.java
@@ -1,15 +1,16 @@
 package embershift.raft;
 
 /**
- * Bounds on what a member keeps and sends.
+ * Limits on the data that a member keeps and sends.
  *
- * @param maxCommandBytes of one command
- * @param maxMessageBytes of the entries in one message
- * @param maxInflightMessages to one follower without a reply
- * @param maxUncommittedBytes that a leader has accepted and not committed yet
- * @param snapshotChunkBytes of one message of a snapshot
- * @param maxSnapshotBytes of a whole snapshot
- * @param retainedEntries kept behind a snapshot, for followers that are a little late
+ * @param maxCommandBytes size of one command
+ * @param maxMessageBytes total size of the entries in one message
+ * @param maxInflightMessages unacknowledged messages to one follower
+ * @param maxUncommittedBytes total size of the entries that a leader has accepted but not committed
+ *     yet
+ * @param snapshotChunkBytes size of the snapshot data in one message
+ * @param maxSnapshotBytes size of a snapshot
+ * @param retainedEntries entries kept in the log before a snapshot, for followers that lag slightly
  */
 public record RaftLimits(
         int maxCommandBytes,
@@ -20,7 +21,7 @@
         int maxSnapshotBytes,
         int retainedEntries) {
 
-    /** The limits of a group whose settings name none. */
+    /** The limits used when the settings specify none. */
     public static final RaftLimits DEFAULTS =
             new RaftLimits(1 << 20, 64 << 10, 32, 8 << 20, 64 << 10, 64 << 20, 5000);
 }
--- a/raft/src/main/java/embershift/raft/RaftMessage.java
+++ b/raft/src/main/java/embershift/raft/RaftMessage.java
@@ -5,33 +5,33 @@
 /** A message from one member to another. */
 public sealed interface RaftMessage {
 
-    /** Returns the sender's term; of a pre-vote, the term that the sender would begin. */
+    /** Returns the sender's term; in a pre-vote, the term that the sender would start. */
     long term();
 
     /**
      * Asks for a vote (thesis, 3.4).
      *
-     * @param lastIndex the last entry of the candidate's log
+     * @param lastIndex the index of the last entry of the candidate's log
      * @param lastTerm the term of that entry
-     * @param preVote asks whether there would be a vote, without any promise (9.6)
-     * @param leadershipTransfer the leader itself wants this election: the receiver need not wait
-     *     until it has not heard of it
+     * @param preVote asks whether the receiver would vote, without a binding vote (9.6)
+     * @param leadershipTransfer the leader itself requested this election: the receiver may vote
+     *     even if it has recently been in contact with the leader
      */
     record VoteRequest(
             long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
             implements RaftMessage {}
 
-    /** Answers a {@link VoteRequest}. */
+    /** The reply to a {@link VoteRequest}. */
     record VoteReply(long term, boolean granted, boolean preVote) implements RaftMessage {}
 
     /**
-     * Entries to append, or a heartbeat without any (thesis, 3.5).
+     * Entries to append; a heartbeat if there are none (thesis, 3.5).
      *
-     * @param previousIndex the entry that they follow
+     * @param previousIndex the index of the entry before the first one
      * @param previousTerm the term of that entry
      * @param leaderCommit the leader's commit index
-     * @param lastIndex the last entry of the leader's log
-     * @param heartbeatRound to be returned in the reply, for reads
+     * @param lastIndex the index of the last entry of the leader's log
+     * @param heartbeatRound returned in the reply; used by linearizable reads
      */
     record AppendRequest(
             long term,
@@ -44,13 +44,13 @@
             implements RaftMessage {}
 
     /**
-     * Answers an {@link AppendRequest} or the last {@link SnapshotRequest} of a snapshot.
+     * The reply to an {@link AppendRequest} or to the last {@link SnapshotRequest} of a snapshot.
      *
-     * @param index on success, the last index up to which the follower's durable log is the
-     *     leader's; else the previous index that did not match
+     * @param index on success, the last index up to which the follower's durable log matches the
+     *     leader's; on failure, the previous index that did not match
      * @param conflictIndex on failure, an index up to which the logs may match
      * @param conflictTerm on failure, the term of that entry
-     * @param incarnation another number at each start of the follower
+     * @param incarnation a different number at each start of the follower
      */
     record AppendReply(
             long term,
@@ -81,14 +81,14 @@
             long heartbeatRound)
             implements RaftMessage {}
 
-    /** Asks for the chunk of a snapshot at {@code nextOffset}. */
+    /** Requests the chunk of a snapshot at {@code nextOffset}. */
     record SnapshotReply(
             long term, long snapshotIndex, long nextOffset, long heartbeatRound, long incarnation)
             implements RaftMessage {}
 
-    /** Has the receiver stand for election at once: the leader hands over to it (thesis, 3.10). */
+    /** Makes the receiver start an election at once, for a leadership transfer (thesis, 3.10). */
     record TimeoutNow(long term) implements RaftMessage {}
 
-    /** Carries data of the application; it has no effect on the protocol. */
+    /** Carries application data; has no effect on the protocol. */
     record ApplicationMessage(long term, byte[] payload) implements RaftMessage {}
 }
--- a/raft/src/main/java/embershift/raft/RaftMessageCodec.java
+++ b/raft/src/main/java/embershift/raft/RaftMessageCodec.java
@@ -6,7 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The encoding of messages between members: a byte that tells their kind, then their fields. */
+/**
+ * The encoding of messages between members: a byte for the message kind, followed by the fields.
+ */
 public final class RaftMessageCodec {
 
     private static final int VOTE_REQUEST = 1;
@@ -117,13 +119,13 @@
     /**
      * Decodes a message.
      *
-     * @throws MalformedBytesException if these bytes are none
+     * @throws MalformedBytesException if the bytes are malformed
      */
     public static RaftMessage decode(byte[] bytes) {
         return RaftCodec.decode(bytes, RaftMessageCodec::read);
     }
 
-    // Arguments are evaluated in their order, which is that of the fields in the message.
+    // Relies on the evaluation order of arguments, which is the field order of the message.
     private static RaftMessage read(DataInputStream in) throws IOException {
         int kind = in.readByte();
         return switch (kind) {
@@ -165,7 +167,7 @@
             case TIMEOUT_NOW -> new RaftMessage.TimeoutNow(in.readLong());
             case APPLICATION_MESSAGE ->
                     new RaftMessage.ApplicationMessage(in.readLong(), RaftCodec.readBytes(in));
-            default -> throw new MalformedBytesException("a message of kind " + kind);
+            default -> throw new MalformedBytesException("unknown message kind " + kind);
         };
     }
 
@@ -186,7 +188,7 @@
     private static List<LogEntry> readEntries(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > MAX_ENTRIES) {
-            throw new MalformedBytesException(count + " entries");
+            throw new MalformedBytesException(count + " is not a valid entry count");
         }
         List<LogEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
--- a/raft/src/main/java/embershift/raft/RaftPersistence.java
+++ b/raft/src/main/java/embershift/raft/RaftPersistence.java
@@ -13,20 +13,20 @@
 import java.util.Set;
 
 /**
- * Keeps a member's state on a disk: hard state and entries in a {@link RecordLog}, the latest
- * snapshot beside it. Used by one thread at a time; calls may block for the disk.
+ * Stores a member's state on disk: hard state and entries in a {@link RecordLog}, the latest
+ * snapshot in a separate file. Used by one thread at a time; calls may block on disk I/O.
  */
 public final class RaftPersistence {
 
-    /** Kinds of records in the log, in their first byte. */
+    /** Record kinds, stored in the first byte of a log record. */
     private static final byte HARD_STATE = 1;
 
     private static final byte ENTRY = 2;
 
-    /** All entries before it are void: a snapshot took their place. */
+    /** Invalidates all earlier entries: a snapshot has replaced them. */
     private static final byte LOG_RESET = 3;
 
-    /** Name of a file that exists while the member is untrusted: see {@link RecoveredState}. */
+    /** Name of a file that exists while the member is untrusted; see {@link RecoveredState}. */
     private static final String UNTRUSTED_MARKER = "doubt";
 
     private final Disk disk;
@@ -37,7 +37,7 @@
     private RecoveredState recovered;
     private long truncatedBytes;
 
-    /** Whether the log still holds entries that the snapshot has made void, and does not say so. */
+    /** Whether the log lacks a {@link #LOG_RESET} for entries that the snapshot has replaced. */
     private boolean isLogResetPending;
 
     private RaftPersistence(Disk disk, RecordLog log, SnapshotStore snapshots) {
@@ -49,8 +49,8 @@
     /**
      * Opens a member's directory and reads all of it.
      *
-     * @param maxLogFileBytes size from which on a new file of the log is begun
-     * @throws CorruptDataException if its content can't be what was written
+     * @param maxLogFileBytes size at which a new log file is started
+     * @throws CorruptDataException if the stored data is corrupt or inconsistent
      */
     public static RaftPersistence open(Disk disk, long maxLogFileBytes) throws IOException {
         RaftPersistence persistence =
@@ -60,7 +60,7 @@
             persistence.recover();
         } catch (MalformedBytesException e) {
             throw new CorruptDataException(
-                    "what is on disk is of another program or version: " + e.getMessage());
+                    "stored data has an unknown format or version: " + e.getMessage());
         }
         return persistence;
     }
@@ -89,11 +89,12 @@
             case HARD_STATE -> hardState = RaftCodec.decodeHardState(content);
             case LOG_RESET -> entries.clear();
             case ENTRY -> replace(entries, RaftCodec.decodeEntry(content));
-            default -> throw new CorruptDataException("a record of kind " + kind + " in the log");
+            default ->
+                    throw new CorruptDataException("unknown record kind " + kind + " in the log");
         }
     }
 
-    /** An entry takes the place of the one at its index, and of all behind that. */
+    /** Adds an entry; it replaces the one at its index and all later ones. */
     private static void replace(List<LogEntry> entries, LogEntry entry)
             throws CorruptDataException {
         if (!entries.isEmpty()) {
@@ -101,7 +102,7 @@
             long next = first + entries.size();
             if (entry.index() > next) {
                 throw new CorruptDataException(
-                        "entry " + entry.index() + " in the log follows entry " + (next - 1));
+                        "log has a gap: entry " + entry.index() + " follows entry " + (next - 1));
             }
             int from = (int) Math.max(0, entry.index() - first);
             entries.subList(from, entries.size()).clear();
@@ -120,31 +121,33 @@
             throw new CorruptDataException(
                     "the log begins at entry "
                             + first
-                            + ", and there is no snapshot of those before it");
+                            + ", but no snapshot covers the entries before it");
         }
         if (snapshot.isEmpty() || first == snapshotIndex + 1) {
             return entries;
         }
         int offset = (int) (snapshotIndex - first);
         if (offset >= entries.size() || entries.get(offset).term() != snapshot.get().term()) {
-            // Killed between the write of a snapshot that replaces the log and the log reset.
+            // The process was killed after writing a snapshot that replaces the log, but before
+            // the log reset.
             return List.of();
         }
         return entries;
     }
 
-    /** Returns whether the member is untrusted, and has that noted on disk. */
+    /** Returns whether the member is untrusted; if so, that is recorded on disk. */
     private boolean markUntrusted(RecordLog.Recovery recovery) throws IOException {
         boolean isMarked = disk.fileNames().contains(UNTRUSTED_MARKER);
         if (recovery.isUntrusted() && !isMarked) {
-            // Before the log is truncated: after that nothing else tells.
+            // Written before the log is truncated: afterwards nothing else shows that data was
+            // lost.
             ChecksummedFile.write(disk, UNTRUSTED_MARKER, new byte[0]);
             return true;
         }
         return isMarked;
     }
 
-    /** Returns what {@link #open} found; once only, so that it need not stay in memory. */
+    /** Returns the state read by {@link #open}; only once, to release its memory. */
     public RecoveredState takeRecovered() {
         RecoveredState result = recovered;
         recovered = null;
@@ -157,10 +160,10 @@
     }
 
     /**
-     * Carries out requests in their order; everything is durable when this returns.
+     * Executes requests in order; everything is durable when this returns.
      *
-     * @throws embershift.storage.OutOfSpaceException if the disk is full: some or none of it is
-     *     durable, and the same requests may be given again
+     * @throws embershift.storage.OutOfSpaceException if the disk is full: some or none of the data
+     *     is durable, and the same requests may be retried
      */
     public void write(List<WriteRequest> requests) throws IOException {
         List<RecordLog.NewRecord> records = new ArrayList<>();
@@ -188,20 +191,20 @@
         }
     }
 
-    /** Returns the index below which the log is not needed any more, or 0. */
+    /** Returns the index below which the log is no longer needed, or 0. */
     private long writeSnapshot(WriteRequest request, List<RecordLog.NewRecord> records)
             throws IOException {
         Snapshot snapshot = request.snapshot().orElseThrow();
         boolean isNewer = snapshot.index() > snapshotIndex;
         if (isNewer) {
-            // What the log says before it must be there first, what it says after it only once the
-            // snapshot is.
+            // Earlier records must be in the log before the snapshot is written, later ones only
+            // after it.
             append(records);
             snapshots.write(snapshot.index(), RaftCodec.encode(snapshot));
             snapshotIndex = snapshot.index();
         }
         if (request.replacesLog()) {
-            // Also if an earlier try wrote the snapshot, and then found the disk full.
+            // Also needed if an earlier attempt wrote the snapshot and then found the disk full.
             records.add(record(snapshot.index(), LOG_RESET, new byte[0]));
         }
         return isNewer ? snapshotIndex : 0;
@@ -210,7 +213,7 @@
     private void append(List<RecordLog.NewRecord> records) throws IOException {
         if (!records.isEmpty()) {
             if (log.startsNewFile()) {
-                // The files before this one may be deleted, and the hard state must stay.
+                // Earlier files may be deleted, but the hard state must be kept.
                 records.add(0, record(0, HARD_STATE, RaftCodec.encode(hardState)));
             }
             log.append(records);
@@ -224,12 +227,12 @@
                 ByteBuffer.allocate(1 + content.length).put(kind).put(content).array());
     }
 
-    /** What the member may have lost is durable again, by the requests written until now. */
+    /** Removes the untrusted marker: the requests written so far restore all that may be lost. */
     public void markTrusted() throws IOException {
         disk.delete(Set.of(UNTRUSTED_MARKER));
     }
 
-    /** Returns the number of files of the log. */
+    /** Returns the number of log files. */
     public int logFileCount() {
         return log.fileCount();
     }
--- a/raft/src/main/java/embershift/raft/RaftState.java
+++ b/raft/src/main/java/embershift/raft/RaftState.java
@@ -4,8 +4,9 @@
 import java.util.Optional;
 
 /**
- * The state that the parts of one member share: its term and vote, its role, its log and what of it
- * is committed. Only {@link Raft} changes term, vote and role.
+ * The state shared by the components of one member: its term and vote, its role, its log and the
+ * commit index. Term, vote and role change only in {@link ElectionProtocol}, when {@link
+ * Leadership} begins and when {@link Raft} bootstraps a group.
  */
 final class RaftState {
 
@@ -14,7 +15,7 @@
     final RaftLimits limits;
     final RaftEnvironment environment;
 
-    /** Another number at each start of this member. */
+    /** A different number at each start of this member. */
     final long incarnation;
 
     final LogEntries log;
@@ -32,7 +33,7 @@
     /** The index of the first entry of this leader's term. */
     long termStartIndex;
 
-    /** Whether this member may have lost what it once promised: see {@link RecoveredState}. */
+    /** Whether this member may have lost durable state; see {@link RecoveredState}. */
     boolean isUntrusted;
 
     RaftState(
@@ -80,7 +81,7 @@
         return role == Raft.Role.LEADER;
     }
 
-    /** Appends an entry in memory; a membership is in force from then on. */
+    /** Appends an entry in memory; a membership takes effect immediately. */
     void append(LogEntry entry) {
         log.append(entry);
         if (entry.kind() == LogEntry.Kind.MEMBERSHIP) {
@@ -88,7 +89,7 @@
         }
     }
 
-    /** Drops that entry and all behind it, as another leader's are to take their place. */
+    /** Drops the entry at {@code index} and all later ones, to be replaced by the leader's. */
     void truncateFrom(long index) {
         log.truncateFrom(index);
         memberships.truncateFrom(index);
@@ -100,7 +101,10 @@
                 Optional.of(new HardState(term, votedFor)), Optional.empty(), false, List.of());
     }
 
-    /** Sends a message once everything written until now is durable: a promise must not be lost. */
+    /**
+     * Sends a message once all writes so far are durable, so that a crash does not undo what it
+     * confirms.
+     */
     void sendWhenDurable(MemberId to, RaftMessage message) {
         writes.whenDurable(() -> environment.send(to, message));
     }
--- a/raft/src/main/java/embershift/raft/RaftTiming.java
+++ b/raft/src/main/java/embershift/raft/RaftTiming.java
@@ -1,18 +1,17 @@
 package embershift.raft;
 
 /**
- * Times of the protocol, in ticks.
+ * Timing parameters of the protocol, in ticks.
  *
- * @param heartbeatTicks between two heartbeats of a leader
- * @param electionTicks the least time without a leader after which a member stands for election, up
- *     to twice that at random; also the time after which a leader without a quorum steps down
- * @param diskStallTicks the time after which a leader whose disk has not completed a write steps
- *     down
+ * @param heartbeatTicks interval between a leader's heartbeats
+ * @param electionTicks minimum election timeout, randomized up to twice this value; also the time
+ *     after which a leader without a quorum steps down
+ * @param diskStallTicks time after which a leader whose disk has not completed a write steps down
  */
 public record RaftTiming(int heartbeatTicks, int electionTicks, int diskStallTicks) {
 
     /**
-     * Checks that the times fit together.
+     * Checks that the times are consistent.
      *
      * @throws IllegalArgumentException if they do not
      */
@@ -21,7 +20,7 @@
                 || electionTicks < 3 * heartbeatTicks
                 || diskStallTicks < heartbeatTicks) {
             throw new IllegalArgumentException(
-                    "election must be three heartbeats or more, stall one or more");
+                    "election timeout must be at least three heartbeats, disk stall at least one");
         }
     }
 }
--- a/raft/src/main/java/embershift/raft/ReadRequests.java
+++ b/raft/src/main/java/embershift/raft/ReadRequests.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Reads that wait until a quorum has confirmed that this member still leads (thesis, 6.4): one
- * round of heartbeats at a time serves all that came before it.
+ * Reads that wait until a quorum has confirmed that this member still leads (thesis, 6.4). At most
+ * one heartbeat round is active; it serves all reads queued before it.
  */
 final class ReadRequests {
 
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Starts a round for the queued reads, unless one is under way. A leader that has committed
-     * nothing in its term may not know all that was committed before.
+     * Starts a round for the queued reads, unless one is active. Waits until the leader has
+     * committed an entry of its term, as before that it may not know the latest commit index.
      */
     void startRound() {
         if (!activeTickets.isEmpty()
@@ -42,7 +42,7 @@
         completeRound();
     }
 
-    /** Answers the reads of the round under way once a quorum has replied to it. */
+    /** Completes the reads of the active round once a quorum has replied to it. */
     void completeRound() {
         while (!activeTickets.isEmpty() && state.isLeader()) {
             if (!replication.hasQuorumSince(activeRound)) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** This member leads no more. */
+    /** Rejects all reads, as this member is no longer leader. */
     void rejectAll() {
         activeTickets.forEach(state.environment::readRejected);
         queuedTickets.forEach(state.environment::readRejected);
--- a/raft/src/main/java/embershift/raft/RecoveredState.java
+++ b/raft/src/main/java/embershift/raft/RecoveredState.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * What a member finds on its disk when it starts.
+ * The state that a member reads from disk when it starts.
  *
- * @param entries without a gap; they may begin before the snapshot's index, never behind the entry
- *     that follows it
- * @param isUntrusted whether something that was durable once is missing at the end: until the
- *     member has caught up with a leader again it neither votes nor stands for election
+ * @param entries contiguous; they may start before the snapshot's index, but at the latest with the
+ *     entry after it
+ * @param isUntrusted whether data that was once durable may be missing at the end of the log: until
+ *     the member has caught up with a leader, it neither votes nor becomes a candidate
  */
 public record RecoveredState(
         HardState hardState,
@@ -17,7 +17,7 @@
         List<LogEntry> entries,
         boolean isUntrusted) {
 
-    /** Of a member whose directory is empty. */
+    /** The state of a member whose directory is empty. */
     public static final RecoveredState EMPTY =
             new RecoveredState(HardState.INITIAL, Optional.empty(), List.of(), false);
 }
--- a/raft/src/main/java/embershift/raft/RejectionReason.java
+++ b/raft/src/main/java/embershift/raft/RejectionReason.java
@@ -1,25 +1,25 @@
 package embershift.raft;
 
-/** Why a member does not take a proposal or a change of the membership. */
+/** The reason why a member rejects a proposal or a membership change. */
 public enum RejectionReason {
-    /** Only the leader takes them. */
+    /** Only the leader accepts requests. */
     NOT_LEADER,
-    /** The leader is handing over to another member. */
+    /** A leadership transfer is in progress. */
     TRANSFERRING_LEADERSHIP,
-    /** Too much is waiting to be committed, or the group has too many members. */
+    /** Too much data is uncommitted, or the group has the maximum number of members. */
     OVERLOADED,
     /** The command is too large. */
     TOO_LARGE,
-    /** Another change of the membership is not committed yet. */
+    /** Another membership change is not committed yet. */
     CHANGE_IN_PROGRESS,
-    /** The member belongs to the group, or leads, already. */
+    /** The member already belongs to the group, or is already the leader. */
     ALREADY_DONE,
-    /** A member of that name belongs to the group. */
+    /** The group already has a member of that name. */
     NAME_TAKEN,
-    /** No such member belongs to the group, or it is not a voter. */
+    /** The group has no such member, or it is not a voter. */
     UNKNOWN_MEMBER,
     /** The only voter can't be removed. */
     LAST_VOTER,
-    /** Without the member too few voters would be reached and up to date. */
+    /** Without the member, too few voters would be active and up to date. */
     QUORUM_AT_RISK
 }
--- a/raft/src/main/java/embershift/raft/Replication.java
+++ b/raft/src/main/java/embershift/raft/Replication.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * A leader's replication of its log to the other members (thesis, 3.5 and 5.3): what each is known
- * to have, and what is sent to it. Empty while this member does not lead.
+ * A leader's replication of its log to the other members (thesis, 3.5 and 5.3): tracks the progress
+ * of each and sends it what it lacks. Has no followers while this member does not lead.
  */
 final class Replication {
 
@@ -22,7 +22,7 @@
         this.state = state;
     }
 
-    /** Begins to lead: nothing is known of the others. */
+    /** Starts replication as a new leader: the progress of the followers is unknown. */
     void begin() {
         followers.clear();
         for (Member member : state.membership().members()) {
@@ -38,7 +38,7 @@
         followers.clear();
     }
 
-    /** The membership has changed. */
+    /** Adds and removes followers after a membership change. */
     void updateFollowers() {
         Membership membership = state.membership();
         followers.keySet().removeIf(id -> membership.find(id).isEmpty());
@@ -55,7 +55,7 @@
         return Optional.ofNullable(followers.get(id));
     }
 
-    /** The last index that a member is known to have on disk as this leader has it. */
+    /** The last index known to be durable at a member and equal to this leader's log. */
     long matchIndexOf(MemberId id) {
         if (id.equals(state.self)) {
             return state.writes.durableIndex();
@@ -63,7 +63,7 @@
         return progressOf(id).map(FollowerProgress::matchIndex).orElse(0L);
     }
 
-    /** The last index that a quorum of the voters has on disk, or 0 where there are no voters. */
+    /** The last index that a quorum of the voters has on disk, or 0 if there are no voters. */
     long quorumMatchIndex() {
         Membership membership = state.membership();
         long[] indexes =
@@ -71,13 +71,13 @@
         return indexes.length == 0 ? 0 : indexes[indexes.length - membership.quorum()];
     }
 
-    /** Whether a member was heard of in this activity period or the one before. */
+    /** Whether a member replied in this activity period or the previous one. */
     boolean isActive(MemberId id) {
         return id.equals(state.self)
                 || progressOf(id).map(FollowerProgress::isActive).orElse(false);
     }
 
-    /** Counts a tick; returns false if too few voters were heard of for an election timeout. */
+    /** Handles a tick; returns false if no quorum has replied for an election timeout. */
     boolean checkQuorum() {
         quorumCheckElapsedTicks++;
         if (quorumCheckElapsedTicks < state.timing.electionTicks()) {
@@ -95,7 +95,7 @@
         return true;
     }
 
-    /** Counts a tick, and sends heartbeats when they are due. */
+    /** Handles a tick; sends heartbeats when they are due. */
     void tick() {
         heartbeatElapsedTicks++;
         if (heartbeatElapsedTicks >= state.timing.heartbeatTicks()) {
@@ -130,20 +130,20 @@
                 progress.allowProbe();
                 sendEntries(id, progress);
             }
-            // Rejected if something that was sent ahead is lost.
+            // The follower rejects this if a pipelined message was lost.
             case REPLICATE ->
                     state.environment.send(id, appendRequest(progress.nextIndex() - 1, List.of()));
         }
     }
 
-    /** Begins a round of heartbeats, whose replies show that this member still led at its start. */
+    /** Starts a heartbeat round, whose replies confirm that this member led when it started. */
     long startHeartbeatRound() {
         heartbeatRound++;
         broadcastHeartbeat();
         return heartbeatRound;
     }
 
-    /** Whether a quorum has replied to that round or a later one. */
+    /** Whether a quorum has replied to the given round or a later one. */
     boolean hasQuorumSince(long round) {
         List<MemberId> replied =
                 state.membership().voters().stream()
@@ -170,7 +170,7 @@
         followers.forEach(this::sendEntries);
     }
 
-    /** Sends a member what it lacks, as far as may be in flight. */
+    /** Sends a member the entries or snapshot that it lacks, up to the in-flight limit. */
     void sendEntries(MemberId id, FollowerProgress progress) {
         while (progress.isAwaitingEntries()) {
             long previousIndex = progress.nextIndex() - 1;
@@ -208,7 +208,7 @@
                         heartbeatRound));
     }
 
-    /** Notes that a member replied; empty if this member does not lead it. */
+    /** Records a reply; returns the progress of its sender, or empty if it is no follower. */
     Optional<FollowerProgress> recordReply(MemberId from, long incarnation, long round) {
         Optional<FollowerProgress> progress = progressOf(from);
         progress.ifPresent(each -> each.recordReply(incarnation, round, state.log.lastIndex()));
@@ -234,8 +234,8 @@
     }
 
     /**
-     * Tells all others what is committed, as this member, which is not part of the group any more,
-     * stops to lead. The one that has most is to take its place.
+     * Sends the final commit index to all followers when this leader steps down after its own
+     * removal. The follower with the most complete log is told to start an election.
      */
     void sendFinalCommit() {
         broadcastHeartbeat();
@@ -258,7 +258,7 @@
         return Long.compare(one.matchIndex(), other.matchIndex());
     }
 
-    /** The voter that has most of the log, of those heard of in this activity period. */
+    /** Returns the voter with the most complete log among those active in this period. */
     Optional<MemberId> mostCompleteVoter() {
         MemberId best = null;
         for (MemberId voter : state.membership().voters()) {
--- a/raft/src/main/java/embershift/raft/Snapshot.java
+++ b/raft/src/main/java/embershift/raft/Snapshot.java
@@ -3,11 +3,11 @@
 import java.util.zip.CRC32C;
 
 /**
- * The state of the state machine after all entries up to one.
+ * The state of the state machine after all entries up to and including {@code index}.
  *
- * @param index the last entry that it includes
+ * @param index the index of the last included entry
  * @param term the term of that entry
- * @param membership the group as of that entry
+ * @param membership the membership as of that entry
  * @param checksum the CRC-32C of {@code data}
  */
 public record Snapshot(long index, long term, Membership membership, byte[] data, int checksum) {
@@ -21,7 +21,7 @@
         return checksum(data) == checksum;
     }
 
-    /** Returns the CRC-32C of a state, by which members compare theirs. */
+    /** Returns the CRC-32C of a state; members compare their states by it. */
     public static int checksum(byte[] data) {
         CRC32C crc = new CRC32C();
         crc.update(data, 0, data.length);
--- a/raft/src/main/java/embershift/raft/SnapshotAssembly.java
+++ b/raft/src/main/java/embershift/raft/SnapshotAssembly.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Puts the chunks of one snapshot together as they arrive; a chunk of another one begins anew. */
+/** Assembles a snapshot from its chunks; a chunk of a different snapshot starts over. */
 final class SnapshotAssembly {
 
     private RaftMessage.SnapshotRequest first;
@@ -44,7 +44,7 @@
                 && first.totalBytes() == request.totalBytes();
     }
 
-    /** The position in the data from which on chunks are missing. */
+    /** The offset of the first missing byte. */
     int receivedBytes() {
         return receivedBytes;
     }
--- a/raft/src/main/java/embershift/raft/WriteRequest.java
+++ b/raft/src/main/java/embershift/raft/WriteRequest.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * Data that a member must have on disk. Requests take effect in the order of their numbers; within
- * one, the snapshot comes before the entries.
+ * Data to be made durable. Requests take effect in the order of their numbers; within a request,
+ * the snapshot takes effect before the entries.
  *
  * @param number increases by one with each request
- * @param hardState if present, takes the place of the one before
- * @param snapshot if present, takes the place of the one before
- * @param replacesLog whether the snapshot also takes the place of the whole log
- * @param entries each takes the place of the entry at its index and of all behind it
+ * @param hardState if present, replaces the previous one
+ * @param snapshot if present, replaces the previous one
+ * @param replacesLog whether the snapshot also replaces the whole log
+ * @param entries each replaces the entry at its index and all later ones
  */
 public record WriteRequest(
         long number,
@@ -20,7 +20,7 @@
         boolean replacesLog,
         List<LogEntry> entries) {
 
-    /** Returns the last log index that is durable once this request is, or 0 where it has none. */
+    /** Returns the last log index that is durable once this request is, or 0 if it has none. */
     long lastIndex() {
         return entries.isEmpty()
                 ? snapshot.map(Snapshot::index).orElse(0L)
--- a/raft/src/test/java/embershift/raft/WireFormatTest.java
+++ b/raft/src/test/java/embershift/raft/WireFormatTest.java
@@ -16,8 +16,8 @@
 import org.testng.annotations.Test;
 
 /**
- * Messages between members, entries and all that a member has on disk stay, byte for byte, those of
- * earlier versions.
+ * Guards the encoding of messages, log entries and files on disk: they must stay byte for byte
+ * those of earlier versions.
  */
 public class WireFormatTest {
 
@@ -151,7 +151,7 @@
                 entries);
     }
 
-    /** Votes, entries, a snapshot within the log and one in its place. */
+    /** Writes votes, entries, a snapshot within the log and one that replaces the log. */
     private static MemoryDisk writeSampleDirectory() throws IOException {
         MemoryDisk disk = new MemoryDisk();
         RaftPersistence persistence = RaftPersistence.open(disk, FILE_BYTES);
@@ -233,7 +233,7 @@
         for (String name : writeSampleDirectory().fileNames()) {
             disk.put(name, GoldenSamples.expectedBytes(getClass(), DIRECTORY, name));
         }
-        // A mark that what was once promised may be lost, as a start after a damaged log leaves it.
+        // The untrusted marker, as left by a start with a damaged log.
         disk.put("doubt", GoldenSamples.expectedBytes(getClass(), "doubt.txt", "doubt"));
         RecoveredState restored = RaftPersistence.open(disk, FILE_BYTES).takeRecovered();
         assertEquals(restored.hardState(), new HardState(5, new MemberId(2)));
@@ -245,8 +245,8 @@
     }
 
     /**
-     * A log that lost its end once on disk: the mark of that is a file of the same name and content
-     * as before.
+     * A damaged end of the log is recorded by a marker file, whose name and content must stay the
+     * same.
      */
     @Test
     public void untrustedMarkerFormatIsUnchanged() throws IOException {
--- a/storage/src/main/java/embershift/storage/ChecksummedFile.java
+++ b/storage/src/main/java/embershift/storage/ChecksummedFile.java
@@ -19,7 +19,7 @@
     /**
      * Replaces a file's content atomically; durable when this returns.
      *
-     * @throws OutOfSpaceException if the disk is full; the old content is still there
+     * @throws OutOfSpaceException if the disk is full; the old content is unchanged
      */
     public static void write(Disk disk, String name, byte[] content) throws IOException {
         ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + content.length);
@@ -31,23 +31,23 @@
     /**
      * Reads a file's content.
      *
-     * @throws CorruptDataException if it was changed, truncated, or written by another version
+     * @throws CorruptDataException if it is corrupt, truncated or of an unsupported version
      */
     public static byte[] read(Disk disk, String name) throws IOException {
         byte[] file = disk.read(name);
         ByteBuffer header = ByteBuffer.wrap(file);
         if (file.length < HEADER_BYTES || header.getInt() != MAGIC) {
-            throw new CorruptDataException(name + ": its beginning was changed");
+            throw new CorruptDataException(name + ": corrupt file header");
         }
         int version = header.getInt();
         if (version != VERSION) {
             throw new CorruptDataException(
-                    name + ": of version " + version + ", which this program can't read");
+                    name + ": file version " + version + " is not supported");
         }
         int contentLength = file.length - HEADER_BYTES;
         if (header.getInt() != contentLength
                 || header.getInt() != Crc32c.of(file, HEADER_BYTES, contentLength)) {
-            throw new CorruptDataException(name + ": it was changed or cut");
+            throw new CorruptDataException(name + ": content is corrupt or truncated");
         }
         return Arrays.copyOfRange(file, HEADER_BYTES, file.length);
     }
--- a/storage/src/main/java/embershift/storage/CorruptDataException.java
+++ b/storage/src/main/java/embershift/storage/CorruptDataException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * Stored data is not what was written, or was written by a version this program can't read. The
- * process must not serve from it. The message is one line and begins with the file's name.
+ * Thrown when stored data is not what was written, or has an unsupported version. The process must
+ * not serve from it. The message is one line; in this module it begins with the file's name.
  */
 public final class CorruptDataException extends IOException {
 
--- a/storage/src/main/java/embershift/storage/Crc32c.java
+++ b/storage/src/main/java/embershift/storage/Crc32c.java
@@ -15,7 +15,7 @@
     /**
      * Returns the checksum of {@code length} bytes from {@code offset} on.
      *
-     * @throws ArrayIndexOutOfBoundsException if the range is not within {@code bytes}
+     * @throws ArrayIndexOutOfBoundsException if the range is outside of {@code bytes}
      */
     static int of(byte[] bytes, int offset, int length) {
         CRC32C crc = new CRC32C();
--- a/storage/src/main/java/embershift/storage/Disk.java
+++ b/storage/src/main/java/embershift/storage/Disk.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * The files of one directory. An interface, so that a full, slow or failing disk can be tested
- * without one. File names are plain, without separators. All calls may block.
+ * The files of one directory. An interface, so that full, slow and failing disks can be simulated
+ * in tests. File names are plain, without separators. All calls may block.
  */
 public interface Disk {
 
@@ -17,21 +17,21 @@
     /** Reads a whole file. */
     byte[] read(String name) throws IOException;
 
-    /** Opens a file for appending, and creates it where it does not exist. */
+    /** Opens a file for appending; creates it if it does not exist. */
     AppendFile openForAppend(String name) throws IOException;
 
     /** Truncates a file to {@code length} bytes. The change is durable when this returns. */
     void truncate(String name, long length) throws IOException;
 
     /**
-     * Replaces the content of a file atomically: after a crash at any point it has either its old
-     * or its new content. The change is durable when this returns.
+     * Replaces the content of a file atomically: after a crash at any point it has either the old
+     * or the new content. The change is durable when this returns.
      *
-     * @throws OutOfSpaceException if the disk is full; the old content is still there
+     * @throws OutOfSpaceException if the disk is full; the old content is unchanged
      */
     void replace(String name, byte[] content) throws IOException;
 
-    /** Deletes files; names of files that do not exist are ignored. */
+    /** Deletes files; ignores files that do not exist. */
     void delete(Set<String> names) throws IOException;
 
     /** A file open for appending. */
--- a/storage/src/main/java/embershift/storage/FaultInjectingDisk.java
+++ b/storage/src/main/java/embershift/storage/FaultInjectingDisk.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A disk with faults for failure tests: full while a file {@value #FULL_MARKER} exists in the
- * directory, and slow while {@value #SLOW_MARKER} exists. A test creates these files and deletes
- * them.
+ * A disk that injects faults for failure tests: full while a file {@value #FULL_MARKER} exists in
+ * the directory, and slow while {@value #SLOW_MARKER} exists. A test creates and deletes these
+ * files.
  */
 public final class FaultInjectingDisk implements Disk {
 
@@ -32,7 +32,7 @@
     }
 
     private static OutOfSpaceException full() {
-        return new OutOfSpaceException("the disk is full, as a drill has it", null);
+        return new OutOfSpaceException("the disk is full (injected fault)", null);
     }
 
     @Override
--- a/storage/src/main/java/embershift/storage/FileSystemDisk.java
+++ b/storage/src/main/java/embershift/storage/FileSystemDisk.java
@@ -15,14 +15,14 @@
 import java.util.TreeSet;
 
 /**
- * A directory of the file system. A lock file keeps it to one process at a time; the lock ends with
- * the process.
+ * A directory of the file system. A lock file restricts it to one process at a time; the lock is
+ * released when the process ends.
  */
 public final class FileSystemDisk implements Disk, Closeable {
 
     private static final String LOCK_FILE = "lock";
 
-    /** Suffix of a file that is written before it atomically takes another's place. */
+    /** Suffix of a temporary file that is written and then atomically renamed. */
     private static final String TEMPORARY_SUFFIX = ".new";
 
     private final Path directory;
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Opens a directory, and creates it where it does not exist.
+     * Opens a directory; creates it if it does not exist.
      *
      * @throws IOException if another process has it open
      */
@@ -59,12 +59,12 @@
             FileLock lock = lockFile.tryLock();
             return lock != null;
         } catch (OverlappingFileLockException e) {
-            // Held by this process itself.
+            // The lock is held by this process.
             return false;
         }
     }
 
-    /** Files of a process that was killed before it gave them their names. */
+    /** Deletes files left by a process that was killed before it renamed them. */
     private void deleteTemporaryFiles() throws IOException {
         for (String name : fileNames()) {
             if (name.endsWith(TEMPORARY_SUFFIX)) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /** A file name is durable only once its directory is. */
+    /** Makes file names durable: they are part of the directory, not of the file. */
     private void forceDirectory() throws IOException {
         try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
--- a/storage/src/main/java/embershift/storage/LogFileFormat.java
+++ b/storage/src/main/java/embershift/storage/LogFileFormat.java
@@ -11,8 +11,8 @@
  * The byte layout of a {@link RecordLog}'s files, big-endian. A file is a header (magic, version,
  * number of its first record, CRC-32C of these) and records. A record is a header (length of what
  * follows it, number, CRC-32C of both, CRC-32C of what follows), an eight-byte retention key and
- * the body. The two checksums tell a record that was cut off while it was written, whose header is
- * sound, from one that was changed on disk.
+ * the body. The two checksums distinguish a record that was cut off while it was written, whose
+ * header is intact, from one that was corrupted on disk.
  */
 final class LogFileFormat {
 
@@ -36,7 +36,7 @@
     static void checkFileHeader(String name, byte[] file, long firstRecord)
             throws CorruptDataException {
         if (file.length < FILE_HEADER_BYTES) {
-            throw new CorruptDataException(name + ": its beginning is missing");
+            throw new CorruptDataException(name + ": incomplete file header");
         }
         ByteBuffer header = ByteBuffer.wrap(file);
         long magic = header.getLong();
@@ -44,15 +44,15 @@
         long storedFirstRecord = header.getLong();
         int checksum = Crc32c.of(file, 0, FILE_HEADER_BYTES - CHECKSUM_BYTES);
         if (header.getInt() != checksum || magic != MAGIC || storedFirstRecord != firstRecord) {
-            throw new CorruptDataException(name + ": its beginning was changed");
+            throw new CorruptDataException(name + ": corrupt file header");
         }
         if (version != VERSION) {
             throw new CorruptDataException(
-                    name + ": of version " + version + ", which this program can't read");
+                    name + ": file version " + version + " is not supported");
         }
     }
 
-    /** Encodes records that get consecutive numbers. */
+    /** Encodes records with consecutive numbers. */
     static ByteBuffer records(List<NewRecord> records, long firstNumber) {
         int size = records.stream().mapToInt(LogFileFormat::size).sum();
         ByteBuffer bytes = ByteBuffer.allocate(size);
@@ -102,7 +102,7 @@
         return Optional.of(new StoredRecord(retentionKey, body));
     }
 
-    /** Whether an intact record header is at that position. */
+    /** Whether there is an intact record header at a position. */
     private static boolean isRecordHeader(byte[] file, int position) {
         if (file.length - position < RECORD_HEADER_BYTES) {
             return false;
@@ -115,10 +115,11 @@
                 && header.getInt() == Crc32c.of(file, position, CHECKED_HEADER_BYTES);
     }
 
-    /** Whether the header of a record with a higher number is anywhere behind that position. */
+    /** Whether the header of a record with a higher number follows anywhere after a position. */
     static boolean hasLaterRecord(byte[] file, int position, long number) {
         for (int from = position + 1; from + RECORD_HEADER_BYTES <= file.length; from++) {
-            // Its number counts too: a record's bytes may be part of another one's body.
+            // The number is checked too, as the body of a record may contain the bytes of another
+            // record.
             if (isRecordHeader(file, from)
                     && ByteBuffer.wrap(file, from + Integer.BYTES, Long.BYTES).getLong() > number) {
                 return true;
@@ -127,7 +128,7 @@
         return false;
     }
 
-    /** Whether a record begins at that position and the file ends before it does. */
+    /** Whether a record begins at a position but extends beyond the end of the file. */
     static boolean isCutOffRecord(byte[] file, int position) {
         if (file.length - position < RECORD_HEADER_BYTES) {
             return true;
--- a/storage/src/main/java/embershift/storage/LogRecovery.java
+++ b/storage/src/main/java/embershift/storage/LogRecovery.java
@@ -12,7 +12,7 @@
 
 /**
  * Reads the files of a {@link RecordLog} when it is opened. Only the end of the last file may be
- * unreadable: anything else is corruption.
+ * unreadable; anything else is corruption.
  */
 final class LogRecovery {
 
@@ -41,7 +41,7 @@
     private void readFile(String name, boolean isLast) throws IOException {
         byte[] file = disk.read(name);
         if (isLast && file.length < LogFileFormat.FILE_HEADER_BYTES) {
-            // The process was killed while it began this file: no record was in it yet.
+            // The process was killed while it created this file: there was no record in it yet.
             truncatedBytes += file.length;
             disk.delete(Set.of(name));
             return;
@@ -51,9 +51,9 @@
         if (!maxKeyByFirstRecord.isEmpty() && firstRecord != nextNumber) {
             throw new CorruptDataException(
                     name
-                            + ": begins at record "
+                            + ": starts at record "
                             + firstRecord
-                            + ", but the files before it end at "
+                            + ", but the previous files end at record "
                             + (nextNumber - 1));
         }
         nextNumber = firstRecord;
@@ -61,7 +61,7 @@
         intactLength = readRecords(name, file, isLast, firstRecord);
     }
 
-    /** Returns the position of the first byte that belongs to no intact record. */
+    /** Returns the position after the last intact record. */
     private int readRecords(String name, byte[] file, boolean isLast, long firstRecord)
             throws CorruptDataException {
         int position = LogFileFormat.FILE_HEADER_BYTES;
@@ -84,11 +84,11 @@
             throws CorruptDataException {
         if (!isLast || LogFileFormat.hasLaterRecord(file, position, nextNumber)) {
             throw new CorruptDataException(
-                    name + ": record " + nextNumber + " at byte " + position + " was changed");
+                    name + ": record " + nextNumber + " at byte " + position + " is corrupt");
         }
         truncatedBytes += file.length - position;
         isUntrusted = !LogFileFormat.isCutOffRecord(file, position);
-        // Truncated before the next write only: the caller may first have to note that it is
+        // Truncated only before the next write: the caller may first have to record that it is
         // untrusted.
         hasTornEnd = true;
     }
@@ -97,7 +97,7 @@
         return new RecordLog.Recovery(records, truncatedBytes, isUntrusted);
     }
 
-    /** The greatest retention key of each file, by the number of the file's first record. */
+    /** The maximum retention key of each file, by the number of the file's first record. */
     NavigableMap<Long, Long> maxKeyByFirstRecord() {
         return maxKeyByFirstRecord;
     }
@@ -106,7 +106,7 @@
         return nextNumber;
     }
 
-    /** Bytes of the last file up to the end of its last intact record. */
+    /** The length of the last file up to the end of its last intact record. */
     long intactLength() {
         return intactLength;
     }
--- a/storage/src/main/java/embershift/storage/MemoryDisk.java
+++ b/storage/src/main/java/embershift/storage/MemoryDisk.java
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 
 /**
- * A directory in memory, for simulations. A simulated crash loses some or all of the bytes that
+ * An in-memory directory for simulations. A simulated crash loses some or all of the bytes that
  * were not forced.
  */
 public final class MemoryDisk implements Disk {
@@ -30,7 +30,7 @@
     private boolean isFull;
     private boolean isCrashing;
 
-    /** Makes the disk full: of each write only the first half is accepted, then it fails. */
+    /** Makes the disk full: each write stores only its first half and then fails. */
     public void setFull(boolean full) {
         isFull = full;
     }
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Puts a durable file there. */
+    /** Creates or replaces a file with durable content. */
     public void put(String name, byte[] bytes) {
         Content content = new Content();
         content.setDurable(bytes);
@@ -69,7 +69,7 @@
     private Content content(String name) throws IOException {
         Content content = files.get(name);
         if (content == null) {
-            throw new IOException("there is no " + name);
+            throw new IOException("no such file: " + name);
         }
         return content;
     }
@@ -101,7 +101,7 @@
 
     private void checkNotCrashing() throws IOException {
         if (isCrashing) {
-            throw new IOException("the machine has ended");
+            throw new IOException("simulated machine crash");
         }
     }
 
@@ -132,7 +132,7 @@
 
         @Override
         public void close() {
-            // Nothing is held open.
+            // There is nothing to release.
         }
     }
 }
--- a/storage/src/main/java/embershift/storage/NumberedFileName.java
+++ b/storage/src/main/java/embershift/storage/NumberedFileName.java
@@ -5,8 +5,7 @@
 import java.util.TreeSet;
 
 /**
- * Names of files that differ by a number: a prefix and sixteen digits, so that their order as texts
- * is that of their numbers.
+ * Numbered file names: a prefix and a number of sixteen digits, so that the names sort by number.
  */
 record NumberedFileName(String prefix) {
 
@@ -20,7 +19,7 @@
         return Long.parseLong(name.substring(prefix.length()));
     }
 
-    /** Returns the names of this form on a disk, in the order of their numbers. */
+    /** Returns the matching file names on a disk, in the order of their numbers. */
     NavigableSet<String> listFiles(Disk disk) throws IOException {
         NavigableSet<String> names = new TreeSet<>();
         for (String name : disk.fileNames()) {
--- a/storage/src/main/java/embershift/storage/OutOfSpaceException.java
+++ b/storage/src/main/java/embershift/storage/OutOfSpaceException.java
@@ -2,12 +2,14 @@
 
 import java.io.IOException;
 
-/** The disk accepts no more data at present. Nothing is damaged, and the write may be retried. */
+/**
+ * The disk accepts no more data for now. No stored data is damaged, and the write may be retried.
+ */
 public final class OutOfSpaceException extends IOException {
 
     private static final long serialVersionUID = 1;
 
-    /** Creates an exception; {@code cause} is null where the system reported none. */
+    /** Creates an exception; {@code cause} is null if there is none. */
     public OutOfSpaceException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/storage/src/main/java/embershift/storage/RecordLog.java
+++ b/storage/src/main/java/embershift/storage/RecordLog.java
@@ -9,34 +9,33 @@
 import java.util.TreeSet;
 
 /**
- * An append-only log of records in files of a bounded size, whose oldest files are deleted once
- * their records are not needed. Used by one thread at a time; calls may block for the disk. The
- * layout of its files: {@link LogFileFormat}.
+ * An append-only log of records, split into files of limited size; the oldest files are deleted
+ * once their records are no longer needed. Used by one thread at a time; calls may block on disk
+ * I/O. {@link LogFileFormat} describes the layout of the files.
  */
 public final class RecordLog implements Closeable {
 
     /**
      * A record to append.
      *
-     * @param retentionKey decides when its file may be deleted: see {@link #discardBelow}
+     * @param retentionKey determines when its file may be deleted; see {@link #discardBelow}
      * @param body at most {@link #MAX_BODY_BYTES} bytes
      */
     public record NewRecord(long retentionKey, byte[] body) {}
 
-    /** A record that was read back. */
+    /** A record that was read from disk. */
     public record StoredRecord(long retentionKey, byte[] body) {}
 
     /**
-     * What {@link #open} found.
+     * The result of {@link #open}.
      *
-     * @param truncatedBytes bytes at the end that are discarded before the next write; no writer
-     *     was ever told that they are durable, unless {@code isUntrusted}
-     * @param isUntrusted whether the discarded bytes may have been durable once, and were changed
-     *     since
+     * @param truncatedBytes bytes at the end that are discarded before the next write; unless
+     *     {@code isUntrusted}, they were never reported as durable
+     * @param isUntrusted whether the discarded bytes may have been durable and corrupted later
      */
     public record Recovery(List<StoredRecord> records, long truncatedBytes, boolean isUntrusted) {}
 
-    /** The longest body of a record, in bytes; anything longer was never written. */
+    /** The maximum size of a record body, in bytes; a longer one is never valid. */
     public static final int MAX_BODY_BYTES = 64 << 20;
 
     static final NumberedFileName FILE_NAMES = new NumberedFileName("log-");
@@ -48,12 +47,12 @@
     /** The file that records are appended to; null until the next write opens it. */
     private Disk.AppendFile file;
 
-    /** Bytes of the last file up to the end of its last complete record. */
+    /** The length of the last file up to the end of its last complete record. */
     private long completeLength;
 
     private long nextNumber;
 
-    /** Whether an incomplete record may be behind the last complete one. */
+    /** Whether an incomplete record may follow the last complete one. */
     private boolean hasTornEnd;
 
     private Recovery recovery;
@@ -69,16 +68,16 @@
     }
 
     /**
-     * Opens a log and reads all of it.
+     * Opens a log and reads all records.
      *
-     * @param maxFileBytes size from which on a new file is begun
-     * @throws CorruptDataException if anything but the end of the log was changed
+     * @param maxFileBytes size at which a new file is started
+     * @throws CorruptDataException if anything but the end of the log is corrupt
      */
     public static RecordLog open(Disk disk, long maxFileBytes) throws IOException {
         return new RecordLog(disk, maxFileBytes, LogRecovery.run(disk));
     }
 
-    /** Returns what {@link #open} found; once only, so that it need not stay in memory. */
+    /** Returns the result of {@link #open}; only once, to release its memory. */
     public Recovery takeRecovery() {
         Recovery result = recovery;
         recovery = null;
@@ -86,8 +85,8 @@
     }
 
     /**
-     * Whether the next record begins a new file: then the caller may put first what must survive
-     * the deletion of all files before it.
+     * Whether the next record starts a new file. If so, the caller may first append the records
+     * that must survive the deletion of all earlier files.
      */
     public boolean startsNewFile() {
         return maxKeyByFirstRecord.isEmpty() || completeLength >= maxFileBytes;
@@ -97,7 +96,7 @@
      * Appends records. They are durable once {@link #force} returns.
      *
      * @throws OutOfSpaceException if the disk is full: none of the records is in the log, and the
-     *     call may be repeated
+     *     call may be retried
      */
     public void append(List<NewRecord> records) throws IOException {
         discardTornEnd();
@@ -138,7 +137,7 @@
         maxKeyByFirstRecord.put(nextNumber, Long.MIN_VALUE);
     }
 
-    /** The beginning of a write that failed must go before anything is appended behind it. */
+    /** Removes the remains of a failed write, before anything is appended after them. */
     private void discardTornEnd() throws IOException {
         if (hasTornEnd) {
             closeFile();
@@ -150,7 +149,7 @@
     /**
      * Returns once all records are durable.
      *
-     * @throws IOException if nobody can tell what is durable: the process must not go on
+     * @throws IOException if it is unknown what is durable: the process must not continue
      */
     public void force() throws IOException {
         if (file != null) {
@@ -167,20 +166,20 @@
                 && maxKeyByFirstRecord.firstEntry().getValue() < key) {
             obsolete.add(FILE_NAMES.of(maxKeyByFirstRecord.pollFirstEntry().getKey()));
         }
-        // The oldest first: a process killed in between must leave no gap.
+        // In order, oldest first: a process killed in between must leave no gap.
         for (String name : obsolete) {
             disk.delete(Set.of(name));
         }
     }
 
-    /** Returns the number of files of this log. */
+    /** Returns the number of log files. */
     public int fileCount() {
         return maxKeyByFirstRecord.size();
     }
 
     private void closeFile() throws IOException {
         if (file != null) {
-            // A later file must not be durable without what comes before it.
+            // A later file must not become durable before the earlier ones.
             file.force();
             file.close();
             file = null;
--- a/storage/src/main/java/embershift/storage/SnapshotStore.java
+++ b/storage/src/main/java/embershift/storage/SnapshotStore.java
@@ -14,16 +14,16 @@
 
     private final Disk disk;
 
-    /** Creates a store on a disk, which may hold other files too. */
+    /** Creates a store on a disk, which may also hold other files. */
     public SnapshotStore(Disk disk) {
         this.disk = disk;
     }
 
     /**
-     * Reads the latest snapshot. An older one would be no substitute for it, as the log begins
-     * later.
+     * Reads the latest snapshot. Does not fall back to an older one, as the log starts after the
+     * latest.
      *
-     * @throws CorruptDataException if it can't be what was written
+     * @throws CorruptDataException if it is corrupt or of an unsupported version
      */
     public Optional<byte[]> latest() throws IOException {
         NavigableSet<String> names = NAMES.listFiles(disk);
@@ -35,7 +35,7 @@
     /**
      * Writes a snapshot, durable when this returns, then deletes those with lower numbers.
      *
-     * @throws OutOfSpaceException if the disk is full; the snapshot before is still there
+     * @throws OutOfSpaceException if the disk is full; the previous snapshot is unchanged
      */
     public void write(long number, byte[] content) throws IOException {
         String name = NAMES.of(number);
--- a/storage/src/test/java/embershift/storage/RecordLogTest.java
+++ b/storage/src/test/java/embershift/storage/RecordLogTest.java
@@ -15,10 +15,7 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/**
- * What is found again after writes that ended anywhere, and after what was written has been
- * changed.
- */
+/** Recovery of the log after incomplete writes and after corruption of stored data. */
 public class RecordLogTest {
 
     private static final long FILE_BYTES = 200;
@@ -53,7 +50,7 @@
         return recovery.records().size();
     }
 
-    /** The files of a disk, with one of them in place of what it was. */
+    /** Copies the files of a disk, with the content of one of them replaced. */
     private static MemoryDisk copyWithFile(Disk disk, String name, byte[] content)
             throws IOException {
         MemoryDisk copy = new MemoryDisk();
--- a/storage/src/test/java/embershift/storage/StoredFormatTest.java
+++ b/storage/src/test/java/embershift/storage/StoredFormatTest.java
@@ -12,9 +12,7 @@
 import java.util.TreeSet;
 import org.testng.annotations.Test;
 
-/**
- * The files of a directory stay, byte for byte, those that earlier versions wrote and will read.
- */
+/** Guards the format of stored files: they must stay byte for byte those of earlier versions. */
 public class StoredFormatTest {
 
     private static final String GOLDEN = "stored-format.txt";
@@ -69,7 +67,7 @@
         assertEquals(new SnapshotStore(disk).latest().orElseThrow(), body("state"));
     }
 
-    /** A directory of the system holds the same names and bytes, and its lock file. */
+    /** A file system directory has the same file names and contents, and a lock file. */
     @Test
     public void directoryHoldsTheSameFiles() throws IOException {
         Path path = Files.createTempDirectory("stored");
@@ -99,7 +97,7 @@
         assertEquals(Files.exists(path.resolve("identity.new")), false);
     }
 
-    /** The golden comparison is one: any byte that changes is seen. */
+    /** Any changed byte must fail the comparison with the golden samples. */
     @Test
     public void changedByteIsDetected() throws IOException {
         MemoryDisk disk = writeSampleFiles();
