--- a/hosted/src/main/java/embershift/hosted/OrderCommands.java
+++ b/hosted/src/main/java/embershift/hosted/AdminCommands.java
@@ -19,48 +19,51 @@
 import java.util.TreeMap;
 
 /** The administrator's commands on nodes, duties, revisions and releases. */
-final class OrderCommands {
+final class AdminCommands {
 
-    static final String LATEST = "rollout/latest";
+    static final String LATEST_REVISION_KEY = "rollout/latest";
 
-    private OrderCommands() {}
+    private AdminCommands() {}
 
     static Map<String, FleetCommands.Command> all() {
         Map<String, FleetCommands.Command> commands = new LinkedHashMap<>();
-        commands.put("nodes", new EachNode());
-        commands.put("duties", new EachDuty());
-        commands.put("duty-transfer", new HandOver());
-        commands.put("revise", new Revise());
-        commands.put("revisions", new Revisions());
-        commands.put("floor", new Floor());
-        commands.put("shut-out", new ShutOut());
-        commands.put("let-in", new LetIn());
-        commands.put("forget", new Forget());
-        commands.put("release", new Releases());
+        commands.put("nodes", new ListNodes());
+        commands.put("duties", new ListTasks());
+        commands.put("duty-transfer", new TransferTask());
+        commands.put("revise", new CreateRevision());
+        commands.put("revisions", new ListRevisions());
+        commands.put("floor", new RaiseFloor());
+        commands.put("shut-out", new ShutOutNode());
+        commands.put("let-in", new AdmitNode());
+        commands.put("forget", new ForgetNode());
+        commands.put("release", new ManageRelease());
         return commands;
     }
 
-    private static JsonNode item(RecordClient.Outcome outcome) {
+    private static JsonNode firstItem(StoreClient.Outcome outcome) {
         return outcome.answer().path("items").path(0);
     }
 
-    private static RecordClient.Outcome change(
-            RecordClient client,
-            List<Precondition> conditions,
-            List<Mutation> writes,
-            double within) {
-        return client.ask(RecordCaller.changes(conditions, writes), within);
+    private static StoreClient.Outcome transact(
+            StoreClient client,
+            List<Precondition> preconditions,
+            List<Mutation> mutations,
+            double timeoutSeconds) {
+        return client.call(
+                AsyncStoreClient.newTransaction(preconditions, mutations), timeoutSeconds);
     }
 
     @Parameters(commandDescription = "Each node as the owner of the rollout sees it")
-    private static final class EachNode extends FleetCommands.Steps {
+    private static final class ListNodes extends FleetCommands.MultiCallCommand {
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            RecordClient.Outcome names = list(client, Nodes.NODE);
-            RecordClient.Outcome states = names.done() ? list(client, RolloutDuty.STATE) : names;
-            RecordClient.Outcome outs = states.done() ? list(client, Nodes.OUT) : states;
-            if (!outs.done()) {
-                return outs;
+        StoreClient.Outcome execute(StoreClient client) {
+            StoreClient.Outcome names = listKeys(client, NodeConnections.NODE_PREFIX);
+            StoreClient.Outcome states =
+                    names.isDone() ? listKeys(client, RolloutTask.STATE_PREFIX) : names;
+            StoreClient.Outcome shutOuts =
+                    states.isDone() ? listKeys(client, NodeConnections.SHUT_OUT_PREFIX) : states;
+            if (!shutOuts.isDone()) {
+                return shutOuts;
             }
             ObjectNode answer = JsonMessages.node();
             Map<String, ObjectNode> rows = new TreeMap<>();
@@ -71,7 +74,8 @@
                                     rows.put(
                                             item.path("key")
                                                     .asText()
-                                                    .substring(Nodes.NODE.length()),
+                                                    .substring(
+                                                            NodeConnections.NODE_PREFIX.length()),
                                             JsonMessages.node()
                                                     .put(
                                                             "incarnation",
@@ -84,14 +88,15 @@
                                         rows.get(
                                                 item.path("key")
                                                         .asText()
-                                                        .substring(RolloutDuty.STATE.length()));
+                                                        .substring(
+                                                                RolloutTask.STATE_PREFIX.length()));
                                 if (row != null) {
                                     String[] parts = item.path("value").asText().split(" ", 2);
                                     row.put("state", parts[0])
                                             .put("why", parts.length > 1 ? parts[1] : "");
                                 }
                             });
-            outs.answer()
+            shutOuts.answer()
                     .path("items")
                     .forEach(
                             item -> {
@@ -99,17 +104,19 @@
                                         rows.get(
                                                 item.path("key")
                                                         .asText()
-                                                        .substring(Nodes.OUT.length()));
+                                                        .substring(
+                                                                NodeConnections.SHUT_OUT_PREFIX
+                                                                        .length()));
                                 if (row != null) {
                                     row.put("out", item.path("value").asText());
                                 }
                             });
             rows.forEach((name, row) -> answer.withArray("nodes").add(row.put("name", name)));
-            return new RecordClient.Outcome("done", answer);
+            return new StoreClient.Outcome("done", answer);
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             answer.path("nodes")
                     .forEach(
@@ -120,150 +127,158 @@
                                                     row.path("incarnation").asText(),
                                                     row.path("state").asText("UNKNOWN"),
                                                     row.path("why").asText(""))));
-            FleetCommands.table(List.of("NODE", "INCARNATION", "STATE", ""), rows);
+            FleetCommands.printTable(List.of("NODE", "INCARNATION", "STATE", ""), rows);
         }
     }
 
     @Parameters(commandDescription = "Who owns what, by which fence, and how far it is")
-    private static final class EachDuty extends FleetCommands.Steps {
+    private static final class ListTasks extends FleetCommands.MultiCallCommand {
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            return list(client, "duty/");
+        StoreClient.Outcome execute(StoreClient client) {
+            return listKeys(client, "duty/");
         }
 
         @Override
-        void print(ObjectNode answer) {
-            Map<String, Map<String, String>> duties = new TreeMap<>();
+        void printAnswer(ObjectNode answer) {
+            Map<String, Map<String, String>> tasks = new TreeMap<>();
             for (JsonNode item : answer.path("items")) {
                 String[] parts = item.path("key").asText().split("/");
-                Map<String, String> duty =
-                        duties.computeIfAbsent(parts[1], none -> new TreeMap<>());
-                duty.put(parts[2], item.path("value").asText());
+                Map<String, String> task = tasks.computeIfAbsent(parts[1], none -> new TreeMap<>());
+                task.put(parts[2], item.path("value").asText());
                 if (parts[2].equals("fence")) {
-                    duty.put("number", item.path("revision").asText());
+                    task.put("number", item.path("revision").asText());
                 }
             }
             List<List<String>> rows = new ArrayList<>();
-            duties.forEach(
-                    (name, duty) ->
+            tasks.forEach(
+                    (name, task) ->
                             rows.add(
                                     List.of(
                                             name,
-                                            duty.getOrDefault("owner", "nobody"),
-                                            duty.getOrDefault("number", ""),
-                                            duty.getOrDefault("progress", ""),
-                                            duty.getOrDefault("wanted", ""))));
-            FleetCommands.table(List.of("DUTY", "OWNER", "FENCE", "PROGRESS", "TO GO TO"), rows);
+                                            task.getOrDefault("owner", "nobody"),
+                                            task.getOrDefault("number", ""),
+                                            task.getOrDefault("progress", ""),
+                                            task.getOrDefault("wanted", ""))));
+            FleetCommands.printTable(
+                    List.of("DUTY", "OWNER", "FENCE", "PROGRESS", "TO GO TO"), rows);
         }
     }
 
     @Parameters(commandDescription = "DUTY INSTANCE: has this instance own a duty")
-    private static final class HandOver extends FleetCommands.Steps {
+    private static final class TransferTask extends FleetCommands.MultiCallCommand {
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            words(2, "duty-transfer DUTY INSTANCE");
-            TaskId duty = new TaskId(words.get(0));
-            RecordClient.Outcome fence = get(client, duty.tokenKey());
-            if (fence.done() && item(fence).isMissingNode()) {
-                return refused("no-duty", "nobody has ever owned " + duty.name());
+        StoreClient.Outcome execute(StoreClient client) {
+            requireArguments(2, "duty-transfer DUTY INSTANCE");
+            TaskId task = new TaskId(arguments.get(0));
+            StoreClient.Outcome token = getKey(client, task.tokenKey());
+            if (token.isDone() && firstItem(token).isMissingNode()) {
+                return refused("no-duty", "nobody has ever owned " + task.name());
             }
-            return fence.done()
-                    ? client.ask(
-                            RecordClient.put("duty/" + duty.name() + "/wanted", words.get(1), -1),
-                            within)
-                    : fence;
+            return token.isDone()
+                    ? client.call(
+                            StoreClient.newPut(
+                                    "duty/" + task.name() + "/wanted", arguments.get(1), -1),
+                            timeoutSeconds)
+                    : token;
         }
     }
 
     @Parameters(
             commandDescription =
                     "FIELD=VALUE ...: a new revision with these fields set: out/HOST, discovery, sockets, peers")
-    private static final class Revise extends FleetCommands.Steps {
+    private static final class CreateRevision extends FleetCommands.MultiCallCommand {
         @Parameter(names = "--remove", description = "Fields that go, set apart by commas")
-        String remove = "";
+        String removedFields = "";
 
         @Parameter(
                 names = "--back-to",
                 description = "Begin with what this revision said, not with the latest")
-        long backTo = -1;
+        long baseRevision = -1;
 
         @Parameter(names = "--now", description = "To all nodes at once, not to a few first")
-        boolean atOnce;
+        boolean isImmediate;
 
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            Map<String, String> changes = changes();
-            RecordClient.Outcome latest = get(client, LATEST);
-            if (!latest.done()) {
+        StoreClient.Outcome execute(StoreClient client) {
+            Map<String, String> changes = parseChanges();
+            StoreClient.Outcome latest = getKey(client, LATEST_REVISION_KEY);
+            if (!latest.isDone()) {
                 return latest;
             }
-            long number = item(latest).path("value").asLong();
-            RecordClient.Outcome last = get(client, ConfigRevision.key(number));
-            RecordClient.Outcome from =
-                    backTo >= 0 && last.done() ? get(client, ConfigRevision.key(backTo)) : last;
-            if (!from.done()) {
-                return from;
+            long number = firstItem(latest).path("value").asLong();
+            StoreClient.Outcome lastRevision = getKey(client, ConfigRevision.key(number));
+            StoreClient.Outcome base =
+                    baseRevision >= 0 && lastRevision.isDone()
+                            ? getKey(client, ConfigRevision.key(baseRevision))
+                            : lastRevision;
+            if (!base.isDone()) {
+                return base;
             }
-            ConfigRevision before =
+            ConfigRevision previous =
                     number == 0
                             ? ConfigRevision.NONE
-                            : ConfigRevision.decode(item(last).path("value").asText()).orElse(null);
+                            : ConfigRevision.decode(firstItem(lastRevision).path("value").asText())
+                                    .orElse(null);
             ConfigRevision content =
-                    backTo == 0 || (backTo < 0 && number == 0)
+                    baseRevision == 0 || (baseRevision < 0 && number == 0)
                             ? ConfigRevision.NONE
-                            : ConfigRevision.decode(item(from).path("value").asText()).orElse(null);
-            if (before == null || content == null) {
+                            : ConfigRevision.decode(firstItem(base).path("value").asText())
+                                    .orElse(null);
+            if (previous == null || content == null) {
                 return refused(
                         "no-revision",
-                        "the record has no revision " + (before == null ? number : backTo));
+                        "the record has no revision " + (previous == null ? number : baseRevision));
             }
-            Map<String, Optional<String>> all = new TreeMap<>(content.differenceFrom(before));
-            changes.forEach((field, value) -> all.put(field, Optional.ofNullable(value)));
-            ConfigRevision next = before.next(all);
+            Map<String, Optional<String>> differences =
+                    new TreeMap<>(content.differenceFrom(previous));
+            changes.forEach((field, value) -> differences.put(field, Optional.ofNullable(value)));
+            ConfigRevision next = previous.next(differences);
             if (next.findError().isPresent()) {
                 return refused("wrong", next.findError().get());
             }
-            if (next.contentDigest().equals(before.contentDigest())) {
+            if (next.contentDigest().equals(previous.contentDigest())) {
                 return refused("nothing-new", "revision " + number + " says so already");
             }
-            List<Mutation> writes =
+            List<Mutation> mutations =
                     new ArrayList<>(
                             List.of(
-                                    Mutation.put(LATEST, String.valueOf(next.number())),
+                                    Mutation.put(
+                                            LATEST_REVISION_KEY, String.valueOf(next.number())),
                                     Mutation.put(
                                             ConfigRevision.key(next.number()), next.encode())));
-            if (atOnce) {
-                writes.add(Mutation.put(RolloutDuty.NOW + next.number(), "1"));
+            if (isImmediate) {
+                mutations.add(Mutation.put(RolloutTask.IMMEDIATE_PREFIX + next.number(), "1"));
             }
-            RecordClient.Outcome made =
-                    change(
+            StoreClient.Outcome created =
+                    transact(
                             client,
                             List.of(
                                     new Precondition(
-                                            LATEST, item(latest).path("revision").asLong()),
+                                            LATEST_REVISION_KEY,
+                                            firstItem(latest).path("revision").asLong()),
                                     new Precondition(ConfigRevision.key(next.number()), 0)),
-                            writes,
-                            within);
-            return made.done()
-                    ? new RecordClient.Outcome("done", made.answer().put("made", next.number()))
-                    : made;
+                            mutations,
+                            timeoutSeconds);
+            return created.isDone()
+                    ? new StoreClient.Outcome("done", created.answer().put("made", next.number()))
+                    : created;
         }
 
-        private Map<String, String> changes() {
+        private Map<String, String> parseChanges() {
             Map<String, String> changes = new TreeMap<>();
-            for (String field : remove.split(",")) {
+            for (String field : removedFields.split(",")) {
                 if (!field.isEmpty()) {
                     changes.put(field, null);
                 }
             }
-            for (String word : words) {
-                int equals = word.indexOf('=');
+            for (String argument : arguments) {
+                int equals = argument.indexOf('=');
                 if (equals < 1) {
-                    throw new ParameterException("wanted: revise FIELD=VALUE ..., not " + word);
+                    throw new ParameterException("wanted: revise FIELD=VALUE ..., not " + argument);
                 }
-                changes.put(word.substring(0, equals), word.substring(equals + 1));
+                changes.put(argument.substring(0, equals), argument.substring(equals + 1));
             }
-            if (changes.isEmpty() && backTo < 0) {
+            if (changes.isEmpty() && baseRevision < 0) {
                 throw new ParameterException(
                         "wanted: revise FIELD=VALUE ..., --remove or --back-to");
             }
@@ -271,23 +286,24 @@
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             System.out.println("made revision " + answer.path("made").asText());
         }
     }
 
     @Parameters(
             commandDescription = "The revisions of the fleet's orders, and how far the last one is")
-    private static final class Revisions extends FleetCommands.Steps {
+    private static final class ListRevisions extends FleetCommands.MultiCallCommand {
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            RecordClient.Outcome all = list(client, RolloutDuty.REVISION);
-            RecordClient.Outcome stage = all.done() ? list(client, "rollout/") : all;
-            if (!stage.done()) {
+        StoreClient.Outcome execute(StoreClient client) {
+            StoreClient.Outcome revisions = listKeys(client, RolloutTask.REVISION_PREFIX);
+            StoreClient.Outcome stage =
+                    revisions.isDone() ? listKeys(client, "rollout/") : revisions;
+            if (!stage.isDone()) {
                 return stage;
             }
             ObjectNode answer = JsonMessages.node();
-            for (JsonNode item : all.answer().path("items")) {
+            for (JsonNode item : revisions.answer().path("items")) {
                 ConfigRevision revision =
                         ConfigRevision.decode(item.path("value").asText()).orElse(null);
                 if (revision != null) {
@@ -306,11 +322,11 @@
                                     answer.put(
                                             item.path("key").asText(),
                                             item.path("value").asText()));
-            return new RecordClient.Outcome("done", answer);
+            return new StoreClient.Outcome("done", answer);
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             answer.path("revisions")
                     .forEach(
@@ -320,173 +336,183 @@
                                                     row.path("number").asText(),
                                                     row.path("chain").asText().substring(0, 8),
                                                     row.path("fields").toString())));
-            FleetCommands.table(List.of("REVISION", "CHAIN", "FIELDS"), rows);
+            FleetCommands.printTable(List.of("REVISION", "CHAIN", "FIELDS"), rows);
             System.out.println(
                     "rollout: "
-                            + answer.path(RolloutDuty.STAGE).asText("not begun")
+                            + answer.path(RolloutTask.STAGE_KEY).asText("not begun")
                             + "; floor "
-                            + answer.path(RolloutDuty.FLOOR).asText("0"));
+                            + answer.path(RolloutTask.FLOOR_KEY).asText("0"));
         }
     }
 
     @Parameters(
             commandDescription =
                     "REVISION: the least on which any node may act for the fleet; only up")
-    private static final class Floor extends FleetCommands.Steps {
+    private static final class RaiseFloor extends FleetCommands.MultiCallCommand {
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            words(1, "floor REVISION");
-            RecordClient.Outcome now = get(client, RolloutDuty.FLOOR);
-            RecordClient.Outcome latest = now.done() ? get(client, LATEST) : now;
-            if (!latest.done()) {
+        StoreClient.Outcome execute(StoreClient client) {
+            requireArguments(1, "floor REVISION");
+            StoreClient.Outcome floor = getKey(client, RolloutTask.FLOOR_KEY);
+            StoreClient.Outcome latest =
+                    floor.isDone() ? getKey(client, LATEST_REVISION_KEY) : floor;
+            if (!latest.isDone()) {
                 return latest;
             }
-            if (!words.get(0).matches("\\d{1,18}")
-                    || Long.parseLong(words.get(0)) < item(now).path("value").asLong()
-                    || Long.parseLong(words.get(0)) > item(latest).path("value").asLong()) {
+            if (!arguments.get(0).matches("\\d{1,18}")
+                    || Long.parseLong(arguments.get(0)) < firstItem(floor).path("value").asLong()
+                    || Long.parseLong(arguments.get(0))
+                            > firstItem(latest).path("value").asLong()) {
                 return refused(
                         "wrong",
                         "a floor is a revision that there is, not below "
-                                + item(now).path("value").asLong());
+                                + firstItem(floor).path("value").asLong());
             }
-            return client.ask(
-                    RecordClient.put(
-                            RolloutDuty.FLOOR, words.get(0), item(now).path("revision").asLong()),
-                    within);
+            return client.call(
+                    StoreClient.newPut(
+                            RolloutTask.FLOOR_KEY,
+                            arguments.get(0),
+                            firstItem(floor).path("revision").asLong()),
+                    timeoutSeconds);
         }
     }
 
     @Parameters(
             commandDescription =
                     "NODE WHY: this process of it may not act for the fleet any more, and leaves")
-    private static final class ShutOut extends FleetCommands.Steps {
+    private static final class ShutOutNode extends FleetCommands.MultiCallCommand {
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            if (words.isEmpty()) {
+        StoreClient.Outcome execute(StoreClient client) {
+            if (arguments.isEmpty()) {
                 throw new ParameterException("wanted: shut-out NODE WHY");
             }
-            RecordClient.Outcome node = get(client, Nodes.NODE + words.get(0));
-            if (node.done() && item(node).isMissingNode()) {
-                return refused("no-node", "there is no node " + words.get(0));
+            StoreClient.Outcome node =
+                    getKey(client, NodeConnections.NODE_PREFIX + arguments.get(0));
+            if (node.isDone() && firstItem(node).isMissingNode()) {
+                return refused("no-node", "there is no node " + arguments.get(0));
             }
-            return !node.done()
+            return !node.isDone()
                     ? node
-                    : client.ask(
-                            RecordClient.put(
-                                    Nodes.OUT + words.get(0),
-                                    item(node).path("revision").asLong()
+                    : client.call(
+                            StoreClient.newPut(
+                                    NodeConnections.SHUT_OUT_PREFIX + arguments.get(0),
+                                    firstItem(node).path("revision").asLong()
                                             + " by-hand "
-                                            + String.join(" ", words.subList(1, words.size())),
+                                            + String.join(
+                                                    " ", arguments.subList(1, arguments.size())),
                                     -1),
-                            within);
+                            timeoutSeconds);
         }
     }
 
     @Parameters(commandDescription = "NODE: may act for the fleet again")
-    private static final class LetIn extends FleetCommands.Command {
+    private static final class AdmitNode extends FleetCommands.Command {
         @Override
-        ObjectNode call() {
-            words(1, "let-in NODE");
-            return RecordClient.put(Nodes.OUT + words.get(0), null, -1);
+        ObjectNode newCall() {
+            requireArguments(1, "let-in NODE");
+            return StoreClient.newPut(NodeConnections.SHUT_OUT_PREFIX + arguments.get(0), null, -1);
         }
     }
 
     @Parameters(
             commandDescription =
                     "NODE: there is no such node any more; one that comes again has a name again")
-    private static final class Forget extends FleetCommands.Steps {
+    private static final class ForgetNode extends FleetCommands.MultiCallCommand {
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            words(1, "forget NODE");
-            String name = words.get(0);
-            RecordClient.Outcome node = get(client, Nodes.NODE + name);
-            if (!node.done()) {
+        StoreClient.Outcome execute(StoreClient client) {
+            requireArguments(1, "forget NODE");
+            String name = arguments.get(0);
+            StoreClient.Outcome node = getKey(client, NodeConnections.NODE_PREFIX + name);
+            if (!node.isDone()) {
                 return node;
             }
-            return item(node).isMissingNode()
+            return firstItem(node).isMissingNode()
                     ? refused("no-node", "there is no node " + name)
-                    : change(
+                    : transact(
                             client,
                             List.of(
                                     new Precondition(
-                                            Nodes.NODE + name,
-                                            item(node).path("revision").asLong())),
+                                            NodeConnections.NODE_PREFIX + name,
+                                            firstItem(node).path("revision").asLong())),
                             List.of(
-                                    Mutation.delete(Nodes.NODE + name),
-                                    Mutation.delete(Nodes.OUT + name),
-                                    Mutation.delete(RolloutDuty.STATE + name)),
-                            within);
+                                    Mutation.delete(NodeConnections.NODE_PREFIX + name),
+                                    Mutation.delete(NodeConnections.SHUT_OUT_PREFIX + name),
+                                    Mutation.delete(RolloutTask.STATE_PREFIX + name)),
+                            timeoutSeconds);
         }
     }
 
     @Parameters(
             commandDescription =
                     "start NAME PART ... | show | go | pause | abort: hosts and nodes started anew in steps")
-    private static final class Releases extends FleetCommands.Steps {
+    private static final class ManageRelease extends FleetCommands.MultiCallCommand {
         @Parameter(names = "--size", description = "Parts that may be away at one time")
-        int size = 1;
+        int maxUnavailable = 1;
 
         @Parameter(
                 names = "--service",
                 description = "Share of tunnels that must be opened of those not declined")
-        double service = 0.9;
+        double minServiceRate = 0.9;
 
         @Parameter(
                 names = "--warm",
                 description = "Seconds that a part serves before it counts as back")
-        double warm = 5;
+        double warmUpSeconds = 5;
 
         @Parameter(
                 names = "--patience",
                 description = "Seconds without progress after which it pauses by itself")
-        double patience = 60;
+        double patienceSeconds = 60;
 
         @Override
-        RecordClient.Outcome run(RecordClient client) {
-            String what = words.isEmpty() ? "" : words.get(0);
-            return switch (what) {
+        StoreClient.Outcome execute(StoreClient client) {
+            String action = arguments.isEmpty() ? "" : arguments.get(0);
+            return switch (action) {
                 case "start" -> start(client);
-                case "show" -> list(client, "release/");
+                case "show" -> listKeys(client, "release/");
                 case "go", "pause", "abort" ->
-                        client.ask(
-                                RecordClient.put(RollingRestartPlan.INTENT_KEY, what, -1), within);
+                        client.call(
+                                StoreClient.newPut(RollingRestartPlan.INTENT_KEY, action, -1),
+                                timeoutSeconds);
                 default ->
                         throw new ParameterException(
                                 "wanted: release start NAME host:H|node:N ..., show, go, pause or abort");
             };
         }
 
-        private RecordClient.Outcome start(RecordClient client) {
-            List<RollingRestartPlan.Target> parts = new ArrayList<>();
-            for (String word : words.subList(Math.min(2, words.size()), words.size())) {
-                if (!word.matches("(host|node):.+")) {
-                    throw new ParameterException("a part is host:NAME or node:NAME, not " + word);
+        private StoreClient.Outcome start(StoreClient client) {
+            List<RollingRestartPlan.Target> targets = new ArrayList<>();
+            for (String argument :
+                    arguments.subList(Math.min(2, arguments.size()), arguments.size())) {
+                if (!argument.matches("(host|node):.+")) {
+                    throw new ParameterException(
+                            "a part is host:NAME or node:NAME, not " + argument);
                 }
-                parts.add(
-                        new RollingRestartPlan.Target(word.startsWith("node:"), word.substring(5)));
+                targets.add(
+                        new RollingRestartPlan.Target(
+                                argument.startsWith("node:"), argument.substring(5)));
             }
             RollingRestartPlan plan =
                     new RollingRestartPlan(
-                            words.size() > 1 ? words.get(1) : "",
-                            size,
-                            service,
-                            warm,
-                            patience,
-                            parts);
+                            arguments.size() > 1 ? arguments.get(1) : "",
+                            maxUnavailable,
+                            minServiceRate,
+                            warmUpSeconds,
+                            patienceSeconds,
+                            targets);
             if (plan.findError().isPresent()) {
                 throw new ParameterException(plan.findError().get());
             }
-            RecordClient.Outcome before = list(client, "release/");
-            if (!before.done()) {
-                return before;
+            StoreClient.Outcome stored = listKeys(client, "release/");
+            if (!stored.isDone()) {
+                return stored;
             }
             long revision = 0;
-            for (JsonNode item : before.answer().path("items")) {
+            for (JsonNode item : stored.answer().path("items")) {
                 String value = item.path("value").asText();
                 if (item.path("key").asText().equals(RollingRestartPlan.KEY)) {
                     revision = item.path("revision").asLong();
-                    RollingRestartPlan old = RollingRestartPlan.decode(value).orElse(null);
-                    if (old != null && old.name().equals(plan.name())) {
+                    RollingRestartPlan storedPlan = RollingRestartPlan.decode(value).orElse(null);
+                    if (storedPlan != null && storedPlan.name().equals(plan.name())) {
                         return refused(
                                 "name",
                                 "a release "
@@ -495,7 +521,7 @@
                     }
                 }
             }
-            return change(
+            return transact(
                     client,
                     List.of(new Precondition(RollingRestartPlan.KEY, revision)),
                     List.of(
@@ -504,11 +530,11 @@
                             Mutation.put(
                                     RollingRestartPlan.STATE_KEY,
                                     plan.name() + " waits for an owner")),
-                    within);
+                    timeoutSeconds);
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             answer.path("items")
                     .forEach(
                             item ->
--- a/hosted/src/main/java/embershift/hosted/RecordCaller.java
+++ b/hosted/src/main/java/embershift/hosted/AsyncStoreClient.java
@@ -22,76 +22,79 @@
  * Asks the record for one that may not wait: calls go out one after the other from a thread of its
  * own, answers come back where it lives.
  */
-public final class RecordCaller implements AutoCloseable {
+public final class AsyncStoreClient implements AutoCloseable {
 
-    private final ExecutorService thread;
-    private final RecordClient client;
-    private final Executor back;
+    private final ExecutorService executor;
+    private final StoreClient client;
+    private final Executor callbackExecutor;
 
     /** {@code addresses}: where the instances are now; {@code back}: on which answers are heard. */
-    public RecordCaller(Supplier<List<InetSocketAddress>> addresses, String name, Executor back) {
-        this.back = back;
-        client = new RecordClient(addresses, name);
-        thread =
+    public AsyncStoreClient(
+            Supplier<List<InetSocketAddress>> addresses, String name, Executor callbackExecutor) {
+        this.callbackExecutor = callbackExecutor;
+        client = new StoreClient(addresses, name);
+        executor =
                 Executors.newSingleThreadExecutor(
                         task -> {
-                            Thread made = new Thread(null, task, "record " + name, 256 << 10);
-                            made.setDaemon(true);
-                            return made;
+                            Thread thread = new Thread(null, task, "record " + name, 256 << 10);
+                            thread.setDaemon(true);
+                            return thread;
                         });
     }
 
-    public void ask(ObjectNode call, double within, Consumer<RecordClient.Outcome> heard) {
+    public void call(
+            ObjectNode call, double timeoutSeconds, Consumer<StoreClient.Outcome> listener) {
         try {
-            thread.execute(
+            executor.execute(
                     () -> {
-                        RecordClient.Outcome outcome = client.ask(call, within);
-                        back.execute(() -> heard.accept(outcome));
+                        StoreClient.Outcome outcome = client.call(call, timeoutSeconds);
+                        callbackExecutor.execute(() -> listener.accept(outcome));
                     });
         } catch (RejectedExecutionException e) {
             // It is closed: nobody waits any more.
         }
     }
 
-    public void ask(StoreCommand command, double within, Consumer<CallResult> heard) {
-        ask(
-                json(command),
-                within,
+    public void call(StoreCommand command, double timeoutSeconds, Consumer<CallResult> listener) {
+        call(
+                toCall(command),
+                timeoutSeconds,
                 outcome ->
-                        heard.accept(
-                                outcome.done()
+                        listener.accept(
+                                outcome.isDone()
                                         ? new CallResult.Done(
                                                 outcome.answer().path("number").asLong())
-                                        : outcome.unknown()
+                                        : outcome.isUnknown()
                                                 ? new CallResult.Unknown(outcome.text())
                                                 : new CallResult.Rejected(
-                                                        reason(outcome.reason()), outcome.text())));
+                                                        parseReason(outcome.reason()),
+                                                        outcome.text())));
     }
 
     /** Renews a session; neither is run where no answer comes, or another one. */
     public void renewSession(
-            SessionId session, double withinSeconds, Runnable renewed, Runnable ended) {
-        ask(
-                RecordClient.call("renew").put("session", session.number()),
-                withinSeconds,
+            SessionId session, double timeoutSeconds, Runnable onRenewed, Runnable onEnded) {
+        call(
+                StoreClient.newCall("renew").put("session", session.number()),
+                timeoutSeconds,
                 outcome -> {
-                    if (outcome.done()) {
-                        renewed.run();
+                    if (outcome.isDone()) {
+                        onRenewed.run();
                     } else if (outcome.reason().equals("no-session")) {
-                        ended.run();
+                        onEnded.run();
                     }
                 });
     }
 
     /** Reads a key's value, empty where it has none; nothing is heard where no answer comes. */
-    public void readValue(String key, double withinSeconds, Consumer<Optional<String>> heard) {
-        ask(
-                RecordClient.call("get").put("key", key),
-                withinSeconds,
+    public void readValue(String key, double timeoutSeconds, Consumer<Optional<String>> listener) {
+        call(
+                StoreClient.newCall("get").put("key", key),
+                timeoutSeconds,
                 outcome -> {
-                    if (outcome.done()) {
+                    if (outcome.isDone()) {
                         JsonNode item = outcome.answer().path("items").path(0);
-                        heard.accept(
+                        listener.accept(
                                 item.isMissingNode()
                                         ? Optional.empty()
                                         : Optional.of(item.path("value").asText()));
@@ -99,40 +102,44 @@
                 });
     }
 
-    private static CallResult.Reason reason(String written) {
+    private static CallResult.Reason parseReason(String wireName) {
         for (CallResult.Reason reason : CallResult.Reason.values()) {
-            if (reason.wireName().equals(written)) {
+            if (reason.wireName().equals(wireName)) {
                 return reason;
             }
         }
         return CallResult.Reason.BUSY;
     }
 
-    private static ObjectNode json(StoreCommand command) {
+    private static ObjectNode toCall(StoreCommand command) {
         if (command instanceof StoreCommand.OpenSession open) {
-            return RecordClient.call("open")
+            return StoreClient.newCall("open")
                     .put("client", open.client())
                     .put("seconds", open.timeoutSeconds());
         }
         if (command instanceof StoreCommand.EndSession end) {
-            return RecordClient.call("end").put("session", end.session().number());
+            return StoreClient.newCall("end").put("session", end.session().number());
         }
         StoreCommand.Transaction change = (StoreCommand.Transaction) command;
-        return changes(change.preconditions(), change.mutations())
+        return newTransaction(change.preconditions(), change.mutations())
                 .put("session", change.session().number())
                 .put("number", change.sequenceNumber())
                 .put("open", change.oldestOpenNumber());
     }
 
     /** A change that the client gives a session and a number. */
-    public static ObjectNode changes(List<Precondition> conditions, List<Mutation> all) {
-        ObjectNode call = RecordClient.call("change");
-        ArrayNode asked = call.putArray("conditions");
-        for (Precondition condition : conditions) {
-            asked.addObject().put("key", condition.key()).put("revision", condition.revision());
+    public static ObjectNode newTransaction(
+            List<Precondition> preconditions, List<Mutation> mutations) {
+        ObjectNode call = StoreClient.newCall("change");
+        ArrayNode conditions = call.putArray("conditions");
+        for (Precondition condition : preconditions) {
+            conditions
+                    .addObject()
+                    .put("key", condition.key())
+                    .put("revision", condition.revision());
         }
         ArrayNode writes = call.putArray("writes");
-        for (Mutation write : all) {
+        for (Mutation write : mutations) {
             writes.addObject()
                     .put("key", write.key())
                     .put("value", write.value().orElse(null))
@@ -143,6 +150,6 @@
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/hosted/src/main/java/embershift/hosted/AuditPicture.java
+++ b/hosted/src/main/java/embershift/hosted/AuditChart.java
@@ -10,25 +10,25 @@
  * An audit as a picture: time across, nodes down, one colour a revision, what is not known hatched,
  * starts and ends marked.
  */
-final class AuditPicture {
+final class AuditChart {
 
     private static final int WIDTH = 1000;
-    private static final int LEFT = 110;
-    private static final int ROW = 22;
+    private static final int LABEL_WIDTH = 110;
+    private static final int ROW_HEIGHT = 22;
 
-    private AuditPicture() {}
+    private AuditChart() {}
 
-    static String of(AuditReport audit) {
+    static String render(AuditReport audit) {
         long from = Long.MAX_VALUE;
         long to = Long.MIN_VALUE;
-        for (RevisionPeriod spell : audit.periods()) {
-            from = Math.min(from, spell.from().millis());
-            to = Math.max(to, spell.end().millis());
+        for (RevisionPeriod period : audit.periods()) {
+            from = Math.min(from, period.from().millis());
+            to = Math.max(to, period.end().millis());
         }
         List<String> nodes = new ArrayList<>(audit.nodes());
         long begin = from;
-        double scale = to <= from ? 0 : (double) (WIDTH - LEFT - 10) / (to - from);
-        StringBuilder out =
+        double scale = to <= from ? 0 : (double) (WIDTH - LABEL_WIDTH - 10) / (to - from);
+        StringBuilder svg =
                 new StringBuilder(
                         String.format(
                                 Locale.ROOT,
@@ -36,43 +36,43 @@
                                         + "height=\"%d\" font-family=\"sans-serif\" font-size=\"12\">%n<defs><pattern id=\"gap\" width=\"6\" height=\"6\" "
                                         + "patternUnits=\"userSpaceOnUse\"><path d=\"M0 6L6 0\" stroke=\"#444\"/></pattern></defs>%n",
                                 WIDTH,
-                                ROW * (nodes.size() + 2)));
+                                ROW_HEIGHT * (nodes.size() + 2)));
         for (int i = 0; i < nodes.size(); i++) {
-            int y = ROW * (i + 1);
-            out.append(
+            int y = ROW_HEIGHT * (i + 1);
+            svg.append(
                     String.format(
                             Locale.ROOT,
                             "<text x=\"4\" y=\"%d\">%s</text>%n",
                             y + 14,
                             nodes.get(i)));
-            for (RevisionPeriod spell : audit.periods()) {
-                if (!spell.node().equals(nodes.get(i))) {
+            for (RevisionPeriod period : audit.periods()) {
+                if (!period.node().equals(nodes.get(i))) {
                     continue;
                 }
-                double x = LEFT + (spell.from().millis() - begin) * scale;
-                double end = LEFT + (spell.end().millis() - begin) * scale;
+                double x = LABEL_WIDTH + (period.from().millis() - begin) * scale;
+                double end = LABEL_WIDTH + (period.end().millis() - begin) * scale;
                 String title =
                         "revision "
-                                + spell.revision()
+                                + period.revision()
                                 + ", incarnation "
-                                + spell.incarnation()
+                                + period.incarnation()
                                 + ", opened "
-                                + spell.opened()
+                                + period.opened()
                                 + ", declined "
-                                + spell.declined()
+                                + period.declined()
                                 + ", failed "
-                                + spell.failed();
-                out.append(rect(x, end, y, colour(spell.revision()), title));
-                if (!spell.isComplete()) {
-                    out.append(rect(x, end, y, "url(#gap)", title + ", entries are missing"));
+                                + period.failed();
+                svg.append(rectangle(x, end, y, colour(period.revision()), title));
+                if (!period.isComplete()) {
+                    svg.append(rectangle(x, end, y, "url(#gap)", title + ", entries are missing"));
                 }
-                if (spell.to().isEmpty() && end < WIDTH - 11) {
-                    out.append(rect(end, WIDTH - 10, y, "url(#gap)", "nothing is told"));
+                if (period.to().isEmpty() && end < WIDTH - 11) {
+                    svg.append(rectangle(end, WIDTH - 10, y, "url(#gap)", "nothing is told"));
                 }
             }
         }
         for (AuditReport.NodeEntry each : audit.entriesBetween(0, Long.MAX_VALUE)) {
-            String mark =
+            String markColour =
                     switch (each.entry().kind()) {
                         case STARTED -> "#0a0";
                         case ENDS -> "#888";
@@ -80,44 +80,44 @@
                         case REFUSED -> "#e80";
                         default -> null;
                     };
-            if (mark != null) {
-                int y = ROW * (nodes.indexOf(each.node()) + 1);
-                out.append(
+            if (markColour != null) {
+                int y = ROW_HEIGHT * (nodes.indexOf(each.node()) + 1);
+                svg.append(
                         String.format(
                                 Locale.ROOT,
                                 "<circle cx=\"%.1f\" cy=\"%d\" r=\"4\" fill=\"%s\"><title>%s</title></circle>%n",
-                                LEFT + (each.entry().at().millis() - begin) * scale,
+                                LABEL_WIDTH + (each.entry().at().millis() - begin) * scale,
                                 y + 10,
-                                mark,
-                                escaped(each.entry().encode())));
+                                markColour,
+                                escape(each.entry().encode())));
             }
         }
         if (to > from) {
-            out.append(
+            svg.append(
                     String.format(
                             Locale.ROOT,
                             "<text x=\"%d\" y=\"%d\">%s</text><text x=\"%d\" y=\"%d\" text-anchor=\"end\">%s"
                                     + "</text>%n",
-                            LEFT,
-                            ROW * (nodes.size() + 2) - 8,
-                            AuditCommand.time(from),
+                            LABEL_WIDTH,
+                            ROW_HEIGHT * (nodes.size() + 2) - 8,
+                            AuditCommand.formatTime(from),
                             WIDTH - 10,
-                            ROW * (nodes.size() + 2) - 8,
-                            AuditCommand.time(to)));
+                            ROW_HEIGHT * (nodes.size() + 2) - 8,
+                            AuditCommand.formatTime(to)));
         }
-        return out.append("</svg>\n").toString();
+        return svg.append("</svg>\n").toString();
     }
 
-    private static String rect(double x, double end, int y, String fill, String title) {
+    private static String rectangle(double x, double end, int y, String fill, String title) {
         return String.format(
                 Locale.ROOT,
                 "<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"><title>%s</title></rect>%n",
                 x,
                 y,
                 Math.max(1, end - x),
-                ROW - 4,
+                ROW_HEIGHT - 4,
                 fill,
-                escaped(title));
+                escape(title));
     }
 
     /** Revisions that follow one another are far apart in hue. */
@@ -125,7 +125,7 @@
         return revision == 0 ? "#ddd" : "hsl(" + revision * 137 % 360 + ",60%,65%)";
     }
 
-    private static String escaped(String text) {
+    private static String escape(String text) {
         return text.replace("&", "&amp;").replace("<", "&lt;").replace("\"", "&quot;");
     }
 }
--- a/hosted/src/main/java/embershift/hosted/AuditCommand.java
+++ b/hosted/src/main/java/embershift/hosted/AuditCommand.java
@@ -26,7 +26,7 @@
 @Parameters(
         commandDescription =
                 "Which node acted on which version: --node N --at TIME, --revision R, --between A,B, --host H, --verify")
-final class AuditCommand extends FleetCommands.Steps {
+final class AuditCommand extends FleetCommands.MultiCallCommand {
 
     @Parameter(names = "--node", description = "Of this node only")
     String node = "";
@@ -43,7 +43,7 @@
     long revision = -1;
 
     @Parameter(names = "--between", description = "Entries between two times, as FROM,TO")
-    String between = "";
+    String timeRange = "";
 
     @Parameter(
             names = "--host",
@@ -54,17 +54,17 @@
     @Parameter(
             names = "--verify",
             description = "Whether the trails are whole: chains, gaps, what is told twice")
-    boolean verify;
+    boolean isVerify;
 
     @Parameter(
             names = "--picture",
             description =
                     "File for a picture (SVG): time across, nodes down, one colour a revision")
-    String picture = "";
+    String chartFile = "";
 
-    private List<String> heads = List.of();
+    private List<String> header = List.of();
 
-    static long millis(String text) {
+    static long parseMillis(String text) {
         try {
             return text.matches("\\d{1,15}")
                     ? Long.parseLong(text)
@@ -75,22 +75,22 @@
         }
     }
 
-    static String time(long millis) {
+    static String formatTime(long millis) {
         return Instant.ofEpochMilli(millis).toString();
     }
 
     @Override
-    RecordClient.Outcome run(RecordClient client) {
-        String[] times = between.split(",");
-        if (!between.isEmpty() && times.length != 2) {
+    StoreClient.Outcome execute(StoreClient client) {
+        String[] times = timeRange.split(",");
+        if (!timeRange.isEmpty() && times.length != 2) {
             throw new ParameterException("--between takes FROM,TO");
         }
-        long at = atTime.isEmpty() ? System.currentTimeMillis() : millis(atTime);
-        RecordClient.Outcome nodes = list(client, Nodes.NODE);
-        RecordClient.Outcome folded =
-                nodes.done() ? list(client, AuditCheckpoint.KEY_PREFIX) : nodes;
-        if (!folded.done()) {
-            return folded;
+        long at = atTime.isEmpty() ? System.currentTimeMillis() : parseMillis(atTime);
+        StoreClient.Outcome nodes = listKeys(client, NodeConnections.NODE_PREFIX);
+        StoreClient.Outcome checkpoints =
+                nodes.isDone() ? listKeys(client, AuditCheckpoint.KEY_PREFIX) : nodes;
+        if (!checkpoints.isDone()) {
+            return checkpoints;
         }
         Map<String, Long> registered = new TreeMap<>();
         nodes.answer()
@@ -98,30 +98,35 @@
                 .forEach(
                         item ->
                                 registered.put(
-                                        item.path("key").asText().substring(Nodes.NODE.length()),
+                                        item.path("key")
+                                                .asText()
+                                                .substring(NodeConnections.NODE_PREFIX.length()),
                                         item.path("revision").asLong()));
-        Map<String, String> begins = new TreeMap<>();
-        folded.answer()
+        Map<String, String> checkpointTexts = new TreeMap<>();
+        checkpoints
+                .answer()
                 .path("items")
                 .forEach(
-                        item -> begins.put(item.path("key").asText(), item.path("value").asText()));
-        List<String> texts = new ArrayList<>();
+                        item ->
+                                checkpointTexts.put(
+                                        item.path("key").asText(), item.path("value").asText()));
+        List<String> segments = new ArrayList<>();
         for (String each : node.isEmpty() ? registered.keySet() : List.of(node)) {
             // One node's at a time: all of them would not go into one answer.
-            RecordClient.Outcome trail = list(client, "trail/" + each + "/");
-            if (!trail.done()) {
+            StoreClient.Outcome trail = listKeys(client, "trail/" + each + "/");
+            if (!trail.isDone()) {
                 return trail;
             }
-            trail.answer().path("items").forEach(item -> texts.add(item.path("value").asText()));
+            trail.answer().path("items").forEach(item -> segments.add(item.path("value").asText()));
         }
-        AuditReport audit = new AuditReport(texts, registered, begins);
+        AuditReport audit = new AuditReport(segments, registered, checkpointTexts);
         ObjectNode answer = JsonMessages.node();
         ArrayNode rows = answer.putArray("rows");
-        if (verify) {
-            heads = List.of("PROBLEM");
+        if (isVerify) {
+            header = List.of("PROBLEM");
             audit.problems().forEach(problem -> rows.addArray().add(problem));
         } else if (revision >= 0) {
-            heads =
+            header =
                     List.of(
                             "NODE",
                             "INCARNATION",
@@ -131,47 +136,50 @@
                             "DECLINED",
                             "FAILED",
                             "");
-            who(audit, rows);
-        } else if (!between.isEmpty()) {
-            heads = List.of("TIME", "NODE", "WHAT");
-            entries(audit.entriesBetween(millis(times[0]), millis(times[1])), rows);
+            addUsers(audit, rows);
+        } else if (!timeRange.isEmpty()) {
+            header = List.of("TIME", "NODE", "WHAT");
+            addEntries(audit.entriesBetween(parseMillis(times[0]), parseMillis(times[1])), rows);
         } else if (!host.isEmpty()) {
-            heads = List.of("TIME", "NODE", "WHAT");
-            entries(audit.entriesAbout(host), rows);
+            header = List.of("TIME", "NODE", "WHAT");
+            addEntries(audit.entriesAbout(host), rows);
         } else {
-            heads = List.of("NODE", "REVISION", "HOW THAT IS KNOWN");
+            header = List.of("NODE", "REVISION", "HOW THAT IS KNOWN");
             for (String each : node.isEmpty() ? audit.nodes() : List.of(node)) {
-                AuditReport.RevisionInForce then = audit.revisionAt(each, at);
+                AuditReport.RevisionInForce inForce = audit.revisionAt(each, at);
                 rows.addArray()
                         .add(each)
-                        .add(then.revision().map(String::valueOf).orElse("?"))
-                        .add(then.evidence());
+                        .add(inForce.revision().map(String::valueOf).orElse("?"))
+                        .add(inForce.evidence());
             }
         }
-        if (!picture.isEmpty()) {
+        if (!chartFile.isEmpty()) {
             try {
-                Files.writeString(Path.of(picture), AuditPicture.of(audit), StandardCharsets.UTF_8);
+                Files.writeString(
+                        Path.of(chartFile), AuditChart.render(audit), StandardCharsets.UTF_8);
             } catch (IOException e) {
-                return refused("picture", picture + " can't be written: " + e.getMessage());
+                return refused("picture", chartFile + " can't be written: " + e.getMessage());
             }
         }
-        return new RecordClient.Outcome("done", answer);
+        return new StoreClient.Outcome("done", answer);
     }
 
-    private void who(AuditReport audit, ArrayNode rows) {
-        AuditReport.RevisionUsers who = audit.usersOf(revision);
-        for (RevisionPeriod spell : who.used()) {
+    private void addUsers(AuditReport audit, ArrayNode rows) {
+        AuditReport.RevisionUsers users = audit.usersOf(revision);
+        for (RevisionPeriod period : users.used()) {
             rows.addArray()
-                    .add(spell.node())
-                    .add(String.valueOf(spell.incarnation()))
-                    .add(time(spell.from().millis()))
-                    .add((spell.to().isPresent() ? "" : "at least ") + time(spell.end().millis()))
-                    .add(String.valueOf(spell.opened()))
-                    .add(String.valueOf(spell.declined()))
-                    .add(String.valueOf(spell.failed()))
-                    .add(spell.isComplete() ? "" : "entries are missing");
+                    .add(period.node())
+                    .add(String.valueOf(period.incarnation()))
+                    .add(formatTime(period.from().millis()))
+                    .add(
+                            (period.to().isPresent() ? "" : "at least ")
+                                    + formatTime(period.end().millis()))
+                    .add(String.valueOf(period.opened()))
+                    .add(String.valueOf(period.declined()))
+                    .add(String.valueOf(period.failed()))
+                    .add(period.isComplete() ? "" : "entries are missing");
         }
-        who.mayHaveUsed()
+        users.mayHaveUsed()
                 .forEach(
                         (name, why) ->
                                 rows.addArray()
@@ -183,7 +191,7 @@
                                         .add("")
                                         .add("")
                                         .add("may have: " + why));
-        who.neverUsed()
+        users.neverUsed()
                 .forEach(
                         name ->
                                 rows.addArray()
@@ -197,36 +205,38 @@
                                         .add("never"));
     }
 
-    private static void entries(List<AuditReport.NodeEntry> entries, ArrayNode rows) {
+    private static void addEntries(List<AuditReport.NodeEntry> entries, ArrayNode rows) {
         for (AuditReport.NodeEntry each : entries) {
             AuditEntry entry = each.entry();
             String kind = entry.kind().name();
             rows.addArray()
-                    .add(time(entry.at().millis()))
+                    .add(formatTime(entry.at().millis()))
                     .add(each.node())
                     .add(kind + entry.encode().split(kind, 2)[1]);
         }
     }
 
     @Override
-    int told(RecordClient.Outcome outcome) {
-        int status = super.told(outcome);
+    int printOutcome(StoreClient.Outcome outcome) {
+        int exitStatus = super.printOutcome(outcome);
         // What does not fit is no good end.
-        return status == 0 && verify && !outcome.answer().path("rows").isEmpty() ? 1 : status;
+        return exitStatus == 0 && isVerify && !outcome.answer().path("rows").isEmpty()
+                ? 1
+                : exitStatus;
     }
 
     @Override
-    void print(ObjectNode answer) {
+    void printAnswer(ObjectNode answer) {
         List<List<String>> rows = new ArrayList<>();
         for (JsonNode row : answer.path("rows")) {
             List<String> cells = new ArrayList<>();
             row.forEach(cell -> cells.add(cell.asText()));
             rows.add(cells);
         }
-        if (verify && rows.isEmpty()) {
+        if (isVerify && rows.isEmpty()) {
             System.out.println("all trails are whole");
         } else {
-            FleetCommands.table(heads, rows);
+            FleetCommands.printTable(header, rows);
         }
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Calls.java
+++ b/hosted/src/main/java/embershift/hosted/CallHandler.java
@@ -22,78 +22,82 @@
 import java.util.Optional;
 
 /** What callers may ask of an instance, as JSON, and what they are answered. */
-final class Calls {
+final class CallHandler {
 
-    private static final int VERSION = 1;
+    private static final int PROTOCOL_VERSION = 1;
 
     /** Whoever waits for an answer. */
-    interface Waiter {
-        void hears(long call, CallResult answer);
+    interface ResultListener {
+        void completed(long callId, CallResult result);
     }
 
-    private Calls() {}
+    private CallHandler() {}
 
     /** Answers a call, now or later. */
-    static void take(Instance instance, Instance.Entrance entrance, byte[] piece)
+    static void handle(Instance instance, Instance.InboundConnection connection, byte[] frame)
             throws FrameCodec.MalformedFrameException {
-        ObjectNode call = JsonMessages.read(piece);
+        ObjectNode call = JsonMessages.read(frame);
         long id = call.path("id").asLong();
-        Waiter waiter =
-                (number, answer) -> {
-                    entrance.answered(number);
-                    entrance.answer(written(id, answer));
+        ResultListener listener =
+                (callId, result) -> {
+                    connection.callAnswered(callId);
+                    connection.sendAnswer(answer(id, result));
                 };
-        if (call.path("version").asInt(VERSION) != VERSION) {
-            waiter.hears(
+        if (call.path("version").asInt(PROTOCOL_VERSION) != PROTOCOL_VERSION) {
+            listener.completed(
                     0,
                     new CallResult.Rejected(
                             CallResult.Reason.MALFORMED,
-                            "calls of version " + VERSION + " are known here"));
+                            "calls of version " + PROTOCOL_VERSION + " are known here"));
             return;
         }
         ReplicatedStore replica = instance.replica();
         double now = instance.now();
         String name = call.path("call").asText();
         switch (name) {
-            case "status" -> entrance.answer(status(id, instance));
+            case "status" -> connection.sendAnswer(statusAnswer(id, instance));
             case "found" -> {
-                String no = instance.found();
-                waiter.hears(
+                String rejection = instance.createGroup();
+                listener.completed(
                         0,
-                        no == null
+                        rejection == null
                                 ? new CallResult.Done(0)
-                                : new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, no));
+                                : new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, rejection));
             }
             case "open" ->
                     replica.submit(
                             now,
-                            entrance.waits(waiter),
+                            connection.registerCall(listener),
                             new StoreCommand.OpenSession(
                                     call.path("client").asText(), call.path("seconds").asDouble()));
             case "end" ->
                     replica.submit(
                             now,
-                            entrance.waits(waiter),
-                            new StoreCommand.EndSession(session(call)));
-            case "renew" -> replica.renewSession(now, entrance.waits(waiter), session(call));
-            case "change" -> replica.submit(now, entrance.waits(waiter), change(call));
-            case "get" -> replica.read(now, entrance.waits(waiter), call.path("key").asText());
+                            connection.registerCall(listener),
+                            new StoreCommand.EndSession(sessionId(call)));
+            case "renew" ->
+                    replica.renewSession(now, connection.registerCall(listener), sessionId(call));
+            case "change" ->
+                    replica.submit(now, connection.registerCall(listener), transaction(call));
+            case "get" ->
+                    replica.read(now, connection.registerCall(listener), call.path("key").asText());
             case "list" ->
-                    replica.readPrefix(now, entrance.waits(waiter), call.path("prefix").asText());
+                    replica.readPrefix(
+                            now, connection.registerCall(listener), call.path("prefix").asText());
             case "watch" ->
                     replica.watch(
                             now,
-                            entrance.waits(waiter),
+                            connection.registerCall(listener),
                             call.path("prefix").asText(),
                             call.path("from").asLong());
             case "add", "remove", "transfer" -> {
                 if (!replica.isLeader()) {
                     // What this instance knows of the members may be old, or nothing.
-                    replica.read(now, entrance.waits(waiter), "");
+                    replica.read(now, connection.registerCall(listener), "");
                     return;
                 }
                 if (name.equals("add")) {
-                    add(instance, entrance, waiter, call);
+                    addMember(instance, connection, listener, call);
                     return;
                 }
                 Member member =
@@ -102,54 +106,57 @@
                                 .findByName(call.path("name").asText())
                                 .orElse(null);
                 if (member == null) {
-                    waiter.hears(
+                    listener.completed(
                             0,
                             new CallResult.Rejected(
                                     CallResult.Reason.MEMBERSHIP,
                                     "there is no " + call.path("name").asText()));
                 } else if (name.equals("remove")) {
-                    replica.removeMember(now, entrance.waits(waiter), member.id());
+                    replica.removeMember(now, connection.registerCall(listener), member.id());
                 } else {
-                    replica.transferLeadership(now, entrance.waits(waiter), member.id());
+                    replica.transferLeadership(now, connection.registerCall(listener), member.id());
                 }
             }
             default ->
-                    waiter.hears(
+                    listener.completed(
                             0,
                             new CallResult.Rejected(
                                     CallResult.Reason.MALFORMED, "there is no call " + name));
         }
     }
 
-    private static void add(
-            Instance instance, Instance.Entrance entrance, Waiter waiter, ObjectNode call) {
+    private static void addMember(
+            Instance instance,
+            Instance.InboundConnection connection,
+            ResultListener listener,
+            ObjectNode call) {
         if (!TomlSettings.isAddress(call.path("address").asText())) {
-            waiter.hears(
+            listener.completed(
                     0,
                     new CallResult.Rejected(
                             CallResult.Reason.MALFORMED, "an address is HOST:PORT"));
         } else {
-            instance.add(
-                    entrance.waits(waiter),
+            instance.addMember(
+                    connection.registerCall(listener),
                     call.path("address").asText(),
                     call.path("learner").asBoolean() ? Member.Role.LEARNER : Member.Role.JOINING);
         }
     }
 
-    private static SessionId session(ObjectNode call) {
+    private static SessionId sessionId(ObjectNode call) {
         return new SessionId(call.path("session").asLong());
     }
 
-    private static StoreCommand.Transaction change(ObjectNode call) {
-        List<Precondition> conditions = new ArrayList<>();
+    private static StoreCommand.Transaction transaction(ObjectNode call) {
+        List<Precondition> preconditions = new ArrayList<>();
         for (JsonNode condition : call.path("conditions")) {
-            conditions.add(
+            preconditions.add(
                     new Precondition(
                             condition.path("key").asText(), condition.path("revision").asLong()));
         }
-        List<Mutation> writes = new ArrayList<>();
+        List<Mutation> mutations = new ArrayList<>();
         for (JsonNode write : call.path("writes")) {
-            writes.add(
+            mutations.add(
                     new Mutation(
                             write.path("key").asText(),
                             Optional.of(write.path("value"))
@@ -158,20 +165,20 @@
                             write.path("bound").asBoolean()));
         }
         return new StoreCommand.Transaction(
-                session(call),
+                sessionId(call),
                 call.path("number").asLong(),
                 call.path("open").asLong(),
-                conditions,
-                writes);
+                preconditions,
+                mutations);
     }
 
-    private static ObjectNode written(long id, CallResult answer) {
-        ObjectNode node = JsonMessages.node().put("id", id);
-        if (answer instanceof CallResult.Done done) {
-            node.put("end", "done").put("number", done.number());
-        } else if (answer instanceof CallResult.Found found) {
-            node.put("end", "done").put("revision", found.revision());
-            ArrayNode items = node.putArray("items");
+    private static ObjectNode answer(long id, CallResult result) {
+        ObjectNode answer = JsonMessages.node().put("id", id);
+        if (result instanceof CallResult.Done done) {
+            answer.put("end", "done").put("number", done.number());
+        } else if (result instanceof CallResult.Found found) {
+            answer.put("end", "done").put("revision", found.revision());
+            ArrayNode items = answer.putArray("items");
             for (KeyValue item : found.keyValues()) {
                 items.addObject()
                         .put("key", item.key())
@@ -180,23 +187,23 @@
                         .put("created", item.createRevision())
                         .put("session", item.session().number());
             }
-        } else if (answer instanceof CallResult.Changed seen) {
-            node.put("end", "done").put("next", seen.nextRevision());
-            ArrayNode events = node.putArray("events");
-            for (WatchEvent event : seen.events()) {
+        } else if (result instanceof CallResult.Changed changed) {
+            answer.put("end", "done").put("next", changed.nextRevision());
+            ArrayNode events = answer.putArray("events");
+            for (WatchEvent event : changed.events()) {
                 events.addObject()
                         .put("key", event.key())
                         .put("value", event.value().orElse(null))
                         .put("revision", event.revision());
             }
-        } else if (answer instanceof CallResult.Rejected refused) {
-            node.put("end", "refused")
-                    .put("reason", refused.reason().wireName())
-                    .put("text", refused.message());
-        } else if (answer instanceof CallResult.Unknown unknown) {
-            node.put("end", "unknown").put("text", unknown.message());
+        } else if (result instanceof CallResult.Rejected rejected) {
+            answer.put("end", "refused")
+                    .put("reason", rejected.reason().wireName())
+                    .put("text", rejected.message());
+        } else if (result instanceof CallResult.Unknown unknown) {
+            answer.put("end", "unknown").put("text", unknown.message());
         }
-        return node;
+        return answer;
     }
 
     /** What callers are told of a role; the names are part of the protocol. */
@@ -209,10 +216,10 @@
         };
     }
 
-    private static ObjectNode status(long id, Instance instance) {
+    private static ObjectNode statusAnswer(long id, Instance instance) {
         Raft raft = instance.replica().raft();
         String leader = raft.leader().flatMap(raft.membership()::find).map(Member::name).orElse("");
-        ObjectNode node =
+        ObjectNode answer =
                 JsonMessages.node()
                         .put("id", id)
                         .put("end", "done")
@@ -227,8 +234,8 @@
                         .put("applied", instance.replica().store().appliedIndex())
                         .put("revision", instance.replica().store().revision())
                         .put("doubt", raft.isUntrusted())
-                        .put("log-files", instance.logFiles());
-        ArrayNode members = node.putArray("members");
+                        .put("log-files", instance.logFileCount());
+        ArrayNode members = answer.putArray("members");
         for (Member member : raft.membership().members()) {
             ObjectNode each =
                     members.addObject()
@@ -241,8 +248,8 @@
                         .put("heard", raft.isRecentlyActive(member.id()));
             }
         }
-        ObjectNode counts = node.putObject("counts");
-        instance.counts().forEach(counts::put);
-        return node;
+        ObjectNode counts = answer.putObject("counts");
+        instance.counters().forEach(counts::put);
+        return answer;
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Discovery.java
+++ b/hosted/src/main/java/embershift/hosted/DiscoveryWatch.java
@@ -19,11 +19,11 @@
  * A watch at discovery: one call after the other, each waiting for news there, at the times of
  * {@link WatchSchedule}. Keeps the whole list; on a loop.
  */
-final class Discovery implements TcpConnection.Listener {
+final class DiscoveryWatch implements TcpConnection.Listener {
 
     /** Hears of each answer. {@code anew}: the generations before it are those of another. */
     interface Listener {
-        void heard(long generation, Map<String, String> whole, boolean anew);
+        void answerReceived(long generation, Map<String, String> entries, boolean isRestarted);
     }
 
     private final EventLoop loop;
@@ -32,18 +32,18 @@
     private final TreeMap<String, String> entries = new TreeMap<>();
     private final WatchSchedule schedule = new WatchSchedule(true, new Random()::nextDouble);
     private long generation = -1;
-    private TcpConnection link;
-    private HttpResponseParser reply;
+    private TcpConnection connection;
+    private HttpResponseParser response;
     private EventLoop.Timer timer;
-    private boolean closed;
+    private boolean isClosed;
 
     /** Whether this connection has brought an answer: from then on its versions only grow. */
-    private boolean answeredHere;
+    private boolean hasAnsweredOnConnection;
 
-    private double heardAt = Double.NEGATIVE_INFINITY;
-    private long calls;
+    private double lastAnswerAt = Double.NEGATIVE_INFINITY;
+    private long callCount;
 
-    Discovery(EventLoop loop, InetSocketAddress address, Listener listener) {
+    DiscoveryWatch(EventLoop loop, InetSocketAddress address, Listener listener) {
         this.loop = loop;
         this.address = address;
         this.listener = listener;
@@ -51,42 +51,42 @@
     }
 
     /** When an answer came last. */
-    double heardAt() {
-        return heardAt;
+    double lastAnswerAt() {
+        return lastAnswerAt;
     }
 
     Map<String, String> entries() {
         return entries;
     }
 
-    long calls() {
-        return calls;
+    long callCount() {
+        return callCount;
     }
 
     private void call() {
-        calls++;
-        reply = new HttpResponseParser();
-        schedule.callStarted(loop.now(), link != null);
-        follow();
-        if (link == null) {
-            answeredHere = false;
-            link = loop.connect(address, this);
+        callCount++;
+        response = new HttpResponseParser();
+        schedule.callStarted(loop.now(), connection != null);
+        scheduleNextAction();
+        if (connection == null) {
+            hasAnsweredOnConnection = false;
+            connection = loop.connect(address, this);
         } else {
             send();
         }
     }
 
     /** Looks at the schedule again when something is due. */
-    private void follow() {
+    private void scheduleNextAction() {
         if (timer != null) {
             timer.cancel();
             timer = null;
         }
-        if (!closed) {
+        if (!isClosed) {
             timer =
                     loop.schedule(
                             Math.max(0, schedule.nextActionAt() - loop.now()),
-                            schedule.isCalling() ? this::failed : this::call);
+                            schedule.isCalling() ? this::callFailed : this::call);
         }
     }
 
@@ -95,7 +95,7 @@
                 generation < 0
                         ? ""
                         : "?after=" + generation + "&wait_ms=" + (long) (schedule.maxWait() * 1000);
-        link.write(
+        connection.write(
                 ByteBuffer.wrap(
                         ("GET /api/targets"
                                         + query
@@ -107,83 +107,83 @@
                                 .getBytes(StandardCharsets.US_ASCII)));
     }
 
-    private void failed() {
-        hangUp();
+    private void callFailed() {
+        disconnect();
         if (schedule.isCalling()) {
             schedule.callFailed(loop.now());
-            goOn();
+            callOrWait();
         }
     }
 
-    private void hangUp() {
-        if (link != null) {
-            link.close();
-            link = null;
+    private void disconnect() {
+        if (connection != null) {
+            connection.close();
+            connection = null;
         }
     }
 
-    private void answered() {
-        if (!reply.keepAlive()) {
-            hangUp();
+    private void handleResponse() {
+        if (!response.keepAlive()) {
+            disconnect();
         }
-        ObjectNode page =
-                reply.status() == 200 ? JsonMessages.parse(reply.body()).orElse(null) : null;
-        if (page == null
-                || !page.path("generation").isNumber()
-                || !page.path("instances").isArray()) {
-            failed();
+        ObjectNode body =
+                response.status() == 200 ? JsonMessages.parse(response.body()).orElse(null) : null;
+        if (body == null
+                || !body.path("generation").isNumber()
+                || !body.path("instances").isArray()) {
+            callFailed();
             return;
         }
-        heardAt = loop.now();
-        long told = page.path("generation").asLong();
-        boolean whole = page.path("reset").asBoolean() || generation < 0;
-        boolean anew = told < generation;
-        boolean sameAgain =
-                told == generation
-                        && !page.path("instances").isEmpty()
+        lastAnswerAt = loop.now();
+        long newGeneration = body.path("generation").asLong();
+        boolean isComplete = body.path("reset").asBoolean() || generation < 0;
+        boolean isRestarted = newGeneration < generation;
+        boolean isRepeated =
+                newGeneration == generation
+                        && !body.path("instances").isEmpty()
                         && schedule.isEarly(loop.now());
-        if (answeredHere && (anew || sameAgain)) {
+        if (hasAnsweredOnConnection && (isRestarted || isRepeated)) {
             // An earlier answer that came once more, whole perhaps: what it lists as ready may have
             // been told to drain since,
             // and the call that is out still waits there.
-            hangUp();
+            disconnect();
             call();
             return;
         }
-        answeredHere = true;
-        schedule.callAnswered(loop.now(), told != generation);
-        if (anew && !whole) {
+        hasAnsweredOnConnection = true;
+        schedule.callAnswered(loop.now(), newGeneration != generation);
+        if (isRestarted && !isComplete) {
             // Changes against a list that nobody here has.
             generation = -1;
-            goOn();
+            callOrWait();
             return;
         }
-        if (whole) {
+        if (isComplete) {
             entries.clear();
         }
-        for (JsonNode each : page.path("instances")) {
-            if (each.isObject() && each.path("instanceId").isTextual()) {
-                entries.put(each.path("instanceId").asText(), each.toString());
+        for (JsonNode entry : body.path("instances")) {
+            if (entry.isObject() && entry.path("instanceId").isTextual()) {
+                entries.put(entry.path("instanceId").asText(), entry.toString());
             }
         }
-        generation = told;
-        listener.heard(told, entries, anew);
-        goOn();
+        generation = newGeneration;
+        listener.answerReceived(newGeneration, entries, isRestarted);
+        callOrWait();
     }
 
-    private void goOn() {
-        if (!closed && schedule.nextActionAt() <= loop.now()) {
+    private void callOrWait() {
+        if (!isClosed && schedule.nextActionAt() <= loop.now()) {
             call();
         } else {
-            follow();
+            scheduleNextAction();
         }
     }
 
     void close() {
-        closed = true;
+        isClosed = true;
         schedule.stop();
-        follow();
-        hangUp();
+        scheduleNextAction();
+        disconnect();
     }
 
     @Override
@@ -195,41 +195,41 @@
 
     @Override
     public void connectFailed() {
-        link = null;
-        failed();
+        connection = null;
+        callFailed();
     }
 
     @Override
     public void received(ByteBuffer bytes) {
         try {
-            if (schedule.isCalling() && reply.feed(bytes)) {
+            if (schedule.isCalling() && response.feed(bytes)) {
                 if (bytes.hasRemaining()) {
                     // More than was asked for: the rest of it would be taken for the next answer.
-                    hangUp();
+                    disconnect();
                 }
-                answered();
+                handleResponse();
             }
         } catch (MalformedDataException e) {
-            failed();
+            callFailed();
         }
     }
 
     @Override
     public void inputEnded() {
         try {
-            if (schedule.isCalling() && reply.endOfInput()) {
-                hangUp();
-                answered();
+            if (schedule.isCalling() && response.endOfInput()) {
+                disconnect();
+                handleResponse();
                 return;
             }
         } catch (RuntimeException e) {
             // It ended in the middle.
         }
-        failed();
+        callFailed();
     }
 
     @Override
     public void connectionLost() {
-        failed();
+        callFailed();
     }
 }
--- a/hosted/src/main/java/embershift/hosted/FleetCommands.java
+++ b/hosted/src/main/java/embershift/hosted/FleetCommands.java
@@ -20,81 +20,82 @@
  */
 final class FleetCommands {
 
-    private static final int REFUSED = 1;
-    private static final int UNKNOWN = 3;
+    private static final int EXIT_REFUSED = 1;
+    private static final int EXIT_UNKNOWN = 3;
 
     abstract static class Command {
         @Parameter(
                 names = "--at",
                 description = "Instances to ask, as HOST:PORT,HOST:PORT",
                 required = true)
-        String at;
+        String instances;
 
         @Parameter(names = "--within", description = "Seconds within which an answer comes")
-        double within = 5;
+        double timeoutSeconds = 5;
 
         @Parameter(names = "--json", description = "Answer as one line of JSON")
-        boolean json;
+        boolean isJson;
 
         @Parameter(description = "WORDS")
-        List<String> words = new ArrayList<>();
+        List<String> arguments = new ArrayList<>();
 
         List<InetSocketAddress> addresses() {
-            List<InetSocketAddress> all = new ArrayList<>();
-            for (String each : at.split(",")) {
-                if (!TomlSettings.isAddress(each)) {
-                    throw new ParameterException("--at takes HOST:PORT, not " + each);
+            List<InetSocketAddress> addresses = new ArrayList<>();
+            for (String address : instances.split(",")) {
+                if (!TomlSettings.isAddress(address)) {
+                    throw new ParameterException("--at takes HOST:PORT, not " + address);
                 }
-                all.add(TomlSettings.socket(each));
+                addresses.add(TomlSettings.socket(address));
             }
-            return all;
+            return addresses;
         }
 
-        void words(int many, String usage) {
-            if (words.size() != many) {
+        void requireArguments(int count, String usage) {
+            if (arguments.size() != count) {
                 throw new ParameterException("wanted: " + usage);
             }
         }
 
         int run() {
             List<InetSocketAddress> addresses = addresses();
-            ObjectNode call = call();
-            try (RecordClient client = new RecordClient(addresses, "fleet")) {
-                return told(client.ask(call, within));
+            ObjectNode call = newCall();
+            try (StoreClient client = new StoreClient(addresses, "fleet")) {
+                return printOutcome(client.call(call, timeoutSeconds));
             }
         }
 
-        abstract ObjectNode call();
+        abstract ObjectNode newCall();
 
-        int told(RecordClient.Outcome outcome) {
-            if (json) {
+        int printOutcome(StoreClient.Outcome outcome) {
+            if (isJson) {
                 System.out.println(
                         outcome.answer() == null
-                                ? JsonMessages.node().put("end", outcome.end())
-                                : outcome.answer().put("end", outcome.end()));
-            } else if (outcome.done()) {
-                print(outcome.answer());
+                                ? JsonMessages.node().put("end", outcome.status())
+                                : outcome.answer().put("end", outcome.status()));
+            } else if (outcome.isDone()) {
+                printAnswer(outcome.answer());
             } else {
-                System.out.println(outcome.end() + ": " + outcome.reason() + " " + outcome.text());
+                System.out.println(
+                        outcome.status() + ": " + outcome.reason() + " " + outcome.text());
             }
-            return outcome.done() ? 0 : outcome.unknown() ? UNKNOWN : REFUSED;
+            return outcome.isDone() ? 0 : outcome.isUnknown() ? EXIT_UNKNOWN : EXIT_REFUSED;
         }
 
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             System.out.println("done");
         }
     }
 
-    static void table(List<String> heads, List<List<String>> rows) {
-        int[] widths = new int[heads.size()];
-        List<List<String>> all = new ArrayList<>(rows);
-        all.add(0, heads);
-        for (List<String> row : all) {
+    static void printTable(List<String> header, List<List<String>> rows) {
+        int[] widths = new int[header.size()];
+        List<List<String>> lines = new ArrayList<>(rows);
+        lines.add(0, header);
+        for (List<String> row : lines) {
             for (int i = 0; i < row.size(); i++) {
                 widths[i] = Math.max(widths[i], row.get(i).length());
             }
         }
-        for (List<String> row : all) {
+        for (List<String> row : lines) {
             StringBuilder line = new StringBuilder();
             for (int i = 0; i < row.size(); i++) {
                 line.append(row.get(i)).append(" ".repeat(widths[i] - row.get(i).length() + 2));
@@ -106,31 +107,30 @@
     @Parameters(commandDescription = "Each instance as it sees itself")
     private static final class Status extends Command {
         @Override
-        ObjectNode call() {
-            return RecordClient.call("status");
+        ObjectNode newCall() {
+            return StoreClient.newCall("status");
         }
 
         @Override
         int run() {
             List<List<String>> rows = new ArrayList<>();
-            boolean all = true;
+            boolean allAnswered = true;
             for (InetSocketAddress address : addresses()) {
-                ObjectNode answer = RecordClient.askOne(address, call(), Math.min(2, within));
-                String where = address.getHostString() + ":" + address.getPort();
-                all &= answer != null;
-                if (json) {
+                ObjectNode answer =
+                        StoreClient.callInstance(address, newCall(), Math.min(2, timeoutSeconds));
+                String name = address.getHostString() + ":" + address.getPort();
+                allAnswered &= answer != null;
+                if (isJson) {
                     System.out.println(
                             answer == null
-                                    ? JsonMessages.node()
-                                            .put("address", where)
-                                            .put("end", "unknown")
+                                    ? JsonMessages.node().put("address", name).put("end", "unknown")
                                     : answer);
                 } else if (answer == null) {
-                    rows.add(List.of(where, "no answer", "", "", "", "", ""));
+                    rows.add(List.of(name, "no answer", "", "", "", "", ""));
                 } else {
                     rows.add(
                             List.of(
-                                    where,
+                                    name,
                                     answer.path("name").asText(),
                                     answer.path("role").asText(),
                                     answer.path("term").asText(),
@@ -139,34 +139,36 @@
                                     answer.path("doubt").asBoolean() ? "in doubt" : ""));
                 }
             }
-            if (!json) {
-                table(List.of("ADDRESS", "NAME", "ROLE", "TERM", "LEADER", "AGREED", ""), rows);
+            if (!isJson) {
+                printTable(
+                        List.of("ADDRESS", "NAME", "ROLE", "TERM", "LEADER", "AGREED", ""), rows);
             }
-            return all ? 0 : UNKNOWN;
+            return allAnswered ? 0 : EXIT_UNKNOWN;
         }
     }
 
     @Parameters(commandDescription = "Who belongs to the group, as its leader has it")
     private static final class Members extends Command {
         @Override
-        ObjectNode call() {
-            return RecordClient.call("status");
+        ObjectNode newCall() {
+            return StoreClient.newCall("status");
         }
 
         @Override
         int run() {
-            ObjectNode best = null;
+            ObjectNode latest = null;
             for (InetSocketAddress address : addresses()) {
-                ObjectNode answer = RecordClient.askOne(address, call(), Math.min(2, within));
-                if (answer != null && (best == null || rank(answer) > rank(best))) {
-                    best = answer;
+                ObjectNode answer =
+                        StoreClient.callInstance(address, newCall(), Math.min(2, timeoutSeconds));
+                if (answer != null && (latest == null || rank(answer) > rank(latest))) {
+                    latest = answer;
                 }
             }
-            return told(
-                    best == null
-                            ? new RecordClient.Outcome(
+            return printOutcome(
+                    latest == null
+                            ? new StoreClient.Outcome(
                                     "refused", JsonMessages.node().put("reason", "no-answer"))
-                            : new RecordClient.Outcome("done", best));
+                            : new StoreClient.Outcome("done", latest));
         }
 
         private static long rank(ObjectNode answer) {
@@ -175,7 +177,7 @@
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             for (JsonNode member : answer.path("members")) {
                 rows.add(
@@ -189,7 +191,7 @@
                                         ? ""
                                         : member.path("heard").asBoolean() ? "yes" : "no"));
             }
-            table(List.of("NAME", "ID", "ADDRESS", "ROLE", "HAS", "HEARD"), rows);
+            printTable(List.of("NAME", "ID", "ADDRESS", "ROLE", "HAS", "HEARD"), rows);
             System.out.println(
                     "as "
                             + answer.path("name").asText()
@@ -203,20 +205,20 @@
     @Parameters(commandDescription = "KEY: what the record holds there")
     private static final class Get extends Command {
         @Override
-        ObjectNode call() {
-            words(1, "get KEY");
-            return RecordClient.call("get").put("key", words.get(0));
+        ObjectNode newCall() {
+            requireArguments(1, "get KEY");
+            return StoreClient.newCall("get").put("key", arguments.get(0));
         }
 
         @Override
-        int told(RecordClient.Outcome outcome) {
-            boolean none = outcome.done() && outcome.answer().path("items").isEmpty();
-            int status = super.told(outcome);
-            return none ? REFUSED : status;
+        int printOutcome(StoreClient.Outcome outcome) {
+            boolean isMissing = outcome.isDone() && outcome.answer().path("items").isEmpty();
+            int exitStatus = super.printOutcome(outcome);
+            return isMissing ? EXIT_REFUSED : exitStatus;
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             JsonNode item = answer.path("items").path(0);
             System.out.println(
                     item.isMissingNode()
@@ -226,14 +228,15 @@
     }
 
     @Parameters(commandDescription = "PREFIX: all keys that begin so")
-    private static final class Listing extends Command {
+    private static final class ListKeys extends Command {
         @Override
-        ObjectNode call() {
-            return RecordClient.call("list").put("prefix", words.isEmpty() ? "" : words.get(0));
+        ObjectNode newCall() {
+            return StoreClient.newCall("list")
+                    .put("prefix", arguments.isEmpty() ? "" : arguments.get(0));
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             for (JsonNode item : answer.path("items")) {
                 rows.add(
@@ -242,7 +245,7 @@
                                 item.path("revision").asText(),
                                 item.path("value").asText()));
             }
-            table(List.of("KEY", "REVISION", "VALUE"), rows);
+            printTable(List.of("KEY", "REVISION", "VALUE"), rows);
         }
     }
 
@@ -251,16 +254,16 @@
         @Parameter(
                 names = "--if-revision",
                 description = "Only where the key's revision is this one; 0: where there is none")
-        long revision = -1;
+        long requiredRevision = -1;
 
         @Override
-        ObjectNode call() {
-            words(2, "put KEY VALUE");
-            return RecordClient.put(words.get(0), words.get(1), revision);
+        ObjectNode newCall() {
+            requireArguments(2, "put KEY VALUE");
+            return StoreClient.newPut(arguments.get(0), arguments.get(1), requiredRevision);
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             System.out.println("done, revision " + answer.path("number").asText());
         }
     }
@@ -270,44 +273,44 @@
         @Parameter(
                 names = "--if-revision",
                 description = "Only where the key's revision is this one")
-        long revision = -1;
+        long requiredRevision = -1;
 
         @Override
-        ObjectNode call() {
-            words(1, "delete KEY");
-            return RecordClient.put(words.get(0), null, revision);
+        ObjectNode newCall() {
+            requireArguments(1, "delete KEY");
+            return StoreClient.newPut(arguments.get(0), null, requiredRevision);
         }
     }
 
     @Parameters(commandDescription = "PREFIX: waits for the next changes of keys that begin so")
     private static final class Watch extends Command {
         @Parameter(names = "--from", description = "From this revision on; without it, from now")
-        long from = -1;
+        long fromRevision = -1;
 
         @Override
-        ObjectNode call() {
-            return RecordClient.call("watch")
-                    .put("prefix", words.isEmpty() ? "" : words.get(0))
-                    .put("from", from);
+        ObjectNode newCall() {
+            return StoreClient.newCall("watch")
+                    .put("prefix", arguments.isEmpty() ? "" : arguments.get(0))
+                    .put("from", fromRevision);
         }
 
         @Override
         int run() {
-            ObjectNode call = call();
-            if (from < 0) {
+            ObjectNode call = newCall();
+            if (fromRevision < 0) {
                 ObjectNode status =
-                        RecordClient.askOne(
-                                addresses().get(0), RecordClient.call("status"), within);
+                        StoreClient.callInstance(
+                                addresses().get(0), StoreClient.newCall("status"), timeoutSeconds);
                 if (status == null) {
-                    return told(
-                            new RecordClient.Outcome(
+                    return printOutcome(
+                            new StoreClient.Outcome(
                                     "refused", JsonMessages.node().put("reason", "no-answer")));
                 }
                 call.put("from", status.path("revision").asLong() + 1);
             }
-            ObjectNode answer = RecordClient.askOne(addresses().get(0), call, within);
-            return told(
-                    new RecordClient.Outcome(
+            ObjectNode answer = StoreClient.callInstance(addresses().get(0), call, timeoutSeconds);
+            return printOutcome(
+                    new StoreClient.Outcome(
                             answer == null ? "refused" : answer.path("end").asText(),
                             answer == null
                                     ? JsonMessages.node().put("reason", "nothing-changed")
@@ -315,7 +318,7 @@
         }
 
         @Override
-        void print(ObjectNode answer) {
+        void printAnswer(ObjectNode answer) {
             List<List<String>> rows = new ArrayList<>();
             for (JsonNode event : answer.path("events")) {
                 rows.add(
@@ -326,7 +329,7 @@
                                         ? "(gone)"
                                         : event.path("value").asText()));
             }
-            table(List.of("REVISION", "KEY", "VALUE"), rows);
+            printTable(List.of("REVISION", "KEY", "VALUE"), rows);
             System.out.println("next: --from " + answer.path("next").asText());
         }
     }
@@ -334,73 +337,75 @@
     @Parameters(
             commandDescription =
                     "Begins a group with the one instance asked, whose folder is empty")
-    private static final class Found extends Command {
+    private static final class CreateGroup extends Command {
         @Override
-        ObjectNode call() {
-            return RecordClient.call("found");
+        ObjectNode newCall() {
+            return StoreClient.newCall("found");
         }
     }
 
     @Parameters(
             commandDescription =
                     "ADDRESS: takes the instance there into the group, once it has caught up")
-    private static final class Add extends Command {
+    private static final class AddMember extends Command {
         @Parameter(names = "--learner", description = "It only follows, and does not vote")
-        boolean learner;
+        boolean isLearner;
 
         @Override
-        ObjectNode call() {
-            words(1, "add ADDRESS");
-            return RecordClient.call("add").put("address", words.get(0)).put("learner", learner);
+        ObjectNode newCall() {
+            requireArguments(1, "add ADDRESS");
+            return StoreClient.newCall("add")
+                    .put("address", arguments.get(0))
+                    .put("learner", isLearner);
         }
     }
 
     @Parameters(commandDescription = "NAME: takes an instance out of the group")
-    private static final class Remove extends Command {
+    private static final class RemoveMember extends Command {
         @Override
-        ObjectNode call() {
-            words(1, "remove NAME");
-            return RecordClient.call("remove").put("name", words.get(0));
+        ObjectNode newCall() {
+            requireArguments(1, "remove NAME");
+            return StoreClient.newCall("remove").put("name", arguments.get(0));
         }
     }
 
     @Parameters(commandDescription = "NAME: has this instance lead")
-    private static final class Transfer extends Command {
+    private static final class TransferLeadership extends Command {
         @Override
-        ObjectNode call() {
-            words(1, "transfer NAME");
-            return RecordClient.call("transfer").put("name", words.get(0));
+        ObjectNode newCall() {
+            requireArguments(1, "transfer NAME");
+            return StoreClient.newCall("transfer").put("name", arguments.get(0));
         }
     }
 
     /** A command that asks more than once; each ends as one call does. */
-    abstract static class Steps extends Command {
+    abstract static class MultiCallCommand extends Command {
 
         @Override
-        final ObjectNode call() {
+        final ObjectNode newCall() {
             throw new IllegalStateException("it asks by itself");
         }
 
         @Override
         final int run() {
-            try (RecordClient client = new RecordClient(addresses(), "fleet")) {
-                return told(run(client));
+            try (StoreClient client = new StoreClient(addresses(), "fleet")) {
+                return printOutcome(execute(client));
             }
         }
 
         /** The outcome of the call that was refused or unknown, or of the last one. */
-        abstract RecordClient.Outcome run(RecordClient client);
+        abstract StoreClient.Outcome execute(StoreClient client);
 
-        final RecordClient.Outcome get(RecordClient client, String key) {
-            return client.ask(RecordClient.call("get").put("key", key), within);
+        final StoreClient.Outcome getKey(StoreClient client, String key) {
+            return client.call(StoreClient.newCall("get").put("key", key), timeoutSeconds);
         }
 
-        final RecordClient.Outcome list(RecordClient client, String prefix) {
-            return client.ask(RecordClient.call("list").put("prefix", prefix), within);
+        final StoreClient.Outcome listKeys(StoreClient client, String prefix) {
+            return client.call(StoreClient.newCall("list").put("prefix", prefix), timeoutSeconds);
         }
 
-        static RecordClient.Outcome refused(String reason, String text) {
-            return new RecordClient.Outcome(
+        static StoreClient.Outcome refused(String reason, String text) {
+            return new StoreClient.Outcome(
                     "refused", JsonMessages.node().put("reason", reason).put("text", text));
         }
     }
@@ -410,36 +415,36 @@
         commands.put("status", new Status());
         commands.put("members", new Members());
         commands.put("get", new Get());
-        commands.put("list", new Listing());
+        commands.put("list", new ListKeys());
         commands.put("put", new Put());
         commands.put("delete", new Delete());
         commands.put("watch", new Watch());
-        commands.put("found", new Found());
-        commands.put("add", new Add());
-        commands.put("remove", new Remove());
-        commands.put("transfer", new Transfer());
-        OrderCommands.all().forEach(commands::put);
+        commands.put("found", new CreateGroup());
+        commands.put("add", new AddMember());
+        commands.put("remove", new RemoveMember());
+        commands.put("transfer", new TransferLeadership());
+        AdminCommands.all().forEach(commands::put);
         commands.put("audit", new AuditCommand());
         Main.Help help = new Main.Help();
-        JCommander line =
+        JCommander commandLine =
                 JCommander.newBuilder()
                         .programName("embershift-hosted fleet")
                         .addObject(help)
                         .build();
-        commands.forEach((name, command) -> line.addCommand(name, List.of(command, help)));
+        commands.forEach((name, command) -> commandLine.addCommand(name, List.of(command, help)));
         try {
-            line.parse(args);
-            if (help.given(line)) {
+            commandLine.parse(args);
+            if (help.printIfRequested(commandLine)) {
                 return 0;
             }
-            if (line.getParsedCommand() == null) {
+            if (commandLine.getParsedCommand() == null) {
                 throw new ParameterException(
                         "wanted: one of " + String.join(", ", commands.keySet()));
             }
-            return commands.get(line.getParsedCommand()).run();
+            return commands.get(commandLine.getParsedCommand()).run();
         } catch (ParameterException e) {
             System.err.println(e.getMessage().lines().findFirst().orElse(""));
-            return Main.USAGE;
+            return Main.USAGE_ERROR;
         }
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Greeting.java
+++ b/hosted/src/main/java/embershift/hosted/Handshake.java
@@ -14,43 +14,55 @@
  * between them it knows. {@code to} 0: only to learn who is there; {@code group} 0: of none yet;
  * {@code address}: where the speaker is reached, for one who does not know the members yet.
  */
-record Greeting(
-        int oldest,
-        int newest,
+record Handshake(
+        int oldestVersion,
+        int newestVersion,
         long group,
-        MemberId from,
-        String name,
-        MemberId to,
-        String address) {
+        MemberId sender,
+        String senderName,
+        MemberId recipient,
+        String senderAddress) {
 
     /** The versions that this program knows. */
-    static final int OLDEST = 1;
+    static final int OLDEST_VERSION = 1;
 
-    static final int NEWEST = 1;
+    static final int NEWEST_VERSION = 1;
     private static final int MAGIC = 0x454d4231;
 
-    static Greeting of(long group, MemberId from, String name, MemberId to, String address) {
-        return new Greeting(OLDEST, NEWEST, group, from, name, to, address);
+    static Handshake of(
+            long group,
+            MemberId sender,
+            String senderName,
+            MemberId recipient,
+            String senderAddress) {
+        return new Handshake(
+                OLDEST_VERSION,
+                NEWEST_VERSION,
+                group,
+                sender,
+                senderName,
+                recipient,
+                senderAddress);
     }
 
     /** The newest version that both know, or 0. */
-    static int common(int oldest, int newest) {
-        int best = Math.min(newest, NEWEST);
-        return best >= Math.max(oldest, OLDEST) ? best : 0;
+    static int negotiatedVersion(int oldestOfOther, int newestOfOther) {
+        int version = Math.min(newestOfOther, NEWEST_VERSION);
+        return version >= Math.max(oldestOfOther, OLDEST_VERSION) ? version : 0;
     }
 
-    byte[] bytes() {
+    byte[] encode() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
             DataOutputStream out = new DataOutputStream(bytes);
             out.writeInt(MAGIC);
-            out.writeByte(oldest);
-            out.writeByte(newest);
+            out.writeByte(oldestVersion);
+            out.writeByte(newestVersion);
             out.writeLong(group);
-            out.writeLong(from.number());
-            out.writeUTF(name);
-            out.writeLong(to.number());
-            out.writeUTF(address);
+            out.writeLong(sender.number());
+            out.writeUTF(senderName);
+            out.writeLong(recipient.number());
+            out.writeUTF(senderAddress);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -58,14 +70,14 @@
     }
 
     /** What a later version says behind the first fields is left unread. */
-    static Greeting read(byte[] piece) throws FrameCodec.MalformedFrameException {
+    static Handshake decode(byte[] frame) throws FrameCodec.MalformedFrameException {
         try {
             DataInputStream in =
-                    new DataInputStream(new ByteArrayInputStream(piece, 1, piece.length - 1));
+                    new DataInputStream(new ByteArrayInputStream(frame, 1, frame.length - 1));
             if (in.readInt() != MAGIC) {
                 throw new FrameCodec.MalformedFrameException("no greeting of an instance");
             }
-            return new Greeting(
+            return new Handshake(
                     in.readByte(),
                     in.readByte(),
                     in.readLong(),
--- a/hosted/src/main/java/embershift/hosted/Identity.java
+++ b/hosted/src/main/java/embershift/hosted/Identity.java
@@ -17,7 +17,7 @@
     private static final String FILE = "identity";
 
     /** Of a folder that has none, a new one. */
-    static Identity of(Disk disk) throws IOException {
+    static Identity loadOrCreate(Disk disk) throws IOException {
         if (disk.fileNames().contains(FILE)) {
             byte[] content = ChecksummedFile.read(disk, FILE);
             if (content.length != 2 * Long.BYTES) {
@@ -30,12 +30,12 @@
                 .anyMatch(name -> name.startsWith("log-") || name.startsWith("snapshot-"))) {
             throw new CorruptDataException(FILE + ": it is gone, and the folder is not empty");
         }
-        Identity fresh = new Identity(new MemberId(number()), 0);
-        fresh.write(disk);
-        return fresh;
+        Identity created = new Identity(new MemberId(randomId()), 0);
+        created.write(disk);
+        return created;
     }
 
-    static long number() {
+    static long randomId() {
         return new SecureRandom().nextLong() >>> 1 | 1;
     }
 
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -50,83 +50,83 @@
 final class Instance implements ReplicatedStore.Environment {
 
     private static final Logger LOG = LoggerFactory.getLogger(Instance.class);
-    private static final int STOPPED = 3;
+    private static final int EXIT_HALTED = 3;
 
     /** Seconds until writes that found no room are tried again. */
-    private static final double ROOM_AGAIN = 0.2;
+    private static final double FULL_DISK_RETRY_SECONDS = 0.2;
 
     /** Seconds for which a leader that ends waits until another leads. */
-    private static final double HAND_OVER = 1.5;
+    private static final double LEADERSHIP_TRANSFER_SECONDS = 1.5;
 
-    private static final double LOOK = 0.02;
-    private static final double LOOK_WHERE = 0.2;
+    private static final double SHUTDOWN_POLL_SECONDS = 0.02;
+    private static final double ADDRESS_REFRESH_SECONDS = 0.2;
 
     /** Seconds for which one that ends waits for its duties to be given back. */
-    private static final double GIVE_BACK = 1;
+    private static final double TASK_RELEASE_SECONDS = 1;
 
-    private final Installation installation;
+    private final InstanceSettings settings;
     private final EventLoop loop;
     private final Disk disk;
-    private final RaftPersistence keeper;
+    private final RaftPersistence persistence;
     private final ReplicatedStore replica;
-    private final double tick;
-    private final int mostTicks;
+    private final double tickSeconds;
+    private final int maxCatchUpTicks;
     private Identity identity;
-    private double ticked;
-    private final List<WriteRequest> orders = new ArrayList<>();
-    private boolean writing;
-    private boolean noRoom;
-    private final Map<MemberId, Way> ways = new HashMap<>();
+    private double lastTickAt;
+    private final List<WriteRequest> pendingWrites = new ArrayList<>();
+    private boolean isWriting;
+    private boolean isDiskFull;
+    private final Map<MemberId, PeerConnection> peers = new HashMap<>();
 
     /** The connection that each other instance speaks on: its newest. */
-    private final Map<MemberId, Entrance> entrances = new HashMap<>();
+    private final Map<MemberId, InboundConnection> inboundPeers = new HashMap<>();
 
-    private final Map<Long, Calls.Waiter> calls = new HashMap<>();
-    private long lastCall;
-    private final Set<Entrance> callers = new LinkedHashSet<>();
-    private final TreeMap<String, Long> counts = new TreeMap<>();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final Map<Long, CallHandler.ResultListener> pendingCalls = new HashMap<>();
+    private long lastCallId;
+    private final Set<InboundConnection> callers = new LinkedHashSet<>();
+    private final TreeMap<String, Long> counters = new TreeMap<>();
+    private final CountDownLatch shutdownComplete = new CountDownLatch(1);
 
     /** Where this instance itself listens. */
-    private InetSocketAddress listens;
+    private InetSocketAddress listenAddress;
 
-    private volatile List<InetSocketAddress> instances = List.of();
-    private Duties duties;
+    private volatile List<InetSocketAddress> instanceAddresses = List.of();
+    private LeasedTasks tasks;
 
-    private Instance(Installation installation, EventLoop loop, FileSystemDisk folder)
+    private Instance(InstanceSettings settings, EventLoop loop, FileSystemDisk directory)
             throws IOException {
-        this.installation = installation;
+        this.settings = settings;
         this.loop = loop;
-        disk = installation.drills() ? new FaultInjectingDisk(folder) : folder;
-        identity = Identity.of(disk);
-        keeper = RaftPersistence.open(disk, installation.bounds().logFile());
-        RecoveredState restored = keeper.takeRecovered();
-        tick = installation.pace().tick();
-        embershift.raft.RaftTiming pace = installation.pace().inTicks();
-        mostTicks = 3 * pace.electionTicks();
-        ticked = loop.now();
-        if (keeper.truncatedBytes() > 0) {
+        disk = settings.faultInjection() ? new FaultInjectingDisk(directory) : directory;
+        identity = Identity.loadOrCreate(disk);
+        persistence = RaftPersistence.open(disk, settings.limits().maxLogFileBytes());
+        RecoveredState recovered = persistence.takeRecovered();
+        tickSeconds = settings.timing().tickSeconds();
+        embershift.raft.RaftTiming timing = settings.timing().toRaftTiming();
+        maxCatchUpTicks = 3 * timing.electionTicks();
+        lastTickAt = loop.now();
+        if (persistence.truncatedBytes() > 0) {
             LOG.warn(
                     "the end of the log was cut",
-                    kv("bytes", keeper.truncatedBytes()),
-                    kv("doubt", restored.isUntrusted()));
+                    kv("bytes", persistence.truncatedBytes()),
+                    kv("doubt", recovered.isUntrusted()));
         }
         replica =
                 new ReplicatedStore(
                         identity.id(),
-                        pace,
-                        installation.bounds().ofRaft(),
+                        timing,
+                        settings.limits().toRaftLimits(),
                         new SnapshotPolicy(
-                                installation.bounds().snapshotEntries(),
-                                installation.bounds().snapshotLogBytes(),
+                                settings.limits().snapshotEntries(),
+                                settings.limits().snapshotLogBytes(),
                                 SnapshotPolicy.DEFAULTS.checksumInterval()),
-                        restored,
-                        Identity.number(),
-                        Identity.number(),
+                        recovered,
+                        Identity.randomId(),
+                        Identity.randomId(),
                         this);
         LOG.info(
                 "instance",
-                kv("name", installation.name()),
+                kv("name", settings.name()),
                 kv("id", identity.id().toString()),
                 kv("group", Long.toHexString(identity.group())),
                 kv("term", replica.raft().term()),
@@ -135,44 +135,48 @@
     }
 
     /** Starts; the program then lives on the loop. */
-    static void start(Installation installation) throws IOException {
-        FileSystemDisk folder = FileSystemDisk.open(Path.of(installation.folder()));
+    static void start(InstanceSettings settings) throws IOException {
+        FileSystemDisk directory = FileSystemDisk.open(Path.of(settings.directory()));
         EventLoop loop = new EventLoop();
         try {
-            Instance instance = new Instance(installation, loop, folder);
+            Instance instance = new Instance(settings, loop, directory);
             InetSocketAddress address =
                     loop.listen(
-                                    TomlSettings.socket(installation.listen()),
-                                    instance::room,
-                                    link -> loop.execute(() -> instance.new Entrance(link)))
+                                    TomlSettings.socket(settings.listenAddress()),
+                                    instance::makeRoomForConnection,
+                                    connection ->
+                                            loop.execute(
+                                                    () ->
+                                                            instance
+                                                            .new InboundConnection(connection)))
                             .localAddress();
             loop.execute(
                     () -> {
-                        instance.listens = address;
-                        instance.passTime();
-                        instance.lookWhereAllAre();
-                        instance.duties =
-                                new Duties(
+                        instance.listenAddress = address;
+                        instance.tickPeriodically();
+                        instance.refreshAddresses();
+                        instance.tasks =
+                                new LeasedTasks(
                                         loop,
-                                        installation.name(),
-                                        installation.fleet(),
+                                        settings.name(),
+                                        settings.fleet(),
                                         instance.replica::store,
-                                        () -> instance.instances,
-                                        (what, many) ->
-                                                instance.counts.merge(what, many, Long::sum),
-                                        Identity.number());
+                                        () -> instance.instanceAddresses,
+                                        (counter, amount) ->
+                                                instance.counters.merge(counter, amount, Long::sum),
+                                        Identity.randomId());
                     });
-            Runtime.getRuntime().addShutdownHook(new Thread(instance::end, "end"));
+            Runtime.getRuntime().addShutdownHook(new Thread(instance::shutDown, "end"));
             LOG.info("listening", kv("address", address.getHostString() + ":" + address.getPort()));
         } catch (IOException e) {
             loop.stop();
-            folder.close();
+            directory.close();
             throw e;
         }
     }
 
-    private void count(String what) {
-        counts.merge(what, 1L, Long::sum);
+    private void count(String counter) {
+        counters.merge(counter, 1L, Long::sum);
     }
 
     // Time.
@@ -181,99 +185,100 @@
      * What the program did not foresee must not be gone on from: what it has promised can't be told
      * any more.
      */
-    private void guarded(Runnable what) {
+    private void runGuarded(Runnable action) {
         try {
-            what.run();
+            action.run();
         } catch (RuntimeException e) {
             LOG.error("fault", e);
             halt("a fault of the program: " + e);
         }
     }
 
-    private void passTime() {
-        guarded(this::catchUp);
-        loop.schedule(tick, this::passTime);
+    private void tickPeriodically() {
+        runGuarded(this::catchUpTicks);
+        loop.schedule(tickSeconds, this::tickPeriodically);
     }
 
     /**
      * Before anything that came is looked at: one that stood still must not take old news for new.
      */
-    private void catchUp() {
+    private void catchUpTicks() {
         double now = loop.now();
-        int ticks = (int) ((now - ticked) / tick);
+        int ticks = (int) ((now - lastTickAt) / tickSeconds);
         if (ticks > 0) {
-            ticked += ticks * tick;
-            replica.tick(now, Math.min(ticks, mostTicks));
+            lastTickAt += ticks * tickSeconds;
+            replica.tick(now, Math.min(ticks, maxCatchUpTicks));
         }
     }
 
     /** For those of this instance that ask the record, wherever its leader is. */
-    private void lookWhereAllAre() {
-        List<InetSocketAddress> all = new ArrayList<>();
+    private void refreshAddresses() {
+        List<InetSocketAddress> addresses = new ArrayList<>();
         MemberId leader = replica.raft().leader().orElse(MemberId.NONE);
         for (Member member : replica.raft().membership().members()) {
             InetSocketAddress address =
                     member.id().equals(identity.id())
-                            ? listens
+                            ? listenAddress
                             : TomlSettings.socket(
-                                    installation
-                                            .ways()
+                                    settings.peerAddresses()
                                             .getOrDefault(member.name(), member.address()));
-            all.add(member.id().equals(leader) ? 0 : all.size(), address);
+            addresses.add(member.id().equals(leader) ? 0 : addresses.size(), address);
         }
-        instances = List.copyOf(all);
-        loop.schedule(LOOK_WHERE, this::lookWhereAllAre);
+        instanceAddresses = List.copyOf(addresses);
+        loop.schedule(ADDRESS_REFRESH_SECONDS, this::refreshAddresses);
     }
 
     // The disk.
 
     @Override
-    public void persist(WriteRequest order) {
-        orders.add(order);
-        write();
+    public void persist(WriteRequest request) {
+        pendingWrites.add(request);
+        writePending();
     }
 
-    private void write() {
-        if (writing || orders.isEmpty()) {
+    private void writePending() {
+        if (isWriting || pendingWrites.isEmpty()) {
             return;
         }
-        writing = true;
+        isWriting = true;
         // After this turn, so that all that it orders goes together.
         loop.execute(
                 () -> {
-                    List<WriteRequest> batch = List.copyOf(orders);
-                    orders.clear();
-                    loop.executeBlocking(() -> keep(batch));
+                    List<WriteRequest> batch = List.copyOf(pendingWrites);
+                    pendingWrites.clear();
+                    loop.executeBlocking(() -> writeBatch(batch));
                 });
     }
 
-    private void keep(List<WriteRequest> batch) {
+    private void writeBatch(List<WriteRequest> batch) {
         try {
-            keeper.write(batch);
+            persistence.write(batch);
             loop.execute(
                     () -> {
-                        if (noRoom) {
-                            noRoom = false;
+                        if (isDiskFull) {
+                            isDiskFull = false;
                             LOG.info("the disk takes writes again");
                         }
-                        writing = false;
-                        guarded(
+                        isWriting = false;
+                        runGuarded(
                                 () ->
                                         replica.writesCompleted(
                                                 loop.now(), batch.get(batch.size() - 1).number()));
-                        write();
+                        writePending();
                     });
         } catch (OutOfSpaceException e) {
             loop.execute(
                     () -> {
-                        if (!noRoom) {
-                            noRoom = true;
+                        if (!isDiskFull) {
+                            isDiskFull = true;
                             LOG.error(
                                     "no room: nothing is answered until there is",
                                     kv("why", e.getMessage()));
                         }
                         count("writes without room");
-                        loop.schedule(ROOM_AGAIN, () -> loop.executeBlocking(() -> keep(batch)));
+                        loop.schedule(
+                                FULL_DISK_RETRY_SECONDS,
+                                () -> loop.executeBlocking(() -> writeBatch(batch)));
                     });
         } catch (IOException | RuntimeException e) {
             halt("the disk failed, and what is on it can't be told: " + e);
@@ -286,7 +291,7 @@
         loop.executeBlocking(
                 () -> {
                     try {
-                        keeper.markTrusted();
+                        persistence.markTrusted();
                     } catch (IOException e) {
                         // It will be in doubt again after the next start, which is on the safe
                         // side.
@@ -296,10 +301,10 @@
     }
 
     @Override
-    public void halt(String why) {
-        LOG.error("stops", kv("why", why));
-        System.err.println("stops: " + why);
-        Runtime.getRuntime().halt(STOPPED);
+    public void halt(String reason) {
+        LOG.error("stops", kv("why", reason));
+        System.err.println("stops: " + reason);
+        Runtime.getRuntime().halt(EXIT_HALTED);
     }
 
     // The others.
@@ -308,18 +313,19 @@
     public void send(MemberId to, RaftMessage message) {
         Member member = replica.raft().membership().find(to).orElse(null);
         if (member == null) {
-            Entrance entrance = entrances.get(to);
+            InboundConnection inbound = inboundPeers.get(to);
             // Whoever is not known here, as to one that joins nobody is, is answered where it says
             // that it lives.
             member =
-                    entrance == null
+                    inbound == null
                             ? null
-                            : new Member(to, entrance.name, entrance.address, Member.Role.LEARNER);
+                            : new Member(
+                                    to, inbound.peerName, inbound.peerAddress, Member.Role.LEARNER);
         }
         if (member != null) {
-            String address = installation.ways().getOrDefault(member.name(), member.address());
+            String address = settings.peerAddresses().getOrDefault(member.name(), member.address());
             if (TomlSettings.isAddress(address)) {
-                ways.computeIfAbsent(to, none -> new Way(to)).send(address, message);
+                peers.computeIfAbsent(to, key -> new PeerConnection(to)).send(address, message);
             }
         }
     }
@@ -328,103 +334,103 @@
      * The way to another instance: one connection, dialled again when it is lost, on which only
      * this one speaks.
      */
-    private final class Way implements TcpConnection.Listener {
-        private static final double FIRST_GAP = 0.03;
-        private static final double LONGEST_GAP = 0.5;
-        private static final double STUCK = 3;
-        private static final int MOST_WAITING = 4 << 20;
-
-        private final MemberId to;
-        private TcpConnection link;
+    private final class PeerConnection implements TcpConnection.Listener {
+        private static final double MIN_RECONNECT_SECONDS = 0.03;
+        private static final double MAX_RECONNECT_SECONDS = 0.5;
+        private static final double STALL_TIMEOUT_SECONDS = 3;
+        private static final int MAX_QUEUED_BYTES = 4 << 20;
+
+        private final MemberId peer;
+        private TcpConnection connection;
         private FrameCodec frames;
-        private boolean welcome;
-        private double gap = FIRST_GAP;
-        private double notBefore;
-        private double backedUpSince;
-        private int waiting;
+        private boolean isAccepted;
+        private double reconnectDelay = MIN_RECONNECT_SECONDS;
+        private double reconnectAt;
+        private double blockedSince;
+        private int queuedBytes;
 
-        Way(MemberId to) {
-            this.to = to;
+        PeerConnection(MemberId peer) {
+            this.peer = peer;
         }
 
         void send(String address, RaftMessage message) {
             double now = loop.now();
-            if (link == null) {
-                if (now >= notBefore) {
-                    dial(address, now);
+            if (connection == null) {
+                if (now >= reconnectAt) {
+                    connect(address, now);
                 }
                 return;
             }
-            if (!welcome) {
+            if (!isAccepted) {
                 return;
             }
-            if (link.hasPendingWrites()) {
-                if (now - backedUpSince > STUCK) {
+            if (connection.hasPendingWrites()) {
+                if (now - blockedSince > STALL_TIMEOUT_SECONDS) {
                     count("ways given up as stuck");
-                    drop(now);
+                    disconnect(now);
                     return;
                 }
             } else {
-                waiting = 0;
-                backedUpSince = now;
+                queuedBytes = 0;
+                blockedSince = now;
             }
-            ByteBuffer piece =
+            ByteBuffer frame =
                     FrameCodec.encode(FrameCodec.MESSAGE, RaftMessageCodec.encode(message));
-            waiting += piece.remaining();
-            if (waiting > MOST_WAITING) {
+            queuedBytes += frame.remaining();
+            if (queuedBytes > MAX_QUEUED_BYTES) {
                 count("messages dropped for want of room");
                 return;
             }
             count("messages sent");
-            if (!link.write(piece)) {
-                drop(now);
+            if (!connection.write(frame)) {
+                disconnect(now);
             }
         }
 
-        private void dial(String address, double now) {
+        private void connect(String address, double now) {
             frames = new FrameCodec();
-            welcome = false;
-            waiting = 0;
-            backedUpSince = now;
-            notBefore = now + gap;
-            link = loop.connect(TomlSettings.socket(address), this);
-            TcpConnection dialled = link;
+            isAccepted = false;
+            queuedBytes = 0;
+            blockedSince = now;
+            reconnectAt = now + reconnectDelay;
+            connection = loop.connect(TomlSettings.socket(address), this);
+            TcpConnection attempt = connection;
             loop.schedule(
-                    STUCK,
+                    STALL_TIMEOUT_SECONDS,
                     () -> {
-                        if (link == dialled && !welcome) {
-                            drop(loop.now());
+                        if (connection == attempt && !isAccepted) {
+                            disconnect(loop.now());
                         }
                     });
         }
 
-        private void drop(double now) {
-            if (link != null) {
-                link.close();
-                link = null;
+        private void disconnect(double now) {
+            if (connection != null) {
+                connection.close();
+                connection = null;
             }
-            gap = Math.min(LONGEST_GAP, 2 * gap);
-            notBefore = now + gap;
+            reconnectDelay = Math.min(MAX_RECONNECT_SECONDS, 2 * reconnectDelay);
+            reconnectAt = now + reconnectDelay;
         }
 
         @Override
         public void connected() {
-            link.write(
+            connection.write(
                     FrameCodec.encode(
                             FrameCodec.HANDSHAKE,
-                            Greeting.of(
+                            Handshake.of(
                                             identity.group(),
                                             identity.id(),
-                                            installation.name(),
-                                            to,
-                                            installation.address())
-                                    .bytes()));
+                                            settings.name(),
+                                            peer,
+                                            settings.advertisedAddress())
+                                    .encode()));
         }
 
         @Override
         public void connectFailed() {
-            link = null;
-            drop(loop.now());
+            connection = null;
+            disconnect(loop.now());
         }
 
         @Override
@@ -432,39 +438,42 @@
             try {
                 frames.take(
                         bytes,
-                        piece -> {
-                            if (piece[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
-                                welcome = true;
-                                gap = FIRST_GAP;
+                        frame -> {
+                            if (frame[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
+                                isAccepted = true;
+                                reconnectDelay = MIN_RECONNECT_SECONDS;
                             } else {
-                                String why =
+                                String reason =
                                         new String(
-                                                piece, 1, piece.length - 1, StandardCharsets.UTF_8);
-                                LOG.warn("not welcome", kv("at", to.toString()), kv("why", why));
+                                                frame, 1, frame.length - 1, StandardCharsets.UTF_8);
+                                LOG.warn(
+                                        "not welcome",
+                                        kv("at", peer.toString()),
+                                        kv("why", reason));
                                 count("refused by others");
-                                gap = LONGEST_GAP;
-                                drop(loop.now());
+                                reconnectDelay = MAX_RECONNECT_SECONDS;
+                                disconnect(loop.now());
                             }
                         });
             } catch (FrameCodec.MalformedFrameException e) {
-                drop(loop.now());
+                disconnect(loop.now());
             }
         }
 
         @Override
         public void inputEnded() {
-            drop(loop.now());
+            disconnect(loop.now());
         }
 
         @Override
         public void connectionLost() {
-            drop(loop.now());
+            disconnect(loop.now());
         }
     }
 
-    private boolean room() {
-        while (callers.size() >= installation.bounds().callers()) {
-            Entrance oldest = callers.iterator().next();
+    private boolean makeRoomForConnection() {
+        while (callers.size() >= settings.limits().maxCallers()) {
+            InboundConnection oldest = callers.iterator().next();
             count("callers that gave way");
             oldest.close();
         }
@@ -472,47 +481,47 @@
     }
 
     /** A connection that came in: of another instance, or of a caller. */
-    final class Entrance implements TcpConnection.Listener {
-        private static final int MOST_MISSED = 20;
-        private final TcpConnection link;
+    final class InboundConnection implements TcpConnection.Listener {
+        private static final int MAX_CONSECUTIVE_DROPS = 20;
+        private final TcpConnection connection;
         private final FrameCodec frames = new FrameCodec();
-        private MemberId from;
-        private String name = "";
-        private String address = "";
-        private Nodes.NodeLink node;
-        private int backedUp;
-        private final Set<Long> waiting = new LinkedHashSet<>();
-
-        Entrance(TcpConnection link) {
-            this.link = link;
+        private MemberId peer;
+        private String peerName = "";
+        private String peerAddress = "";
+        private NodeConnections.NodeConnection node;
+        private int consecutiveDrops;
+        private final Set<Long> openCallIds = new LinkedHashSet<>();
+
+        InboundConnection(TcpConnection connection) {
+            this.connection = connection;
             callers.add(this);
-            link.setListener(this);
+            connection.setListener(this);
         }
 
         @Override
         public void received(ByteBuffer bytes) {
-            guarded(Instance.this::catchUp);
+            runGuarded(Instance.this::catchUpTicks);
             try {
-                frames.take(bytes, piece -> guarded(() -> piece(piece)));
+                frames.take(bytes, frame -> runGuarded(() -> handleFrame(frame)));
             } catch (FrameCodec.MalformedFrameException e) {
                 count("connections with unreadable bytes");
                 close();
             }
         }
 
-        private void piece(byte[] piece) {
-            if (link.isClosed() || duties == null) {
+        private void handleFrame(byte[] frame) {
+            if (connection.isClosed() || tasks == null) {
                 return;
             }
             try {
-                switch (piece[0]) {
-                    case FrameCodec.HANDSHAKE -> greeted(Greeting.read(piece));
-                    case FrameCodec.MESSAGE -> message(piece);
-                    case FrameCodec.CALL -> Calls.take(Instance.this, this, piece);
-                    case FrameCodec.NODE -> node(JsonMessages.read(piece));
+                switch (frame[0]) {
+                    case FrameCodec.HANDSHAKE -> handleHandshake(Handshake.decode(frame));
+                    case FrameCodec.MESSAGE -> handleRaftMessage(frame);
+                    case FrameCodec.CALL -> CallHandler.handle(Instance.this, this, frame);
+                    case FrameCodec.NODE -> handleNodeMessage(JsonMessages.read(frame));
                     default ->
                             throw new FrameCodec.MalformedFrameException(
-                                    "a piece of kind " + piece[0]);
+                                    "a piece of kind " + frame[0]);
                 }
             } catch (FrameCodec.MalformedFrameException | MalformedBytesException e) {
                 count("connections with unreadable bytes");
@@ -520,154 +529,156 @@
             }
         }
 
-        private void node(ObjectNode words) throws FrameCodec.MalformedFrameException {
-            if (node == null && words.path("kind").asText().equals("here")) {
+        private void handleNodeMessage(ObjectNode message)
+                throws FrameCodec.MalformedFrameException {
+            if (node == null && message.path("kind").asText().equals("here")) {
                 callers.remove(this);
-                node = duties.nodes().greeted(this, words);
+                node = tasks.nodes().handleHello(this, message);
             } else if (node != null) {
-                duties.nodes().heard(node, words);
+                tasks.nodes().handleMessage(node, message);
             } else {
                 throw new FrameCodec.MalformedFrameException("a node that has not said who it is");
             }
         }
 
         /** Says something to a node. */
-        void tell(ObjectNode words) {
-            if (link.isClosed()) {
+        void sendToNode(ObjectNode message) {
+            if (connection.isClosed()) {
                 return;
             }
-            if (link.hasPendingWrites()
-                    || !link.write(JsonMessages.frame(FrameCodec.ORDER, words))) {
+            if (connection.hasPendingWrites()
+                    || !connection.write(JsonMessages.frame(FrameCodec.ORDER, message))) {
                 count("words to nodes dropped");
                 // What it misses it is told again, or it comes again.
-                backedUp++;
-                if (backedUp > MOST_MISSED) {
+                consecutiveDrops++;
+                if (consecutiveDrops > MAX_CONSECUTIVE_DROPS) {
                     close();
                 }
             } else {
-                backedUp = 0;
+                consecutiveDrops = 0;
             }
         }
 
         /** Ends it, once what was written is out. */
-        void finish() {
+        void closeGracefully() {
             callers.remove(this);
-            link.closeGracefully();
+            connection.closeGracefully();
         }
 
-        private void greeted(Greeting greeting) {
-            String no = refusal(greeting);
-            if (no != null) {
+        private void handleHandshake(Handshake handshake) {
+            String rejection = rejectionReason(handshake);
+            if (rejection != null) {
                 count("instances refused");
                 LOG.warn(
                         "refused",
-                        kv("name", greeting.name()),
-                        kv("id", greeting.from().toString()),
-                        kv("why", no));
-                link.write(
+                        kv("name", handshake.senderName()),
+                        kv("id", handshake.sender().toString()),
+                        kv("why", rejection));
+                connection.write(
                         FrameCodec.encode(
                                 FrameCodec.HANDSHAKE_REJECTED,
-                                no.getBytes(StandardCharsets.UTF_8)));
+                                rejection.getBytes(StandardCharsets.UTF_8)));
                 callers.remove(this);
-                link.closeGracefully();
+                connection.closeGracefully();
                 return;
             }
-            if (greeting.to().number() != 0) {
-                if (identity.group() == 0 && !belong(greeting.group())) {
+            if (handshake.recipient().number() != 0) {
+                if (identity.group() == 0 && !joinGroup(handshake.group())) {
                     close();
                     return;
                 }
-                from = greeting.from();
-                name = greeting.name();
-                address = greeting.address();
+                peer = handshake.sender();
+                peerName = handshake.senderName();
+                peerAddress = handshake.senderAddress();
                 callers.remove(this);
-                Entrance older = entrances.put(from, this);
-                if (older != null) {
+                InboundConnection previous = inboundPeers.put(peer, this);
+                if (previous != null) {
                     // What it still holds is of a run before, or was given up by its sender.
-                    older.close();
+                    previous.close();
                 }
             }
-            link.write(
+            connection.write(
                     FrameCodec.encode(
                             FrameCodec.HANDSHAKE_ACCEPTED,
-                            Greeting.of(
+                            Handshake.of(
                                             identity.group(),
                                             identity.id(),
-                                            installation.name(),
-                                            greeting.from(),
-                                            installation.address())
-                                    .bytes()));
+                                            settings.name(),
+                                            handshake.sender(),
+                                            settings.advertisedAddress())
+                                    .encode()));
         }
 
-        private String refusal(Greeting greeting) {
-            if (Greeting.common(greeting.oldest(), greeting.newest()) == 0) {
+        private String rejectionReason(Handshake handshake) {
+            if (Handshake.negotiatedVersion(handshake.oldestVersion(), handshake.newestVersion())
+                    == 0) {
                 return "versions "
-                        + greeting.oldest()
+                        + handshake.oldestVersion()
                         + " to "
-                        + greeting.newest()
+                        + handshake.newestVersion()
                         + " are not known here, but "
-                        + Greeting.OLDEST
+                        + Handshake.OLDEST_VERSION
                         + " to "
-                        + Greeting.NEWEST;
+                        + Handshake.NEWEST_VERSION;
             }
-            if (greeting.to().number() == 0) {
+            if (handshake.recipient().number() == 0) {
                 return null;
             }
-            if (!greeting.to().equals(identity.id())) {
-                return "here is " + identity.id() + ", not " + greeting.to();
+            if (!handshake.recipient().equals(identity.id())) {
+                return "here is " + identity.id() + ", not " + handshake.recipient();
             }
-            if (identity.group() != 0 && greeting.group() != identity.group()) {
+            if (identity.group() != 0 && handshake.group() != identity.group()) {
                 return "of group "
-                        + Long.toHexString(greeting.group())
+                        + Long.toHexString(handshake.group())
                         + ", here is "
                         + Long.toHexString(identity.group());
             }
-            return greeting.group() == 0 ? "of no group" : null;
+            return handshake.group() == 0 ? "of no group" : null;
         }
 
-        private void message(byte[] piece) throws FrameCodec.MalformedFrameException {
-            if (from == null || entrances.get(from) != this) {
+        private void handleRaftMessage(byte[] frame) throws FrameCodec.MalformedFrameException {
+            if (peer == null || inboundPeers.get(peer) != this) {
                 throw new FrameCodec.MalformedFrameException("a message without a greeting");
             }
             count("messages taken");
             replica.receive(
                     loop.now(),
-                    from,
-                    RaftMessageCodec.decode(Arrays.copyOfRange(piece, 1, piece.length)));
+                    peer,
+                    RaftMessageCodec.decode(Arrays.copyOfRange(frame, 1, frame.length)));
         }
 
-        void answer(ObjectNode answer) {
-            if (!link.isClosed()) {
-                link.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.bytes(answer)));
+        void sendAnswer(ObjectNode answer) {
+            if (!connection.isClosed()) {
+                connection.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.bytes(answer)));
             }
         }
 
-        long waits(Calls.Waiter waiter) {
-            long call = ++lastCall;
-            calls.put(call, waiter);
-            waiting.add(call);
-            return call;
+        long registerCall(CallHandler.ResultListener listener) {
+            long callId = ++lastCallId;
+            pendingCalls.put(callId, listener);
+            openCallIds.add(callId);
+            return callId;
         }
 
-        void answered(long call) {
-            waiting.remove(call);
+        void callAnswered(long callId) {
+            openCallIds.remove(callId);
         }
 
         void close() {
             callers.remove(this);
-            if (from != null) {
-                entrances.remove(from, this);
+            if (peer != null) {
+                inboundPeers.remove(peer, this);
             }
             if (node != null) {
-                duties.nodes().gone(node);
+                tasks.nodes().remove(node);
             }
-            waiting.forEach(
-                    call -> {
-                        calls.remove(call);
-                        replica.abandon(call);
+            openCallIds.forEach(
+                    callId -> {
+                        pendingCalls.remove(callId);
+                        replica.abandon(callId);
                     });
-            waiting.clear();
-            link.close();
+            openCallIds.clear();
+            connection.close();
         }
 
         @Override
@@ -684,7 +695,7 @@
     /**
      * From now on of this group; whether that is on disk. Only once, before anything is promised.
      */
-    private boolean belong(long group) {
+    private boolean joinGroup(long group) {
         Identity next = new Identity(identity.id(), group);
         try {
             next.write(disk);
@@ -711,71 +722,71 @@
         return identity;
     }
 
-    Map<String, Long> counts() {
-        return counts;
+    Map<String, Long> counters() {
+        return counters;
     }
 
     String name() {
-        return installation.name();
+        return settings.name();
     }
 
-    int logFiles() {
-        return keeper.logFileCount();
+    int logFileCount() {
+        return persistence.logFileCount();
     }
 
     /** Begins a group with this instance as its only one. */
-    String found() {
+    String createGroup() {
         if (identity.group() != 0 || replica.raft().lastIndex() > 0) {
             return "this instance belongs to group "
                     + Long.toHexString(identity.group())
                     + " already";
         }
-        if (!belong(Identity.number())) {
+        if (!joinGroup(Identity.randomId())) {
             return "the disk takes nothing";
         }
         replica.bootstrap(
                 loop.now(),
                 new Member(
                         identity.id(),
-                        installation.name(),
-                        installation.address(),
+                        settings.name(),
+                        settings.advertisedAddress(),
                         Member.Role.VOTER));
         return null;
     }
 
     /** Asks who is at an address, then takes that one in. */
-    void add(long call, String address, Member.Role role) {
+    void addMember(long callId, String address, Member.Role role) {
         FrameCodec frames = new FrameCodec();
-        TcpConnection[] link = new TcpConnection[1];
+        TcpConnection[] connection = new TcpConnection[1];
         EventLoop.Timer[] timer = new EventLoop.Timer[1];
-        Consumer<String> no =
-                why -> {
+        Consumer<String> reject =
+                reason -> {
                     timer[0].cancel();
-                    link[0].close();
-                    complete(call, new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, why));
+                    connection[0].close();
+                    complete(callId, new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, reason));
                 };
-        timer[0] = loop.schedule(2, () -> no.accept("nobody answers at " + address));
-        link[0] =
+        timer[0] = loop.schedule(2, () -> reject.accept("nobody answers at " + address));
+        connection[0] =
                 loop.connect(
                         TomlSettings.socket(address),
                         new TcpConnection.Listener() {
                             @Override
                             public void connected() {
-                                link[0].write(
+                                connection[0].write(
                                         FrameCodec.encode(
                                                 FrameCodec.HANDSHAKE,
-                                                Greeting.of(
+                                                Handshake.of(
                                                                 identity.group(),
                                                                 identity.id(),
-                                                                installation.name(),
+                                                                settings.name(),
                                                                 new MemberId(0),
-                                                                installation.address())
-                                                        .bytes()));
+                                                                settings.advertisedAddress())
+                                                        .encode()));
                             }
 
                             @Override
                             public void connectFailed() {
-                                no.accept("nobody is at " + address);
+                                reject.accept("nobody is at " + address);
                             }
 
                             @Override
@@ -783,56 +794,57 @@
                                 try {
                                     frames.take(
                                             bytes,
-                                            piece -> {
+                                            frame -> {
                                                 try {
-                                                    met(Greeting.read(piece));
+                                                    met(Handshake.decode(frame));
                                                 } catch (FrameCodec.MalformedFrameException e) {
-                                                    no.accept(e.getMessage());
+                                                    reject.accept(e.getMessage());
                                                 }
                                             });
                                 } catch (FrameCodec.MalformedFrameException e) {
-                                    no.accept(e.getMessage());
+                                    reject.accept(e.getMessage());
                                 }
                             }
 
-                            private void met(Greeting other) {
+                            private void met(Handshake other) {
                                 if (other.group() != 0 && other.group() != identity.group()) {
-                                    no.accept(
-                                            other.name()
+                                    reject.accept(
+                                            other.senderName()
                                                     + " belongs to group "
                                                     + Long.toHexString(other.group()));
                                     return;
                                 }
                                 timer[0].cancel();
-                                link[0].close();
+                                connection[0].close();
                                 replica.addMember(
                                         loop.now(),
-                                        call,
-                                        new Member(other.from(), other.name(), address, role));
+                                        callId,
+                                        new Member(
+                                                other.sender(), other.senderName(), address, role));
                             }
 
                             @Override
                             public void inputEnded() {
-                                no.accept("who is at " + address + " ended the connection");
+                                reject.accept("who is at " + address + " ended the connection");
                             }
 
                             @Override
                             public void connectionLost() {
-                                no.accept("who is at " + address + " broke the connection");
+                                reject.accept("who is at " + address + " broke the connection");
                             }
                         });
     }
 
     @Override
-    public void complete(long call, CallResult answer) {
-        Calls.Waiter waiter = calls.remove(call);
-        if (waiter != null) {
-            waiter.hears(call, answer);
+    public void complete(long callId, CallResult result) {
+        CallHandler.ResultListener listener = pendingCalls.remove(callId);
+        if (listener != null) {
+            listener.completed(callId, result);
         }
     }
 
     @Override
-    public void roleChanged(boolean leads, long term, Optional<MemberId> leader) {
+    public void roleChanged(boolean isLeader, long term, Optional<MemberId> leader) {
         // Called while the replica is made, too.
         String leaderName =
                 replica == null
@@ -840,8 +852,8 @@
                         : leader.flatMap(replica.raft().membership()::find)
                                 .map(Member::name)
                                 .orElse("");
-        LOG.info(leads ? "leads" : "follows", kv("term", term), kv("leader", leaderName));
-        count(leads ? "terms led" : "changes of leader");
+        LOG.info(isLeader ? "leads" : "follows", kv("term", term), kv("leader", leaderName));
+        count(isLeader ? "terms led" : "changes of leader");
     }
 
     // The end.
@@ -850,40 +862,42 @@
      * At SIGTERM: hands over first, its duties and then the lead, so that nobody waits for it to be
      * missed.
      */
-    private void end() {
+    private void shutDown() {
         loop.execute(
                 () -> {
-                    LOG.info("ends", kv("counts", counts.toString()));
-                    awaitDutiesGivenBack(loop.now() + GIVE_BACK);
+                    LOG.info("ends", kv("counts", counters.toString()));
+                    awaitTasksReleased(loop.now() + TASK_RELEASE_SECONDS);
                 });
         try {
-            ended.await((long) (1000 * (GIVE_BACK + HAND_OVER + 1)), TimeUnit.MILLISECONDS);
+            shutdownComplete.await(
+                    (long) (1000 * (TASK_RELEASE_SECONDS + LEADERSHIP_TRANSFER_SECONDS + 1)),
+                    TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void awaitDutiesGivenBack(double until) {
-        if (duties != null && !duties.leave() && loop.now() < until) {
-            loop.schedule(LOOK, () -> awaitDutiesGivenBack(until));
+    private void awaitTasksReleased(double deadline) {
+        if (tasks != null && !tasks.releaseAll() && loop.now() < deadline) {
+            loop.schedule(SHUTDOWN_POLL_SECONDS, () -> awaitTasksReleased(deadline));
             return;
         }
-        Optional<MemberId> heir =
+        Optional<MemberId> target =
                 replica.isLeader() ? replica.raft().bestTransferTarget() : Optional.empty();
-        if (heir.isEmpty()) {
-            ended.countDown();
+        if (target.isEmpty()) {
+            shutdownComplete.countDown();
             return;
         }
-        replica.transferLeadership(loop.now(), ++lastCall, heir.get());
-        awaitFollower(loop.now() + HAND_OVER);
+        replica.transferLeadership(loop.now(), ++lastCallId, target.get());
+        awaitLeadershipTransfer(loop.now() + LEADERSHIP_TRANSFER_SECONDS);
     }
 
-    private void awaitFollower(double until) {
-        if (!replica.isLeader() || loop.now() > until) {
+    private void awaitLeadershipTransfer(double deadline) {
+        if (!replica.isLeader() || loop.now() > deadline) {
             LOG.info("ended", kv("led", replica.isLeader()));
-            ended.countDown();
+            shutdownComplete.countDown();
         } else {
-            loop.schedule(LOOK, () -> awaitFollower(until));
+            loop.schedule(SHUTDOWN_POLL_SECONDS, () -> awaitLeadershipTransfer(deadline));
         }
     }
 }
--- /dev/null
+++ b/hosted/src/main/java/embershift/hosted/LeasedTask.java
@@ -0,0 +1,248 @@
+package embershift.hosted;
+
+import static net.logstash.logback.argument.StructuredArguments.kv;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.LeaseHolder;
+import embershift.fleet.lease.LeaseSettings;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.lease.TaskPlan;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
+import embershift.fleet.store.SessionId;
+import embershift.fleet.store.StoreCommand;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * One duty at this instance: an {@link LeaseHolder} with its calls to the record. Those that extend
+ * it do the work, while it holds, by its fence. On the loop.
+ */
+abstract class LeasedTask implements LeaseHolder.Environment {
+
+    private static final Logger LOG = LoggerFactory.getLogger(LeasedTask.class);
+    private static final double CALL_TIMEOUT_SECONDS = 1.5;
+    private static final double WRITE_RETRY_SECONDS = 0.2;
+
+    private record PendingWrite(List<Mutation> mutations, Runnable onWritten) {}
+
+    final LeasedTasks tasks;
+    final TaskId id;
+    private LeaseHolder leaseHolder;
+    private FencingToken activeToken = FencingToken.NONE;
+    private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
+    private boolean isWriting;
+
+    /** The order to hand it over that was followed already. */
+    private long handledTransfer;
+
+    LeasedTask(LeasedTasks tasks, String name) {
+        this.tasks = tasks;
+        id = new TaskId(name);
+    }
+
+    /** The number at the beginning of what the record holds there; 0 for nothing. */
+    static long leadingNumber(KeyValue item) {
+        String firstWord = item == null ? "" : item.value().split(" ", 2)[0];
+        return firstWord.matches("\\d{1,18}") ? Long.parseLong(firstWord) : 0;
+    }
+
+    final void createLeaseHolder(TaskPlan plan, LeaseSettings settings) {
+        leaseHolder = new LeaseHolder(tasks.name(), id, plan, settings, this);
+    }
+
+    final LeaseHolder leaseHolder() {
+        return leaseHolder;
+    }
+
+    final double now() {
+        return tasks.now();
+    }
+
+    final boolean holdsLease() {
+        return leaseHolder != null && leaseHolder.isHeld(now());
+    }
+
+    final FencingToken token() {
+        return leaseHolder.token();
+    }
+
+    /** The duty is this instance's, by this fence. */
+    abstract void leaseAcquired();
+
+    /** It is not any more: nothing may go out from now on. */
+    abstract void leaseLost();
+
+    /** Called often while it holds. */
+    abstract void doWork();
+
+    /** Called before the owner looks at the time, whether it holds or not. */
+    void prepare() {}
+
+    final void tick(double acquireDelay) {
+        prepare();
+        if (leaseHolder == null) {
+            return;
+        }
+        double now = now();
+        KeyValue transfer = tasks.store().find("duty/" + id.name() + "/wanted").orElse(null);
+        boolean isTarget = transfer != null && transfer.value().equals(tasks.name());
+        if (transfer != null
+                && !isTarget
+                && leaseHolder.isHeldOrReleasing()
+                && transfer.revision() != handledTransfer) {
+            handledTransfer = transfer.revision();
+            notifyOperator(id.name() + " is handed over to " + transfer.value());
+            leaseHolder.release(now);
+        }
+        leaseHolder.setAcquireDelay(
+                isTarget
+                        ? 0
+                        : transfer != null
+                                ? acquireDelay + LeasedTasks.TRANSFER_DELAY_SECONDS
+                                : acquireDelay);
+        leaseHolder.setHeldByAnother(now, tasks.store().find(id.holderKey()).isPresent());
+        if (isTarget) {
+            leaseHolder.acquireSoon(now);
+        }
+        leaseHolder.tick(now);
+        if (holdsLease() && !activeToken.equals(leaseHolder.token())) {
+            deactivate();
+            activeToken = leaseHolder.token();
+            LOG.info("duty", kv("duty", id.name()), kv("fence", activeToken.number()));
+            tasks.count("duties begun");
+            if (isTarget) {
+                write(List.of(Mutation.delete(transfer.key())));
+            } else if (transfer != null) {
+                // The one that it is to go to has not come for it.
+                handledTransfer = transfer.revision();
+            }
+            leaseAcquired();
+        }
+        if (!holdsLease()) {
+            deactivate();
+        } else {
+            doWork();
+        }
+    }
+
+    private void deactivate() {
+        if (!activeToken.equals(FencingToken.NONE)) {
+            activeToken = FencingToken.NONE;
+            pendingWrites.clear();
+            LOG.info("duty over", kv("duty", id.name()));
+            leaseLost();
+        }
+    }
+
+    /**
+     * Writes under this owner's fence, in this order; nothing of it is written once another was
+     * granted the duty.
+     */
+    final void write(List<Mutation> mutations) {
+        write(mutations, () -> {});
+    }
+
+    /** {@code done} runs once it is in the record, while this owner still has the duty. */
+    final void write(List<Mutation> mutations, Runnable onWritten) {
+        pendingWrites.add(new PendingWrite(mutations, onWritten));
+        writeNext();
+    }
+
+    private void writeNext() {
+        if (isWriting || pendingWrites.isEmpty() || !holdsLease()) {
+            return;
+        }
+        isWriting = true;
+        List<Mutation> mutations = pendingWrites.peek().mutations;
+        FencingToken token = token();
+        tasks.commandClient()
+                .call(
+                        AsyncStoreClient.newTransaction(
+                                List.of(new Precondition(id.tokenKey(), token.number())),
+                                mutations),
+                        CALL_TIMEOUT_SECONDS,
+                        outcome -> {
+                            isWriting = false;
+                            if (!token.equals(activeToken)) {
+                                return;
+                            }
+                            if (outcome.isDone()) {
+                                pendingWrites.poll().onWritten.run();
+                                writeNext();
+                            } else if (outcome.reason().equals("condition")) {
+                                leaseHolder.learnedToken(
+                                        now(), new FencingToken(token.number() + 1));
+                            } else {
+                                tasks.schedule(WRITE_RETRY_SECONDS, this::writeNext);
+                            }
+                        });
+    }
+
+    /**
+     * Gives a node an order by this owner's fence; a node that knows a later one ends the duty
+     * here. Hears the verdict, or null for none.
+     */
+    final void sendOrder(
+            NodeConnections.NodeConnection node,
+            String kind,
+            ObjectNode order,
+            Consumer<ObjectNode> listener) {
+        node.sendOrder(
+                order.put("duty", id.name()).put("fence", token().number()).put("what", kind),
+                verdict -> {
+                    if (verdict != null && verdict.path("verdict").asText().equals("OLD")) {
+                        tasks.count("orders refused as old");
+                        leaseHolder.learnedToken(
+                                now(), new FencingToken(verdict.path("known").asLong()));
+                    }
+                    listener.accept(verdict);
+                });
+    }
+
+    // The owner's hands.
+
+    @Override
+    public final void submit(StoreCommand command) {
+        tasks.commandClient()
+                .call(
+                        command,
+                        CALL_TIMEOUT_SECONDS,
+                        result -> leaseHolder.commandCompleted(now(), command, result));
+    }
+
+    @Override
+    public final void renewSession(SessionId session, double sentAt) {
+        tasks.queryClient()
+                .renewSession(
+                        session,
+                        CALL_TIMEOUT_SECONDS,
+                        () -> leaseHolder.sessionRenewed(now(), sentAt),
+                        () -> leaseHolder.sessionEnded(now()));
+    }
+
+    @Override
+    public final void readProgress(TaskId task) {
+        tasks.queryClient()
+                .readValue(
+                        task.progressKey(),
+                        CALL_TIMEOUT_SECONDS,
+                        progress -> leaseHolder.progressRead(now(), progress));
+    }
+
+    @Override
+    public void runStep(TaskId task, TaskPlan plan, int step, FencingToken token) {
+        // A duty without steps begins its work at the next tick.
+    }
+
+    @Override
+    public final void notifyOperator(String message) {
+        LOG.info("told", kv("duty", id.name()), kv("what", message));
+    }
+}
--- a/hosted/src/main/java/embershift/hosted/Main.java
+++ b/hosted/src/main/java/embershift/hosted/Main.java
@@ -13,28 +13,28 @@
 /** The command line of the hosted program. */
 public final class Main {
 
-    static final int USAGE = 2;
+    static final int USAGE_ERROR = 2;
     private static final int CANNOT_START = 4;
 
     private Main() {}
 
-    private static class Installed {
+    private static class SettingsOptions {
         @Parameter(
                 names = "--installation",
                 description = "The file that tells of this instance",
                 required = true)
-        String installation;
+        String settingsFile;
 
-        Installation read() throws TomlSettings.InvalidSettingsException {
-            return Installation.read(Path.of(installation));
+        InstanceSettings readSettings() throws TomlSettings.InvalidSettingsException {
+            return InstanceSettings.read(Path.of(settingsFile));
         }
     }
 
     @Parameters(commandDescription = "Run one of the instances that agree")
-    private static final class Instances extends Installed {}
+    private static final class RunInstance extends SettingsOptions {}
 
     @Parameters(commandDescription = "Say whether an instance could run by this file")
-    private static final class Check extends Installed {}
+    private static final class CheckSettings extends SettingsOptions {}
 
     /** Of the program, and of each command. */
     static final class Help {
@@ -42,22 +42,22 @@
                 names = {"--help", "-h"},
                 description = "Say what there is",
                 help = true)
-        private boolean wanted;
+        private boolean isRequested;
 
         /** Whether it was asked for; then it has been given. */
-        boolean given(JCommander line) {
-            if (wanted) {
-                (line.getParsedCommand() == null
-                                ? line
-                                : line.getCommands().get(line.getParsedCommand()))
+        boolean printIfRequested(JCommander commandLine) {
+            if (isRequested) {
+                (commandLine.getParsedCommand() == null
+                                ? commandLine
+                                : commandLine.getCommands().get(commandLine.getParsedCommand()))
                         .usage();
             }
-            return wanted;
+            return isRequested;
         }
     }
 
     @Parameters(commandDescription = "Administrators' commands; fleet --help tells them")
-    private static final class Fleet {}
+    private static final class FleetHelp {}
 
     public static void main(String[] args) {
         int status = run(args);
@@ -68,39 +68,40 @@
 
     /** The exit status; negative: the program goes on by itself. */
     public static int run(String[] args) {
-        Instances instances = new Instances();
-        Check check = new Check();
+        RunInstance instances = new RunInstance();
+        CheckSettings check = new CheckSettings();
         FleetCommands fleet = new FleetCommands();
         Help help = new Help();
-        JCommander line =
+        JCommander commandLine =
                 JCommander.newBuilder()
                         .programName("embershift-hosted")
                         .addObject(help)
                         .addCommand("instance", List.of(instances, help))
                         .addCommand("check", List.of(check, help))
-                        .addCommand("fleet", new Fleet())
+                        .addCommand("fleet", new FleetHelp())
                         .build();
         if (args.length > 0 && args[0].equals("fleet")) {
             return fleet.run(Arrays.copyOfRange(args, 1, args.length));
         }
         try {
-            line.parse(args);
-            if (help.given(line)) {
+            commandLine.parse(args);
+            if (help.printIfRequested(commandLine)) {
                 return 0;
             }
-            if ("instance".equals(line.getParsedCommand())) {
-                Instance.start(instances.read());
+            if ("instance".equals(commandLine.getParsedCommand())) {
+                Instance.start(instances.readSettings());
                 return -1;
             }
-            if ("check".equals(line.getParsedCommand())) {
-                Installation read = check.read();
-                System.out.println("sound: " + read.name() + " listens at " + read.listen());
+            if ("check".equals(commandLine.getParsedCommand())) {
+                InstanceSettings settings = check.readSettings();
+                System.out.println(
+                        "sound: " + settings.name() + " listens at " + settings.listenAddress());
                 return 0;
             }
             throw new ParameterException("instance, check or fleet is wanted");
         } catch (ParameterException | TomlSettings.InvalidSettingsException e) {
             System.err.println(e.getMessage().lines().findFirst().orElse(""));
-            return USAGE;
+            return USAGE_ERROR;
         } catch (IOException e) {
             System.err.println("can't start: " + e.getMessage());
             return CANNOT_START;
--- /dev/null
+++ b/hosted/src/main/java/embershift/hosted/NodeConnections.java
@@ -0,0 +1,350 @@
+package embershift.hosted;
+
+import static net.logstash.logback.argument.StructuredArguments.kv;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import embershift.door.JsonMessages;
+import embershift.fleet.audit.AuditSegment;
+import embershift.fleet.audit.HybridLogicalClock;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.KeyValueStore;
+import embershift.fleet.store.Mutation;
+import embershift.fleet.store.Precondition;
+import embershift.transport.EventLoop;
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import java.util.regex.Pattern;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * The nodes that are linked to this instance: who they are, what they say, and the orders that are
+ * out to them. On the loop.
+ */
+final class NodeConnections {
+
+    private static final Logger LOG = LoggerFactory.getLogger(NodeConnections.class);
+    private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+    private static final double CALL_TIMEOUT_SECONDS = 3;
+
+    /**
+     * Seconds after which an order without a verdict is given up: it is void at the node by then,
+     * or soon.
+     */
+    private static final double VERDICT_TIMEOUT_SECONDS = 5;
+
+    private static final int PROTOCOL_VERSION = 1;
+
+    /** Orders that may be out to one node. */
+    private static final int MAX_PENDING_ORDERS = 64;
+
+    static final String NODE_PREFIX = "node/";
+    static final String SHUT_OUT_PREFIX = "out/";
+
+    /** What the duties hear of nodes. */
+    interface Listener {
+
+        void nodeReported(NodeConnection node);
+
+        void nodeDisconnected(NodeConnection node);
+    }
+
+    private record PendingOrder(Consumer<ObjectNode> listener, double deadline) {}
+
+    /** One node's connection. */
+    final class NodeConnection {
+        final String name;
+        final String bootId;
+        long incarnation;
+        private final Instance.InboundConnection connection;
+        private double nodeClock;
+        private double lastHeardAt;
+        private JsonNode report = JsonMessages.node();
+        private boolean isWelcomed;
+        private final Map<Long, PendingOrder> pendingOrders = new HashMap<>();
+
+        private NodeConnection(
+                String name,
+                String bootId,
+                long incarnation,
+                double nodeClock,
+                Instance.InboundConnection connection) {
+            this.name = name;
+            this.bootId = bootId;
+            this.incarnation = incarnation;
+            this.nodeClock = nodeClock;
+            this.connection = connection;
+            lastHeardAt = loop.now();
+        }
+
+        /**
+         * A time, by this instance's clock, since which the node is known to have run and been
+         * heard.
+         */
+        double lastHeardAt() {
+            return lastHeardAt;
+        }
+
+        /** What it reported last; empty before the first. */
+        JsonNode report() {
+            return report;
+        }
+
+        /** Gives an order; hears the verdict, or null where none came in time. */
+        void sendOrder(ObjectNode order, Consumer<ObjectNode> listener) {
+            if (pendingOrders.size() >= MAX_PENDING_ORDERS) {
+                listener.accept(null);
+                return;
+            }
+            long id = ++lastOrderId;
+            pendingOrders.put(id, new PendingOrder(listener, loop.now() + VERDICT_TIMEOUT_SECONDS));
+            send(order.put("kind", "order").put("id", id).put("seen", nodeClock));
+        }
+
+        private void send(ObjectNode message) {
+            hybridClock = hybridClock.next(System.currentTimeMillis());
+            connection.sendToNode(
+                    message.put("floor", revisionFloor())
+                            .put("time", hybridClock.toString())
+                            .put("at", loop.now()));
+        }
+
+        private void reject(String reason) {
+            LOG.warn(
+                    "node is out",
+                    kv("node", name),
+                    kv("incarnation", incarnation),
+                    kv("why", reason));
+            send(JsonMessages.node("out").put("why", reason));
+            connection.closeGracefully();
+            remove(this);
+        }
+    }
+
+    private final EventLoop loop;
+    private final Supplier<KeyValueStore> store;
+    private final AsyncStoreClient registrationClient;
+    private final AsyncStoreClient auditClient;
+    private final Listener listener;
+    private final Map<String, NodeConnection> connections = new TreeMap<>();
+    private HybridLogicalClock hybridClock = HybridLogicalClock.START;
+    private long lastOrderId;
+
+    NodeConnections(
+            EventLoop loop,
+            Supplier<KeyValueStore> store,
+            AsyncStoreClient registrationClient,
+            AsyncStoreClient auditClient,
+            Listener listener) {
+        this.loop = loop;
+        this.store = store;
+        this.registrationClient = registrationClient;
+        this.auditClient = auditClient;
+        this.listener = listener;
+    }
+
+    Collection<NodeConnection> connected() {
+        return connections.values();
+    }
+
+    NodeConnection get(String name) {
+        return connections.get(name);
+    }
+
+    private long revisionFloor() {
+        return LeasedTask.leadingNumber(store.get().find(RolloutTask.FLOOR_KEY).orElse(null));
+    }
+
+    /** Whoever may not be here any more is told so. To be called several times a second. */
+    void checkConnections() {
+        double now = loop.now();
+        for (NodeConnection node : List.copyOf(connections.values())) {
+            String reason = rejectionReason(node.name, node.bootId, node.incarnation);
+            if (reason != null) {
+                node.reject(reason);
+                continue;
+            }
+            for (Map.Entry<Long, PendingOrder> pending :
+                    new ArrayList<>(node.pendingOrders.entrySet())) {
+                if (now > pending.getValue().deadline) {
+                    node.pendingOrders.remove(pending.getKey());
+                    pending.getValue().listener.accept(null);
+                }
+            }
+        }
+    }
+
+    /**
+     * Why an incarnation may not act for the fleet, by what this instance has of the record; or
+     * null.
+     */
+    private String rejectionReason(String name, String bootId, long incarnation) {
+        if (incarnation == 0) {
+            return null;
+        }
+        KeyValue shutOut = store.get().find(SHUT_OUT_PREFIX + name).orElse(null);
+        if (shutOut != null && LeasedTask.leadingNumber(shutOut) >= incarnation) {
+            return "shut out: " + shutOut.value().replaceFirst("^\\d+ ?", "");
+        }
+        KeyValue registration = store.get().find(NODE_PREFIX + name).orElse(null);
+        return registration != null
+                        && !registration.value().equals(bootId)
+                        && registration.revision() > incarnation
+                ? "another process has the name " + name + " since"
+                : null;
+    }
+
+    // What nodes say.
+
+    NodeConnection handleHello(Instance.InboundConnection connection, ObjectNode hello) {
+        String name = hello.path("name").asText();
+        String bootId = hello.path("boot").asText();
+        if (!NAME_PATTERN.matcher(name).matches()
+                || !bootId.matches("[0-9a-f]{1,16}")
+                || hello.path("version").asInt() != PROTOCOL_VERSION) {
+            connection.sendToNode(
+                    JsonMessages.node("out")
+                            .put(
+                                    "why",
+                                    "a node has a name of its own, and speaks version "
+                                            + PROTOCOL_VERSION));
+            connection.closeGracefully();
+            return null;
+        }
+        NodeConnection node =
+                new NodeConnection(
+                        name,
+                        bootId,
+                        hello.path("incarnation").asLong(),
+                        hello.path("clock").asDouble(),
+                        connection);
+        String reason = rejectionReason(name, bootId, node.incarnation);
+        if (reason != null) {
+            node.reject(reason);
+            return node;
+        }
+        KeyValue registration = store.get().find(NODE_PREFIX + name).orElse(null);
+        if (node.incarnation > 0 || (registration != null && registration.value().equals(bootId))) {
+            welcome(node, node.incarnation > 0 ? node.incarnation : registration.revision());
+        } else {
+            register(node);
+        }
+        return node;
+    }
+
+    /** The name is this process's from now on, by a change whose revision is its incarnation. */
+    private void register(NodeConnection node) {
+        registrationClient.call(
+                StoreClient.newPut(NODE_PREFIX + node.name, node.bootId, -1),
+                CALL_TIMEOUT_SECONDS,
+                outcome -> {
+                    if (outcome.isDone()) {
+                        welcome(node, outcome.answer().path("number").asLong());
+                    } else {
+                        // It comes again.
+                        node.connection.close();
+                    }
+                });
+    }
+
+    /**
+     * Whether a process gives way to another that has its name: to one that began after it. A
+     * process whose registration was given up, and came about later all the same, has two
+     * incarnations, and may be known here by the higher one of a connection that it has left: it
+     * never gives way to itself.
+     */
+    static boolean yieldsTo(
+            long incarnation, String bootId, long otherIncarnation, String otherBootId) {
+        return otherIncarnation > incarnation && !otherBootId.equals(bootId);
+    }
+
+    private void welcome(NodeConnection node, long incarnation) {
+        node.incarnation = incarnation;
+        NodeConnection previous = connections.get(node.name);
+        if (previous != null && previous != node) {
+            if (yieldsTo(incarnation, node.bootId, previous.incarnation, previous.bootId)) {
+                node.reject("another process has the name " + node.name + " since");
+                return;
+            }
+            if (previous.bootId.equals(node.bootId)) {
+                previous.connection.close();
+            } else {
+                previous.reject("another process has the name " + node.name + " since");
+            }
+            remove(previous);
+        }
+        connections.put(node.name, node);
+        node.isWelcomed = true;
+        node.send(JsonMessages.node("welcome").put("incarnation", incarnation));
+    }
+
+    void handleMessage(NodeConnection node, ObjectNode message) {
+        HybridLogicalClock.decode(message.path("time").asText(""))
+                .ifPresent(
+                        nodeTime ->
+                                hybridClock =
+                                        hybridClock.merge(nodeTime, System.currentTimeMillis()));
+        if (!node.isWelcomed) {
+            return;
+        }
+        // When the node had this word before it: one that lay long on its way is no news of the
+        // node.
+        node.lastHeardAt =
+                Math.max(node.lastHeardAt, Math.min(message.path("echo").asDouble(), loop.now()));
+        switch (message.path("kind").asText()) {
+            case "report" -> {
+                node.nodeClock = message.path("clock").asDouble();
+                node.report = message;
+                node.send(JsonMessages.node("heard"));
+                listener.nodeReported(node);
+            }
+            case "verdict" -> {
+                PendingOrder pending = node.pendingOrders.remove(message.path("id").asLong());
+                if (pending != null) {
+                    pending.listener.accept(message);
+                }
+            }
+            case "trail" -> storeAuditSegment(node, message);
+            default -> {}
+        }
+    }
+
+    /**
+     * Has a piece of a trail agreed on; it is acknowledged once it is, and once only kept, however
+     * often it came.
+     */
+    private void storeAuditSegment(NodeConnection node, ObjectNode message) {
+        AuditSegment segment = AuditSegment.decode(message.path("text").asText()).orElse(null);
+        if (segment == null
+                || !segment.node().equals(node.name)
+                || segment.incarnation() != node.incarnation) {
+            LOG.warn("a piece of a trail that can't be", kv("node", node.name));
+            return;
+        }
+        auditClient.call(
+                AsyncStoreClient.newTransaction(
+                        List.of(new Precondition(segment.key(), 0)),
+                        List.of(Mutation.put(segment.key(), segment.encode()))),
+                CALL_TIMEOUT_SECONDS,
+                outcome -> {
+                    if (outcome.isDone() || outcome.reason().equals("condition")) {
+                        node.send(JsonMessages.node("kept").put("number", segment.number()));
+                    }
+                });
+    }
+
+    void remove(NodeConnection node) {
+        if (connections.remove(node.name, node)) {
+            listener.nodeDisconnected(node);
+        }
+        node.pendingOrders.values().forEach(pending -> pending.listener.accept(null));
+        node.pendingOrders.clear();
+    }
+}
--- a/hosted/src/main/java/embershift/hosted/Manager.java
+++ b/hosted/src/main/java/embershift/hosted/RestartManagerClient.java
@@ -15,46 +15,49 @@
  * {@code VOID ID}. It answers {@code GOING}, {@code DONE}, {@code VOID} or {@code NO reason}, the
  * same for the same id, whoever calls.
  */
-final class Manager {
+final class RestartManagerClient {
 
-    private static final double PATIENCE = 1;
+    private static final double CALL_TIMEOUT_SECONDS = 1;
 
     private final EventLoop loop;
     private final InetSocketAddress address;
 
-    Manager(EventLoop loop, InetSocketAddress address) {
+    RestartManagerClient(EventLoop loop, InetSocketAddress address) {
         this.loop = loop;
         this.address = address;
     }
 
     /** Hears {@code UNKNOWN} where no answer came: it may have been done, or may be. */
-    void call(String line, Consumer<RollingRestart.RestartState> heard) {
-        TcpConnection[] link = new TcpConnection[1];
-        boolean[] over = new boolean[1];
+    void call(String request, Consumer<RollingRestart.RestartState> listener) {
+        TcpConnection[] connection = new TcpConnection[1];
+        boolean[] isDone = new boolean[1];
         EventLoop.Timer[] timer = new EventLoop.Timer[1];
         LineCodec lines = new LineCodec();
-        Consumer<RollingRestart.RestartState> end =
-                what -> {
-                    if (!over[0]) {
-                        over[0] = true;
+        Consumer<RollingRestart.RestartState> finish =
+                state -> {
+                    if (!isDone[0]) {
+                        isDone[0] = true;
                         timer[0].cancel();
-                        link[0].close();
-                        heard.accept(what);
+                        connection[0].close();
+                        listener.accept(state);
                     }
                 };
-        timer[0] = loop.schedule(PATIENCE, () -> end.accept(RollingRestart.RestartState.UNKNOWN));
-        link[0] =
+        timer[0] =
+                loop.schedule(
+                        CALL_TIMEOUT_SECONDS,
+                        () -> finish.accept(RollingRestart.RestartState.UNKNOWN));
+        connection[0] =
                 loop.connect(
                         address,
                         new TcpConnection.Listener() {
                             @Override
                             public void connected() {
-                                link[0].write(LineCodec.encode(line));
+                                connection[0].write(LineCodec.encode(request));
                             }
 
                             @Override
                             public void connectFailed() {
-                                end.accept(RollingRestart.RestartState.UNKNOWN);
+                                finish.accept(RollingRestart.RestartState.UNKNOWN);
                             }
 
                             @Override
@@ -62,26 +65,26 @@
                                 try {
                                     byte[] answer = lines.next(bytes);
                                     if (answer != null) {
-                                        end.accept(read(LineCodec.decode(answer)));
+                                        finish.accept(parseAnswer(LineCodec.decode(answer)));
                                     }
                                 } catch (MalformedDataException e) {
-                                    end.accept(RollingRestart.RestartState.UNKNOWN);
+                                    finish.accept(RollingRestart.RestartState.UNKNOWN);
                                 }
                             }
 
                             @Override
                             public void inputEnded() {
-                                end.accept(RollingRestart.RestartState.UNKNOWN);
+                                finish.accept(RollingRestart.RestartState.UNKNOWN);
                             }
 
                             @Override
                             public void connectionLost() {
-                                end.accept(RollingRestart.RestartState.UNKNOWN);
+                                finish.accept(RollingRestart.RestartState.UNKNOWN);
                             }
                         });
     }
 
-    private static RollingRestart.RestartState read(String answer) {
+    private static RollingRestart.RestartState parseAnswer(String answer) {
         return switch (answer.split(" ")[0].toUpperCase(Locale.ROOT)) {
             case "GOING" -> RollingRestart.RestartState.IN_PROGRESS;
             case "DONE" -> RollingRestart.RestartState.DONE;
