--- /dev/null
+++ b/hosted/src/main/java/embershift/hosted/RollingRestartTask.java
@@ -0,0 +1,307 @@
+package embershift.hosted;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import embershift.door.JsonMessages;
+import embershift.door.TomlSettings;
+import embershift.fleet.lease.FencingToken;
+import embershift.fleet.lease.LeaseHolder;
+import embershift.fleet.lease.TaskId;
+import embershift.fleet.lease.TaskPlan;
+import embershift.fleet.restart.RollingRestart;
+import embershift.fleet.restart.RollingRestartPlan;
+import embershift.fleet.store.KeyValue;
+import embershift.fleet.store.Mutation;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.OptionalDouble;
+import java.util.Set;
+import java.util.TreeMap;
+
+/**
+ * Starts hosts and nodes anew, step by step, as {@link RollingRestart} decides, while the record
+ * holds a plan.
+ */
+final class RollingRestartTask extends LeasedTask
+        implements NodeConnections.Listener, RollingRestart.FleetView, RollingRestart.Environment {
+
+    private static final double SILENT_NODE_SECONDS = 2;
+    private static final double EJECTION_RESEND_SECONDS = 1;
+    private static final double SERVICE_RATE_WINDOW_SECONDS = 5;
+
+    /** Seconds that any one call may take. */
+    private static final double MAX_CALL_SECONDS = 1;
+
+    private static final int MAX_STEP_ATTEMPTS = 6;
+
+    private record TunnelCounts(double at, long opened, long failed) {}
+
+    private DiscoveryWatch discovery;
+    private RestartManagerClient manager;
+    private RollingRestartPlan plan;
+    private long planRevision = -1;
+    private RollingRestart activeStep;
+    private int stepNumber;
+    private Set<String> ejectedHosts = Set.of();
+    private final Map<String, Double> ejectionsSentAt = new HashMap<>();
+    private final Map<String, Deque<TunnelCounts>> countsByNode = new HashMap<>();
+    private String writtenState = "";
+
+    /**
+     * The step before was ended by this owner, under this fence: nobody can have begun the next.
+     */
+    private boolean isPreviousStepDoneHere;
+
+    RollingRestartTask(LeasedTasks tasks) {
+        super(tasks, "release");
+    }
+
+    /** A plan that the record has, and that is not at its end, is this instance's to claim. */
+    @Override
+    void prepare() {
+        KeyValue item = tasks.store().find(RollingRestartPlan.KEY).orElse(null);
+        long revision = item == null ? 0 : item.revision();
+        if (revision != planRevision
+                && (leaseHolder() == null || !leaseHolder().isHeldOrReleasing())) {
+            planRevision = revision;
+            plan = item == null ? null : RollingRestartPlan.decode(item.value()).orElse(null);
+            if (plan != null) {
+                createLeaseHolder(
+                        new TaskPlan(plan.name() + "-" + revision, plan.steps(), MAX_CALL_SECONDS),
+                        tasks.settings().leaseSettings(3600, MAX_STEP_ATTEMPTS));
+            }
+        }
+    }
+
+    @Override
+    void leaseAcquired() {
+        manager =
+                new RestartManagerClient(
+                        tasks.loop(), TomlSettings.socket(tasks.settings().manager()));
+        discovery =
+                new DiscoveryWatch(
+                        tasks.loop(),
+                        TomlSettings.socket(tasks.settings().discovery()),
+                        (generation, entries, isRestarted) -> {});
+        countsByNode.clear();
+        ejectionsSentAt.clear();
+        ejectedHosts = Set.of();
+        writtenState = "";
+    }
+
+    @Override
+    void leaseLost() {
+        discovery.close();
+        ejectedHosts = Set.of();
+        isPreviousStepDoneHere = false;
+        if (activeStep != null) {
+            activeStep = null;
+            // Its time may only have lapsed: should it come back under the same grant, the step is
+            // begun again.
+            leaseHolder()
+                    .stepCompleted(
+                            now(),
+                            stepNumber,
+                            leaseHolder().token(),
+                            LeaseHolder.StepOutcome.UNKNOWN);
+        }
+    }
+
+    @Override
+    public void runStep(TaskId task, TaskPlan taskPlan, int number, FencingToken token) {
+        stepNumber = number;
+        activeStep = new RollingRestart(now(), plan, number, !isPreviousStepDoneHere, this, this);
+    }
+
+    @Override
+    void doWork() {
+        double now = now();
+        if (activeStep != null) {
+            KeyValue intent = tasks.store().find(RollingRestartPlan.INTENT_KEY).orElse(null);
+            // Of a wish for an earlier release nothing holds.
+            activeStep.setOperatorIntent(
+                    now,
+                    intent == null || intent.revision() < planRevision
+                            ? "go"
+                            : intent.value().split(" ", 2)[0]);
+            activeStep.tick(now);
+        }
+        if (activeStep != null) {
+            sendEjections(now);
+            String waitReason = activeStep.waitReason();
+            writeState(
+                    "step "
+                            + (stepNumber + 1)
+                            + " of "
+                            + plan.steps()
+                            + (waitReason.isEmpty() ? "" : ": " + waitReason));
+        }
+    }
+
+    private void writeState(String state) {
+        if (!state.equals(writtenState)) {
+            writtenState = state;
+            write(List.of(Mutation.put(RollingRestartPlan.STATE_KEY, plan.name() + " " + state)));
+        }
+    }
+
+    /**
+     * Which hosts are out: told anew to whoever may not know it, and to all from time to time, as
+     * nodes let go of it by themselves.
+     */
+    private void sendEjections(double now) {
+        for (NodeConnections.NodeConnection node : tasks.nodes().connected()) {
+            boolean isUpToDate = JsonMessages.list(node.report().path("out")).equals(ejectedHosts);
+            double lastSentAt = ejectionsSentAt.getOrDefault(node.name, Double.NEGATIVE_INFINITY);
+            if (node.report().has("clock")
+                    && now - lastSentAt
+                            >= (isUpToDate
+                                    ? 5 * EJECTION_RESEND_SECONDS
+                                    : EJECTION_RESEND_SECONDS)) {
+                ejectionsSentAt.put(node.name, now);
+                ObjectNode order = JsonMessages.node();
+                JsonMessages.list(order.putArray("hosts"), ejectedHosts);
+                sendOrder(
+                        node,
+                        "out",
+                        order,
+                        verdict -> {
+                            if (verdict != null
+                                    && !verdict.path("verdict").asText().equals("TAKEN")) {
+                                ejectionsSentAt.put(
+                                        node.name, now() - EJECTION_RESEND_SECONDS * 4 / 5);
+                            }
+                        });
+            }
+        }
+    }
+
+    // What the step sees.
+
+    @Override
+    public Map<String, RollingRestart.NodeView> nodes() {
+        Map<String, RollingRestart.NodeView> views = new TreeMap<>();
+        double now = now();
+        for (KeyValue item : tasks.store().findByPrefix(NodeConnections.NODE_PREFIX)) {
+            String name = item.key().substring(NodeConnections.NODE_PREFIX.length());
+            NodeConnections.NodeConnection node = tasks.nodes().get(name);
+            KeyValue shutOut =
+                    tasks.store().find(NodeConnections.SHUT_OUT_PREFIX + name).orElse(null);
+            if (node == null && shutOut != null && leadingNumber(shutOut) >= item.revision()) {
+                continue;
+            }
+            views.put(
+                    name,
+                    node == null
+                            ? new RollingRestart.NodeView(false, false, Set.of())
+                            : new RollingRestart.NodeView(
+                                    now - node.lastHeardAt() < SILENT_NODE_SECONDS,
+                                    node.report().path("ready").asBoolean(),
+                                    JsonMessages.list(node.report().path("out"))));
+        }
+        return views;
+    }
+
+    @Override
+    public boolean isInService(String host) {
+        return Optional.ofNullable(discovery.entries().get(host))
+                .flatMap(JsonMessages::parse)
+                .filter(entry -> entry.path("lifecycle").asText().equals("in_service"))
+                .isPresent();
+    }
+
+    @Override
+    public OptionalDouble serviceRate() {
+        double now = now();
+        long opened = 0;
+        long failed = 0;
+        for (Deque<TunnelCounts> samples : countsByNode.values()) {
+            while (samples.size() > 1
+                    && samples.peekFirst().at < now - SERVICE_RATE_WINDOW_SECONDS) {
+                samples.removeFirst();
+            }
+            opened += samples.peekLast().opened - samples.peekFirst().opened;
+            failed += samples.peekLast().failed - samples.peekFirst().failed;
+        }
+        return opened + failed == 0
+                ? OptionalDouble.empty()
+                : OptionalDouble.of((double) opened / (opened + failed));
+    }
+
+    @Override
+    public void nodeReported(NodeConnections.NodeConnection node) {
+        if (holdsLease()) {
+            Deque<TunnelCounts> samples =
+                    countsByNode.computeIfAbsent(node.name, key -> new ArrayDeque<>());
+            long opened = node.report().path("opened").asLong();
+            if (!samples.isEmpty() && opened < samples.peekLast().opened) {
+                samples.clear();
+            }
+            samples.addLast(new TunnelCounts(now(), opened, node.report().path("failed").asLong()));
+        }
+    }
+
+    @Override
+    public void nodeDisconnected(NodeConnections.NodeConnection node) {
+        countsByNode.remove(node.name);
+    }
+
+    // What the step has done.
+
+    @Override
+    public void ejectHosts(Set<String> hosts) {
+        ejectedHosts = hosts;
+        ejectionsSentAt.clear();
+    }
+
+    @Override
+    public void restart(RollingRestartPlan.Target target, String partId) {
+        callManager("RESTART " + target + " " + partId, partId);
+    }
+
+    @Override
+    public void cancel(String partId) {
+        callManager("VOID " + partId, partId);
+    }
+
+    private void callManager(String request, String partId) {
+        if (leaseHolder().mayAct(now())) {
+            RollingRestart caller = activeStep;
+            manager.call(
+                    request,
+                    restartState -> {
+                        if (activeStep == caller && caller != null) {
+                            caller.restartReported(now(), partId, restartState);
+                        }
+                    });
+        }
+    }
+
+    @Override
+    public void completed(boolean aborted) {
+        activeStep = null;
+        isPreviousStepDoneHere = true;
+        writeState(
+                aborted
+                        ? "aborted, step " + (stepNumber + 1) + " is at a sound end"
+                        : stepNumber + 1 == plan.steps()
+                                ? "done"
+                                : "step " + (stepNumber + 1) + " is done");
+        leaseHolder().stepCompleted(now(), stepNumber, token(), LeaseHolder.StepOutcome.DONE);
+    }
+
+    @Override
+    public void halted(String reason) {
+        notifyOperator("the release halts: " + reason);
+        write(
+                List.of(
+                        Mutation.put(
+                                RollingRestartPlan.INTENT_KEY,
+                                "pause the release halted by itself: " + reason),
+                        Mutation.put(
+                                RollingRestartPlan.STATE_KEY, plan.name() + " halted: " + reason)));
+    }
+}
--- a/hosted/src/main/java/embershift/hosted/RecordClient.java
+++ b/hosted/src/main/java/embershift/hosted/StoreClient.java
@@ -18,34 +18,34 @@
  * Asks the instances, one after the other until one can answer, within a time. Waits for answers:
  * not for a loop. One thread at a time.
  */
-public final class RecordClient implements AutoCloseable {
+public final class StoreClient implements AutoCloseable {
 
     /**
      * Seconds that one instance is waited for before another is asked, and after a refusal that may
      * pass.
      */
-    private static final double ONE = 0.7;
+    private static final double INSTANCE_TIMEOUT_SECONDS = 0.7;
 
-    private static final double AGAIN = 0.03;
+    private static final double RETRY_PAUSE_SECONDS = 0.03;
 
     private final Supplier<List<InetSocketAddress>> addresses;
     private final String name;
-    private int at;
+    private int addressIndex;
     private Socket socket;
     private FrameCodec frames;
-    private long calls;
+    private long lastCallId;
     private long session;
-    private long number;
+    private long sequenceNumber;
 
     /** How a call ended; {@code end}: done, refused or unknown. */
-    public record Outcome(String end, ObjectNode answer) {
+    public record Outcome(String status, ObjectNode answer) {
 
-        public boolean done() {
-            return end.equals("done");
+        public boolean isDone() {
+            return status.equals("done");
         }
 
-        public boolean unknown() {
-            return end.equals("unknown");
+        public boolean isUnknown() {
+            return status.equals("unknown");
         }
 
         public String reason() {
@@ -57,17 +57,17 @@
         }
     }
 
-    public RecordClient(List<InetSocketAddress> addresses, String name) {
+    public StoreClient(List<InetSocketAddress> addresses, String name) {
         this(() -> addresses, name);
     }
 
     /** {@code addresses}: where the instances are now; asked from the thread that asks. */
-    public RecordClient(Supplier<List<InetSocketAddress>> addresses, String name) {
+    public StoreClient(Supplier<List<InetSocketAddress>> addresses, String name) {
         this.addresses = addresses;
         this.name = name;
     }
 
-    public static ObjectNode call(String name) {
+    public static ObjectNode newCall(String name) {
         return JsonMessages.node().put("call", name);
     }
 
@@ -75,8 +75,8 @@
      * A change of one key; {@code revision} negative: whatever it was; {@code value} null: takes it
      * away.
      */
-    public static ObjectNode put(String key, String value, long revision) {
-        ObjectNode call = call("change");
+    public static ObjectNode newPut(String key, String value, long revision) {
+        ObjectNode call = newCall("change");
         ArrayNode conditions = call.putArray("conditions");
         if (revision >= 0) {
             conditions.addObject().put("key", key).put("revision", revision);
@@ -90,12 +90,14 @@
      * number, so that it is carried out once however often it is sent. Unknown only where it was
      * sent and not answered.
      */
-    public Outcome ask(ObjectNode call, double within) {
-        long until = System.nanoTime() + (long) (within * 1e9);
+    public Outcome call(ObjectNode call, double timeoutSeconds) {
+        long deadline = System.nanoTime() + (long) (timeoutSeconds * 1e9);
         if (call.path("call").asText().equals("change") && !call.has("session")) {
             if (session == 0) {
-                Outcome opened = send(call("open").put("client", name).put("seconds", 30), until);
-                if (!opened.done()) {
+                Outcome opened =
+                        callWithRetries(
+                                newCall("open").put("client", name).put("seconds", 30), deadline);
+                if (!opened.isDone()) {
                     return new Outcome(
                             "refused",
                             JsonMessages.node()
@@ -105,155 +107,161 @@
                                             "no session could be " + "opened: " + opened.text()));
                 }
                 session = opened.answer().path("number").asLong();
-                number = 0;
+                sequenceNumber = 0;
             }
-            number++;
-            call.put("session", session).put("number", number).put("open", number);
-            Outcome outcome = send(call, until);
-            if (outcome.unknown() || outcome.reason().equals("no-session")) {
+            sequenceNumber++;
+            call.put("session", session).put("number", sequenceNumber).put("open", sequenceNumber);
+            Outcome outcome = callWithRetries(call, deadline);
+            if (outcome.isUnknown() || outcome.reason().equals("no-session")) {
                 session = 0;
             }
             return outcome;
         }
-        return send(call, until);
+        return callWithRetries(call, deadline);
     }
 
-    private Outcome send(ObjectNode call, long until) {
-        boolean mayHaveBeen = false;
-        ObjectNode last =
+    private Outcome callWithRetries(ObjectNode call, long deadline) {
+        boolean mayHaveRun = false;
+        ObjectNode lastAnswer =
                 JsonMessages.node().put("reason", "no-answer").put("text", "no instance answered");
-        while (System.nanoTime() < until) {
+        while (System.nanoTime() < deadline) {
             try {
                 ObjectNode answer =
-                        once(call, Math.min(until, System.nanoTime() + (long) (ONE * 1e9)));
-                String end = answer.path("end").asText();
+                        callOnce(
+                                call,
+                                Math.min(
+                                        deadline,
+                                        System.nanoTime()
+                                                + (long) (INSTANCE_TIMEOUT_SECONDS * 1e9)));
+                String status = answer.path("end").asText();
                 String reason = answer.path("reason").asText();
-                if (end.equals("done")) {
-                    return new Outcome(end, answer);
+                if (status.equals("done")) {
+                    return new Outcome(status, answer);
                 }
-                last = answer;
-                if (end.equals("unknown")) {
-                    mayHaveBeen = true;
+                lastAnswer = answer;
+                if (status.equals("unknown")) {
+                    mayHaveRun = true;
                 } else if (!reason.equals("not-leader") && !reason.equals("busy")) {
                     // Its session's end says nothing of what was sent before that.
-                    boolean open =
-                            mayHaveBeen
+                    boolean isUndecided =
+                            mayHaveRun
                                     && (reason.equals("no-session") || reason.equals("forgotten"));
-                    return new Outcome(open ? "unknown" : "refused", answer);
+                    return new Outcome(isUndecided ? "unknown" : "refused", answer);
                 }
                 if (!reason.equals("busy")) {
-                    next();
+                    useNextInstance();
                 }
-            } catch (NotSent e) {
-                last.put("text", e.getMessage());
-                next();
+            } catch (NotSentException e) {
+                lastAnswer.put("text", e.getMessage());
+                useNextInstance();
             } catch (IOException e) {
-                mayHaveBeen = true;
-                last.put("text", "no answer: " + e.getMessage());
-                next();
+                mayHaveRun = true;
+                lastAnswer.put("text", "no answer: " + e.getMessage());
+                useNextInstance();
             }
-            pause(until);
+            pauseBeforeRetry(deadline);
         }
-        boolean change =
+        boolean isChange =
                 !List.of("get", "list", "status", "watch").contains(call.path("call").asText());
-        return new Outcome(mayHaveBeen && change ? "unknown" : "refused", last);
+        return new Outcome(mayHaveRun && isChange ? "unknown" : "refused", lastAnswer);
     }
 
-    private static void pause(long until) {
+    private static void pauseBeforeRetry(long deadline) {
         try {
             Thread.sleep(
                     Math.max(
                             0,
                             Math.min(
-                                    (long) (AGAIN * 1000),
-                                    (until - System.nanoTime()) / 1_000_000)));
+                                    (long) (RETRY_PAUSE_SECONDS * 1000),
+                                    (deadline - System.nanoTime()) / 1_000_000)));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void next() {
+    private void useNextInstance() {
         close();
-        at++;
+        addressIndex++;
     }
 
     /** Nothing of the call has left this program. */
-    private static final class NotSent extends IOException {
+    private static final class NotSentException extends IOException {
 
         private static final long serialVersionUID = 1;
 
-        NotSent(String message) {
+        NotSentException(String message) {
             super(message);
         }
     }
 
     /** Asks the instance whose turn it is. */
-    private ObjectNode once(ObjectNode call, long until) throws IOException {
+    private ObjectNode callOnce(ObjectNode call, long deadline) throws IOException {
         if (socket == null) {
             List<InetSocketAddress> known = addresses.get();
             if (known.isEmpty()) {
-                throw new NotSent("no instance is known");
+                throw new NotSentException("no instance is known");
             }
-            InetSocketAddress address = known.get(at % known.size());
-            Socket fresh = new Socket();
+            InetSocketAddress address = known.get(addressIndex % known.size());
+            Socket newSocket = new Socket();
             try {
-                fresh.connect(address, left(until));
-                fresh.setTcpNoDelay(true);
+                newSocket.connect(address, remainingMillis(deadline));
+                newSocket.setTcpNoDelay(true);
             } catch (IOException e) {
-                fresh.close();
-                throw new NotSent("nobody is at " + address);
+                newSocket.close();
+                throw new NotSentException("nobody is at " + address);
             }
-            socket = fresh;
+            socket = newSocket;
             frames = new FrameCodec();
         }
-        long id = ++calls;
+        long id = ++lastCallId;
         call.put("id", id).put("version", 1);
         socket.getOutputStream()
                 .write(FrameCodec.encodeToArray(FrameCodec.CALL, JsonMessages.bytes(call)));
         InputStream in = socket.getInputStream();
-        List<byte[]> pieces = new ArrayList<>();
+        List<byte[]> answers = new ArrayList<>();
         byte[] buffer = new byte[16 << 10];
         while (true) {
-            for (byte[] each : pieces) {
-                ObjectNode answer = answer(each);
+            for (byte[] each : answers) {
+                ObjectNode answer = readAnswer(each);
                 if (answer.path("id").asLong() == id) {
                     return answer;
                 }
             }
-            pieces.clear();
-            socket.setSoTimeout(left(until));
-            int many = in.read(buffer);
-            if (many < 0) {
+            answers.clear();
+            socket.setSoTimeout(remainingMillis(deadline));
+            int count = in.read(buffer);
+            if (count < 0) {
                 throw new IOException("the connection ended");
             }
             try {
-                frames.take(ByteBuffer.wrap(buffer, 0, many), pieces::add);
+                frames.take(ByteBuffer.wrap(buffer, 0, count), answers::add);
             } catch (FrameCodec.MalformedFrameException e) {
                 throw new IOException(e.getMessage());
             }
         }
     }
 
-    private static ObjectNode answer(byte[] piece) throws IOException {
+    private static ObjectNode readAnswer(byte[] frame) throws IOException {
         try {
-            return JsonMessages.read(piece);
+            return JsonMessages.read(frame);
         } catch (FrameCodec.MalformedFrameException e) {
             throw new IOException(e.getMessage());
         }
     }
 
-    private static int left(long until) throws SocketTimeoutException {
-        long left = (until - System.nanoTime()) / 1_000_000;
-        if (left <= 0) {
+    private static int remainingMillis(long deadline) throws SocketTimeoutException {
+        long millis = (deadline - System.nanoTime()) / 1_000_000;
+        if (millis <= 0) {
             throw new SocketTimeoutException("no answer in time");
         }
-        return (int) left;
+        return (int) millis;
     }
 
     /** Asks one instance itself, whoever leads; null where it does not answer in time. */
-    public static ObjectNode askOne(InetSocketAddress address, ObjectNode call, double within) {
-        try (RecordClient one = new RecordClient(List.of(address), "")) {
-            return one.once(call, System.nanoTime() + (long) (within * 1e9));
+    public static ObjectNode callInstance(
+            InetSocketAddress address, ObjectNode call, double timeoutSeconds) {
+        try (StoreClient client = new StoreClient(List.of(address), "")) {
+            return client.callOnce(call, System.nanoTime() + (long) (timeoutSeconds * 1e9));
         } catch (IOException e) {
             return null;
         }
--- a/hosted/src/test/java/embershift/hosted/DiscoveryTest.java
+++ b/hosted/src/test/java/embershift/hosted/DiscoveryWatchTest.java
@@ -21,12 +21,12 @@
 import org.testng.annotations.Test;
 
 /** The fleet's watch at discovery, whose answers may come twice. */
-public class DiscoveryTest {
+public class DiscoveryWatchTest {
 
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
     private EventLoop loop;
     private ServerSocket server;
-    private volatile Discovery discovery;
+    private volatile DiscoveryWatch discovery;
 
     @BeforeMethod
     public void begin() throws IOException {
@@ -37,7 +37,7 @@
         loop.execute(
                 () ->
                         discovery =
-                                new Discovery(
+                                new DiscoveryWatch(
                                         loop,
                                         new InetSocketAddress(
                                                 server.getInetAddress(), server.getLocalPort()),
@@ -133,7 +133,7 @@
         say(call, answer(2, true, "in_service").substring(0, 60));
         CompletableFuture<Long> calls = new CompletableFuture<>();
         // It is given up after 3.8 s. On the loop's own clock: a busy machine holds up both.
-        loop.execute(() -> loop.schedule(4.4, () -> calls.complete(discovery.calls())));
+        loop.execute(() -> loop.schedule(4.4, () -> calls.complete(discovery.callCount())));
         Socket again = called();
         assertEquals((long) calls.get(), 2);
         call(lines(again));
--- a/hosted/src/test/java/embershift/hosted/InputTest.java
+++ b/hosted/src/test/java/embershift/hosted/InputValidationTest.java
@@ -16,14 +16,14 @@
 import org.testng.annotations.Test;
 
 /** What operators and other programs may hand in, right and wrong. */
-public class InputTest {
+public class InputValidationTest {
 
     private static final String LEAST = "name = \"i1\"\nfolder = \"f\"\nlisten = \"127.0.0.1:1\"\n";
 
     @Test
     public void installationThatCannotBeUsedIsRefusedInOneLineThatNamesTheKey() throws Exception {
-        Installation least = Installation.read(LEAST, "x");
-        assertEquals(least.address(), "127.0.0.1:1");
+        InstanceSettings least = InstanceSettings.read(LEAST, "x");
+        assertEquals(least.advertisedAddress(), "127.0.0.1:1");
         String[][] wrong = {
             {"more = 1\n", "more"},
             {"[pace]\ntick-s = 0\n", "tick-s"},
@@ -38,7 +38,7 @@
             String message =
                     expectThrows(
                                     TomlSettings.InvalidSettingsException.class,
-                                    () -> Installation.read(LEAST + each[0], "x"))
+                                    () -> InstanceSettings.read(LEAST + each[0], "x"))
                             .getMessage();
             assertTrue(
                     message.startsWith("x:")
@@ -48,7 +48,7 @@
         }
         assertThrows(
                 TomlSettings.InvalidSettingsException.class,
-                () -> Installation.read("name = \"i1\"\n", "x"));
+                () -> InstanceSettings.read("name = \"i1\"\n", "x"));
     }
 
     @Test
@@ -87,17 +87,17 @@
 
     @Test
     public void greetingIsReadAsWrittenAndVersionsMeetWhereTheyOverlap() throws Exception {
-        Greeting greeting = Greeting.of(7, new MemberId(1), "i1", new MemberId(2), "h:1");
-        byte[] content = greeting.bytes();
+        Handshake greeting = Handshake.of(7, new MemberId(1), "i1", new MemberId(2), "h:1");
+        byte[] content = greeting.encode();
         byte[] piece = new byte[content.length + 1];
         System.arraycopy(content, 0, piece, 1, content.length);
-        assertEquals(Greeting.read(piece), greeting);
+        assertEquals(Handshake.decode(piece), greeting);
         for (int length = 1; length < piece.length; length++) {
             byte[] cut = Arrays.copyOf(piece, length);
-            assertThrows(FrameCodec.MalformedFrameException.class, () -> Greeting.read(cut));
+            assertThrows(FrameCodec.MalformedFrameException.class, () -> Handshake.decode(cut));
         }
-        assertEquals(Greeting.common(1, 3), 1);
-        assertEquals(Greeting.common(2, 3), 0);
+        assertEquals(Handshake.negotiatedVersion(1, 3), 1);
+        assertEquals(Handshake.negotiatedVersion(2, 3), 0);
         assertFalse(
                 TomlSettings.isAddress("h:99999")
                         || TomlSettings.isAddress("h")
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -117,7 +117,7 @@
     }
 
     private static ObjectNode change(String key, String value, Long revision, boolean bound) {
-        ObjectNode call = RecordClient.put(key, value, revision == null ? -1 : revision);
+        ObjectNode call = StoreClient.newPut(key, value, revision == null ? -1 : revision);
         ((ObjectNode) call.path("writes").get(0)).put("bound", bound);
         return call;
     }
@@ -130,32 +130,32 @@
     public void callsAreAnsweredAsBefore() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         try (Connection connection = new Connection(port)) {
-            call(samples, connection, "status before a group", RecordClient.call("status"));
+            call(samples, connection, "status before a group", StoreClient.newCall("status"));
             call(
                     samples,
                     connection,
                     "get without a leader",
-                    RecordClient.call("get").put("key", "a"));
-            call(samples, connection, "found", RecordClient.call("found"));
+                    StoreClient.newCall("get").put("key", "a"));
+            call(samples, connection, "found", StoreClient.newCall("found"));
             while (!connection
-                    .call(RecordClient.call("status"))
+                    .call(StoreClient.newCall("status"))
                     .path("role")
                     .asText()
                     .equals("leader")) {
                 Thread.sleep(5);
             }
             connection.calls = 100;
-            call(samples, connection, "found again", RecordClient.call("found"));
+            call(samples, connection, "found again", StoreClient.newCall("found"));
             ObjectNode opened =
                     connection.call(
-                            RecordClient.call("open").put("client", "c").put("seconds", 30));
+                            StoreClient.newCall("open").put("client", "c").put("seconds", 30));
             long session = opened.path("number").asLong();
             samples.text("answer: open", stable(opened.toString()));
             call(
                     samples,
                     connection,
                     "open for too long",
-                    RecordClient.call("open").put("client", "c").put("seconds", 1e9));
+                    StoreClient.newCall("open").put("client", "c").put("seconds", 1e9));
             call(samples, connection, "change", in(session, 1, change("a", "one", 0L, false)));
             call(
                     samples,
@@ -187,61 +187,65 @@
                     connection,
                     "change that is too large",
                     in(session, 4, change("k".repeat(600), "one", null, false)));
-            call(samples, connection, "get", RecordClient.call("get").put("key", "a"));
+            call(samples, connection, "get", StoreClient.newCall("get").put("key", "a"));
             call(
                     samples,
                     connection,
                     "get of nothing",
-                    RecordClient.call("get").put("key", "nothing"));
-            call(samples, connection, "list", RecordClient.call("list").put("prefix", ""));
-            call(samples, connection, "renew", RecordClient.call("renew").put("session", session));
+                    StoreClient.newCall("get").put("key", "nothing"));
+            call(samples, connection, "list", StoreClient.newCall("list").put("prefix", ""));
+            call(
+                    samples,
+                    connection,
+                    "renew",
+                    StoreClient.newCall("renew").put("session", session));
             call(
                     samples,
                     connection,
                     "renew without a session",
-                    RecordClient.call("renew").put("session", 999));
+                    StoreClient.newCall("renew").put("session", 999));
             call(
                     samples,
                     connection,
                     "watch",
-                    RecordClient.call("watch").put("prefix", "").put("from", 1));
+                    StoreClient.newCall("watch").put("prefix", "").put("from", 1));
             call(
                     samples,
                     connection,
                     "watch from before all that is known",
-                    RecordClient.call("watch").put("prefix", "").put("from", 0));
-            call(samples, connection, "end", RecordClient.call("end").put("session", session));
+                    StoreClient.newCall("watch").put("prefix", "").put("from", 0));
+            call(samples, connection, "end", StoreClient.newCall("end").put("session", session));
             call(
                     samples,
                     connection,
                     "add of no address",
-                    RecordClient.call("add").put("address", "nowhere"));
+                    StoreClient.newCall("add").put("address", "nowhere"));
             call(
                     samples,
                     connection,
                     "add where nobody is",
-                    RecordClient.call("add").put("address", "127.0.0.1:1"));
+                    StoreClient.newCall("add").put("address", "127.0.0.1:1"));
             call(
                     samples,
                     connection,
                     "remove of nobody",
-                    RecordClient.call("remove").put("name", "i9"));
+                    StoreClient.newCall("remove").put("name", "i9"));
             call(
                     samples,
                     connection,
                     "remove of the last voter",
-                    RecordClient.call("remove").put("name", "i1"));
+                    StoreClient.newCall("remove").put("name", "i1"));
             call(
                     samples,
                     connection,
                     "transfer to itself",
-                    RecordClient.call("transfer").put("name", "i1"));
-            call(samples, connection, "no such call", RecordClient.call("dance"));
-            call(samples, connection, "status", RecordClient.call("status"));
+                    StoreClient.newCall("transfer").put("name", "i1"));
+            call(samples, connection, "no such call", StoreClient.newCall("dance"));
+            call(samples, connection, "status", StoreClient.newCall("status"));
             connection.say(
                     JsonMessages.frame(
                             FrameCodec.CALL,
-                            RecordClient.call("status").put("id", 7).put("version", 9)));
+                            StoreClient.newCall("status").put("id", 7).put("version", 9)));
             samples.text(
                     "answer: version that is not known",
                     JsonMessages.read(connection.next()).toString());
@@ -252,7 +256,7 @@
     @Test
     public void rolesAreToldByTheNamesOfBefore() {
         assertEquals(
-                Stream.of(Raft.Role.values()).map(Calls::wireName).toList(),
+                Stream.of(Raft.Role.values()).map(CallHandler::wireName).toList(),
                 List.of("follower", "looking_ahead", "candidate", "leader"));
     }
 
@@ -260,33 +264,34 @@
     public void otherInstancesAreGreetedAsBefore() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         samples.bytes(
-                "greeting", Greeting.of(7, new MemberId(1), "i1", new MemberId(2), "h:1").bytes());
+                "greeting",
+                Handshake.of(7, new MemberId(1), "i1", new MemberId(2), "h:1").encode());
         for (long[] each : new long[][] {{7, 0}, {7, 2}, {0, 0}}) {
             try (Connection connection = new Connection(port)) {
                 connection.say(
                         FrameCodec.encode(
                                 FrameCodec.HANDSHAKE,
-                                Greeting.of(
+                                Handshake.of(
                                                 each[0],
                                                 new MemberId(5),
                                                 "i5",
                                                 new MemberId(each[1]),
                                                 "h:1")
-                                        .bytes()));
+                                        .encode()));
                 byte[] piece = connection.next();
                 String said;
                 if (piece[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
-                    Greeting read = Greeting.read(piece);
+                    Handshake read = Handshake.decode(piece);
                     said =
-                            read.oldest()
+                            read.oldestVersion()
                                     + " "
-                                    + read.newest()
+                                    + read.newestVersion()
                                     + " "
-                                    + read.name()
+                                    + read.senderName()
                                     + " "
-                                    + read.to().number()
+                                    + read.recipient().number()
                                     + " "
-                                    + read.address();
+                                    + read.senderAddress();
                 } else {
                     said = new String(piece, 1, piece.length - 1, StandardCharsets.UTF_8);
                 }
@@ -323,19 +328,20 @@
             samples.text("heard", stable(JsonMessages.read(node.next()).toString()));
             try (Connection caller = new Connection(port)) {
                 long incarnation =
-                        caller.call(RecordClient.call("get").put("key", "node/n1"))
+                        caller.call(StoreClient.newCall("get").put("key", "node/n1"))
                                 .path("items")
                                 .path(0)
                                 .path("revision")
                                 .asLong();
-                RecordClient client =
-                        new RecordClient(
+                StoreClient client =
+                        new StoreClient(
                                 List.of(
                                         new InetSocketAddress(
                                                 InetAddress.getLoopbackAddress(), port)),
                                 "test");
-                client.ask(
-                        RecordClient.put("out/n1", incarnation + " by-hand because of it", -1), 5);
+                client.call(
+                        StoreClient.newPut("out/n1", incarnation + " by-hand because of it", -1),
+                        5);
                 client.close();
             }
             samples.text("out", stable(JsonMessages.read(node.next()).toString()));
@@ -455,7 +461,7 @@
     @Test
     public void settingsHaveTheKeysOfBefore() throws Exception {
         try (InputStream schema =
-                Installation.class.getResourceAsStream("installation.schema.json")) {
+                InstanceSettings.class.getResourceAsStream("installation.schema.json")) {
             new GoldenSamples()
                     .text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8))
                     .assertMatch(getClass(), "settings.txt");
--- a/hosted/src/test/java/embershift/hosted/NodesTest.java
+++ b/hosted/src/test/java/embershift/hosted/NodeConnectionsTest.java
@@ -5,10 +5,10 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-public class NodesTest {
+public class NodeConnectionsTest {
 
     @DataProvider
-    public static Object[][] twoOfAName() {
+    public static Object[][] processesOfOneName() {
         return new Object[][] {
             // Its registration was given up and came about later: it comes back by the lower of its
             // two incarnations.
@@ -20,9 +20,15 @@
         };
     }
 
-    @Test(dataProvider = "twoOfAName")
-    public void processGivesWayToALaterOneAndNeverToItself(
-            long incarnation, String boot, long other, String otherBoot, boolean givesWay) {
-        assertEquals(Nodes.givesWay(incarnation, boot, other, otherBoot), givesWay);
+    @Test(dataProvider = "processesOfOneName")
+    public void processYieldsToLaterOneButNeverToItself(
+            long incarnation,
+            String bootId,
+            long otherIncarnation,
+            String otherBootId,
+            boolean yields) {
+        assertEquals(
+                NodeConnections.yieldsTo(incarnation, bootId, otherIncarnation, otherBootId),
+                yields);
     }
 }
--- a/rig/src/main/java/embershift/rig/process/FleetSite.java
+++ b/rig/src/main/java/embershift/rig/process/FleetSite.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.MissingNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.hosted.RecordClient;
+import embershift.hosted.StoreClient;
 import embershift.rig.history.History;
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
@@ -307,9 +307,10 @@
     }
 
     private JsonNode item(String key) {
-        try (RecordClient client = instances.client()) {
-            RecordClient.Outcome outcome = client.ask(RecordClient.call("get").put("key", key), 5);
-            return outcome.done()
+        try (StoreClient client = instances.client()) {
+            StoreClient.Outcome outcome =
+                    client.call(StoreClient.newCall("get").put("key", key), 5);
+            return outcome.isDone()
                     ? outcome.answer().path("items").path(0)
                     : MissingNode.getInstance();
         }
@@ -324,10 +325,10 @@
     /** The keys and values of the record that begin so. */
     public Map<String, String> list(String prefix) {
         Map<String, String> all = new TreeMap<>();
-        try (RecordClient client = instances.client()) {
-            RecordClient.Outcome outcome =
-                    client.ask(RecordClient.call("list").put("prefix", prefix), 5);
-            if (outcome.done()) {
+        try (StoreClient client = instances.client()) {
+            StoreClient.Outcome outcome =
+                    client.call(StoreClient.newCall("list").put("prefix", prefix), 5);
+            if (outcome.isDone()) {
                 outcome.answer()
                         .path("items")
                         .forEach(
--- a/rig/src/main/java/embershift/rig/process/Instances.java
+++ b/rig/src/main/java/embershift/rig/process/Instances.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.hosted.RecordClient;
+import embershift.hosted.StoreClient;
 import embershift.rig.history.History;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -187,12 +187,12 @@
      * for.
      */
     public void found(String name) throws IOException {
-        RecordClient.Outcome outcome;
-        try (RecordClient client = client(name)) {
-            outcome = client.ask(RecordClient.call("found"), FORM);
+        StoreClient.Outcome outcome;
+        try (StoreClient client = client(name)) {
+            outcome = client.call(StoreClient.newCall("found"), FORM);
         }
-        if (!outcome.done() && !outcome.text().startsWith("this instance belongs to group ")) {
-            throw new IOException(outcome.end() + ": " + outcome.text());
+        if (!outcome.isDone() && !outcome.text().startsWith("this instance belongs to group ")) {
+            throw new IOException(outcome.status() + ": " + outcome.text());
         }
     }
 
@@ -202,13 +202,13 @@
             ObjectNode leader = leader();
             if (leader != null) {
                 ObjectNode call =
-                        RecordClient.call("add")
+                        StoreClient.newCall("add")
                                 .put("address", text(way(leader.path("name").asText(), name)));
-                RecordClient.Outcome outcome;
-                try (RecordClient client = client(leader.path("name").asText())) {
-                    outcome = client.ask(call, 3);
+                StoreClient.Outcome outcome;
+                try (StoreClient client = client(leader.path("name").asText())) {
+                    outcome = client.call(call, 3);
                 }
-                if (outcome.done() || outcome.text().equals("it is so already")) {
+                if (outcome.isDone() || outcome.text().equals("it is so already")) {
                     return;
                 }
             }
@@ -269,7 +269,7 @@
         InetSocketAddress address = listen(name);
         return address == null
                 ? null
-                : RecordClient.askOne(address, RecordClient.call("status"), 0.5);
+                : StoreClient.callInstance(address, StoreClient.newCall("status"), 0.5);
     }
 
     /**
@@ -301,9 +301,9 @@
     }
 
     /** A client of these instances, or of all where none is named. */
-    public RecordClient client(String... some) {
+    public StoreClient client(String... some) {
         List<String> wanted = some.length == 0 ? names : List.of(some);
-        return new RecordClient(wanted.stream().map(name -> way(CLIENTS, name)).toList(), "client");
+        return new StoreClient(wanted.stream().map(name -> way(CLIENTS, name)).toList(), "client");
     }
 
     /** Ends all. */
--- a/rig/src/main/java/embershift/rig/process/Measure.java
+++ b/rig/src/main/java/embershift/rig/process/Measure.java
@@ -1,7 +1,7 @@
 package embershift.rig.process;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.hosted.RecordClient;
+import embershift.hosted.StoreClient;
 import embershift.rig.history.History;
 import embershift.storage.FileSystemDisk;
 import embershift.storage.RecordLog;
@@ -95,17 +95,17 @@
                         Thread thread =
                                 new Thread(
                                         () -> {
-                                            try (RecordClient client = instances.client(leader)) {
+                                            try (StoreClient client = instances.client(leader)) {
                                                 for (long each = 0; going.get(); each++) {
                                                     long began = System.nanoTime();
                                                     boolean ended =
-                                                            client.ask(
-                                                                            RecordClient.put(
+                                                            client.call(
+                                                                            StoreClient.newPut(
                                                                                     "k" + number,
                                                                                     "value " + each,
                                                                                     -1),
                                                                             5)
-                                                                    .done();
+                                                                    .isDone();
                                                     if (ended && began > from) {
                                                         done.incrementAndGet();
                                                         synchronized (times) {
@@ -176,8 +176,9 @@
                         awaitAll(instances);
                         long began = System.nanoTime();
                         befall(fault, instances, ways, leader, others);
-                        try (RecordClient client = instances.client(others)) {
-                            if (!client.ask(RecordClient.put("gap", "" + i, -1), PATIENCE).done()) {
+                        try (StoreClient client = instances.client(others)) {
+                            if (!client.call(StoreClient.newPut("gap", "" + i, -1), PATIENCE)
+                                    .isDone()) {
                                 throw new IOException("no change was answered after " + fault);
                             }
                         }
@@ -256,12 +257,12 @@
                         Thread thread =
                                 new Thread(
                                         () -> {
-                                            try (RecordClient client = instances.client(leader)) {
+                                            try (StoreClient client = instances.client(leader)) {
                                                 for (long each = left.decrementAndGet();
                                                         each >= 0;
                                                         each = left.decrementAndGet()) {
-                                                    client.ask(
-                                                            RecordClient.put(
+                                                    client.call(
+                                                            StoreClient.newPut(
                                                                     "k" + each % 1000,
                                                                     "value " + each,
                                                                     -1),
--- a/rig/src/main/java/embershift/rig/process/OwnerStand.java
+++ b/rig/src/main/java/embershift/rig/process/OwnerStand.java
@@ -7,7 +7,7 @@
 import embershift.fleet.lease.TaskPlan;
 import embershift.fleet.store.SessionId;
 import embershift.fleet.store.StoreCommand;
-import embershift.hosted.RecordCaller;
+import embershift.hosted.AsyncStoreClient;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -35,8 +35,8 @@
 
     private final ScheduledExecutorService deciding = Executors.newSingleThreadScheduledExecutor();
     private final ExecutorService orders = Executors.newCachedThreadPool();
-    private final RecordCaller commands;
-    private final RecordCaller words;
+    private final AsyncStoreClient commands;
+    private final AsyncStoreClient words;
     private final List<InetSocketAddress> receivers;
     private final String name;
     private final LeaseHolder owner;
@@ -49,8 +49,8 @@
             List<InetSocketAddress> receivers) {
         this.name = name;
         this.receivers = receivers;
-        commands = new RecordCaller(() -> instances, name, this::heard);
-        words = new RecordCaller(() -> instances, name, this::heard);
+        commands = new AsyncStoreClient(() -> instances, name, this::heard);
+        words = new AsyncStoreClient(() -> instances, name, this::heard);
         owner = new LeaseHolder(name, duty, new TaskPlan("plan", steps, LONGEST), TERMS, this);
     }
 
@@ -90,7 +90,7 @@
 
     @Override
     public void submit(StoreCommand command) {
-        commands.ask(command, CALL, answer -> owner.commandCompleted(now(), command, answer));
+        commands.call(command, CALL, answer -> owner.commandCompleted(now(), command, answer));
     }
 
     @Override
--- a/rig/src/main/java/embershift/rig/process/Play.java
+++ b/rig/src/main/java/embershift/rig/process/Play.java
@@ -1,7 +1,7 @@
 package embershift.rig.process;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import embershift.hosted.RecordClient;
+import embershift.hosted.StoreClient;
 import embershift.rig.history.History;
 import embershift.rig.history.Linearizable;
 import embershift.rig.history.Operation;
@@ -380,10 +380,10 @@
         for (long until = System.nanoTime() + 20_000_000_000L;
                 System.nanoTime() < until;
                 Instances.sleep(0.1)) {
-            try (RecordClient client = instances.client()) {
-                RecordClient.Outcome outcome =
-                        client.ask(RecordClient.call("remove").put("name", name), CALL);
-                if (outcome.done() || outcome.text().startsWith("there is no")) {
+            try (StoreClient client = instances.client()) {
+                StoreClient.Outcome outcome =
+                        client.call(StoreClient.newCall("remove").put("name", name), CALL);
+                if (outcome.isDone() || outcome.text().startsWith("there is no")) {
                     instances.add(name);
                     history.count("folders lost and made good");
                     return;
@@ -477,16 +477,16 @@
     private void call(int number, long seed) {
         Random own = new Random(seed * 31 + number);
         Map<String, String[]> known = new HashMap<>();
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             for (long i = 0; going.get(); i++) {
                 String key = KEYS[own.nextInt(KEYS.length)];
                 int sort = own.nextInt(3);
                 String value = number + "/" + i;
                 double began = history.now();
                 if (sort == 0) {
-                    RecordClient.Outcome outcome =
-                            client.ask(RecordClient.call("get").put("key", key), CALL);
-                    if (outcome.done()) {
+                    StoreClient.Outcome outcome =
+                            client.call(StoreClient.newCall("get").put("key", key), CALL);
+                    if (outcome.isDone()) {
                         var item = outcome.answer().path("items").path(0);
                         String found = item.isMissingNode() ? null : item.path("value").asText();
                         known.put(key, new String[] {found, item.path("revision").asText("0")});
@@ -501,17 +501,17 @@
                     }
                 } else {
                     String[] expected = sort == 2 ? known.remove(key) : null;
-                    RecordClient.Outcome outcome =
-                            client.ask(
-                                    RecordClient.put(
+                    StoreClient.Outcome outcome =
+                            client.call(
+                                    StoreClient.newPut(
                                             key,
                                             value,
                                             expected == null ? -1 : Long.parseLong(expected[1])),
                                     CALL);
                     Operation.End end =
-                            outcome.done()
+                            outcome.isDone()
                                     ? Operation.End.DONE
-                                    : outcome.unknown()
+                                    : outcome.isUnknown()
                                             ? Operation.End.UNKNOWN
                                             : outcome.reason().equals("condition")
                                                     ? Operation.End.REFUSED
--- a/rig/src/main/java/embershift/rig/process/ReceiverStand.java
+++ b/rig/src/main/java/embershift/rig/process/ReceiverStand.java
@@ -3,7 +3,7 @@
 import embershift.fleet.lease.FencingGuard;
 import embershift.fleet.lease.FencingToken;
 import embershift.fleet.lease.TaskId;
-import embershift.hosted.RecordClient;
+import embershift.hosted.StoreClient;
 import java.io.BufferedReader;
 import java.io.FileWriter;
 import java.io.IOException;
@@ -72,11 +72,11 @@
 
     /** Until the record has answered a read that began after this start. */
     private void askRecord(List<InetSocketAddress> instances) {
-        try (RecordClient client = new RecordClient(instances, "receiver")) {
+        try (StoreClient client = new StoreClient(instances, "receiver")) {
             while (true) {
-                RecordClient.Outcome outcome =
-                        client.ask(RecordClient.call("get").put("key", duty.tokenKey()), 5);
-                if (outcome.done()) {
+                StoreClient.Outcome outcome =
+                        client.call(StoreClient.newCall("get").put("key", duty.tokenKey()), 5);
+                if (outcome.isDone()) {
                     synchronized (this) {
                         gate.learnLatest(
                                 duty,
--- a/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
+++ b/rig/src/main/java/embershift/rig/scale/RolloutCosts.java
@@ -19,7 +19,7 @@
  */
 final class RolloutCosts {
 
-    /** Between two looks of the owner, as {@code Duties} has it. */
+    /** Between two looks of the owner, as {@code LeasedTasks} has it. */
     private static final double TICK = 0.05;
 
     private static final double ANSWER = 0.01;
--- a/rig/src/test/java/embershift/rig/InstancesTest.java
+++ b/rig/src/test/java/embershift/rig/InstancesTest.java
@@ -3,7 +3,7 @@
 import static org.testng.Assert.assertEquals;
 import static org.testng.Assert.assertTrue;
 
-import embershift.hosted.RecordClient;
+import embershift.hosted.StoreClient;
 import embershift.rig.history.History;
 import embershift.rig.process.Instances;
 import embershift.rig.process.Patience;
@@ -65,14 +65,14 @@
         instances.form(voters);
     }
 
-    private static String value(RecordClient.Outcome outcome) {
-        assertTrue(outcome.done(), outcome.end() + ": " + outcome.text());
+    private static String value(StoreClient.Outcome outcome) {
+        assertTrue(outcome.isDone(), outcome.status() + ": " + outcome.text());
         return outcome.answer().path("items").path(0).path("value").asText("(none)");
     }
 
-    private static void put(RecordClient client, String key, String value) {
-        RecordClient.Outcome outcome = client.ask(RecordClient.put(key, value, -1), PATIENCE);
-        assertTrue(outcome.done(), outcome.end() + ": " + outcome.text());
+    private static void put(StoreClient client, String key, String value) {
+        StoreClient.Outcome outcome = client.call(StoreClient.newPut(key, value, -1), PATIENCE);
+        assertTrue(outcome.isDone(), outcome.status() + ": " + outcome.text());
     }
 
     private void awaitApplied(String name, long revision) {
@@ -89,7 +89,7 @@
     public void leaderThatIsKilledIsFollowedByAnotherThatHasAllAndCatchesUpWhenItIsBack()
             throws Exception {
         start(3, 3);
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             put(client, "a", "1");
             String first = instances.awaitLeader(PATIENCE);
             double killed = history.now();
@@ -99,7 +99,7 @@
             history.event("leads after", second, String.valueOf(history.now() - killed));
             assertTrue(!patience.over());
             assertEquals(
-                    value(client.ask(RecordClient.call("get").put("key", "a"), PATIENCE)), "1");
+                    value(client.call(StoreClient.newCall("get").put("key", "a"), PATIENCE)), "1");
             put(client, "a", "2");
             instances.start(first);
             awaitApplied(first, 2);
@@ -109,11 +109,11 @@
     @Test
     public void callsThatWaitedInAStoppedLeaderDoNoHarmWhenItGoesOn() throws Exception {
         start(3, 3);
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             put(client, "a", "1");
             String first = instances.awaitLeader(PATIENCE);
             instances.stop(first);
-            RecordClient.Outcome[] late = new RecordClient.Outcome[2];
+            StoreClient.Outcome[] late = new StoreClient.Outcome[2];
             Thread[] callers = new Thread[2];
             for (int i = 0; i < 2; i++) {
                 int number = i;
@@ -121,13 +121,13 @@
                         new Thread(
                                 () -> {
                                     // Both wait in the queues of the stopped process alone.
-                                    try (RecordClient only = instances.client(first)) {
+                                    try (StoreClient only = instances.client(first)) {
                                         late[number] =
-                                                only.ask(
+                                                only.call(
                                                         number == 0
-                                                                ? RecordClient.put("a", "old", -1)
+                                                                ? StoreClient.newPut("a", "old", -1)
                                                                         .put("session", 0)
-                                                                : RecordClient.call("get")
+                                                                : StoreClient.newCall("get")
                                                                         .put("key", "a"),
                                                         4);
                                     }
@@ -135,7 +135,7 @@
                 callers[i].start();
             }
             String second = instances.awaitLeader(PATIENCE, first);
-            try (RecordClient there = instances.client(second)) {
+            try (StoreClient there = instances.client(second)) {
                 put(there, "a", "2");
                 double until = history.now() + 0.5;
                 while (history.now() < until) {
@@ -145,12 +145,13 @@
                 callers[0].join();
                 callers[1].join();
                 assertTrue(
-                        !late[0].done(), "a leader of the past carried out a change: " + late[0]);
+                        !late[0].isDone(), "a leader of the past carried out a change: " + late[0]);
                 assertTrue(
-                        !late[1].done() || value(late[1]).equals("2"),
+                        !late[1].isDone() || value(late[1]).equals("2"),
                         "a leader of the past answered a read: " + late[1]);
                 assertEquals(
-                        value(there.ask(RecordClient.call("get").put("key", "a"), PATIENCE)), "2");
+                        value(there.call(StoreClient.newCall("get").put("key", "a"), PATIENCE)),
+                        "2");
             }
         }
     }
@@ -158,7 +159,7 @@
     @Test
     public void twoPartitionsInARowEachWithTheLeaderInTheMinority() throws Exception {
         start(5, 5);
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             String before = null;
             for (int i = 0; i < 2; i++) {
                 put(client, "a", "before " + i);
@@ -182,7 +183,7 @@
                 before = next;
             }
             assertEquals(
-                    value(client.ask(RecordClient.call("get").put("key", "a"), PATIENCE)),
+                    value(client.call(StoreClient.newCall("get").put("key", "a"), PATIENCE)),
                     "after 1");
             for (String name : instances.names()) {
                 awaitApplied(name, 4);
@@ -193,7 +194,7 @@
     @Test
     public void leaderThatHearsNobodyOrIsNotHeardStepsDown() throws Exception {
         start(3, 3);
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             for (boolean heard : new boolean[] {true, false}) {
                 String leader = instances.awaitLeader(PATIENCE);
                 for (String other : instances.names()) {
@@ -221,7 +222,7 @@
     @Test
     public void followerWhoseLogIsGoneIsBroughtUpByASnapshot() throws Exception {
         start(3, 3);
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             String leader = instances.awaitLeader(PATIENCE);
             String away =
                     instances.names().stream()
@@ -243,7 +244,7 @@
     @Test
     public void majorityThatStartsWithEmptyFoldersByMistakeMakesNoGroupOfItsOwn() throws Exception {
         start(5, 5);
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             put(client, "a", "1");
             for (int i = 2; i < 5; i++) {
                 String name = instances.names().get(i);
@@ -251,8 +252,8 @@
                 Instances.delete(instances.folder(name));
                 instances.start(name);
             }
-            RecordClient.Outcome outcome = client.ask(RecordClient.put("a", "2", -1), 2.5);
-            assertTrue(!outcome.done(), "two of five agreed: " + outcome);
+            StoreClient.Outcome outcome = client.call(StoreClient.newPut("a", "2", -1), 2.5);
+            assertTrue(!outcome.isDone(), "two of five agreed: " + outcome);
             for (int i = 2; i < 5; i++) {
                 assertEquals(
                         instances
@@ -278,10 +279,10 @@
         String other = instances.names().get(2);
         instances.found(other);
         String leader = instances.awaitLeader(PATIENCE, other);
-        try (RecordClient client = instances.client(leader)) {
-            RecordClient.Outcome outcome =
-                    client.ask(
-                            RecordClient.call("add")
+        try (StoreClient client = instances.client(leader)) {
+            StoreClient.Outcome outcome =
+                    client.call(
+                            StoreClient.newCall("add")
                                     .put(
                                             "address",
                                             "127.0.0.1:" + instances.way(leader, other).getPort()),
@@ -295,18 +296,18 @@
     @Test
     public void instanceOfTheNextVersionWorksBesideTheOthersAndOneOfAnotherIsRefused()
             throws Exception {
-        Path greeting = Path.of("..", "hosted/src/main/java/embershift/hosted/Greeting.java");
-        try (Mutation next = new Mutation(greeting, "NEWEST = 1;", "NEWEST = 2;");
+        Path greeting = Path.of("..", "hosted/src/main/java/embershift/hosted/Handshake.java");
+        try (Mutation next = new Mutation(greeting, "NEWEST_VERSION = 1;", "NEWEST_VERSION = 2;");
                 Mutation other =
                         new Mutation(
                                 greeting,
-                                "OLDEST = 1;\n    static final int NEWEST = 1;",
-                                "OLDEST = 2;\n    static final int NEWEST = 3;")) {
+                                "OLDEST_VERSION = 1;\n    static final int NEWEST_VERSION = 1;",
+                                "OLDEST_VERSION = 2;\n    static final int NEWEST_VERSION = 3;")) {
             instances = new Instances(folder, 3, ways, history, "");
             instances.classPath("i2", next.mutatedClassPath());
             instances.startAll();
             instances.form(3);
-            try (RecordClient client = instances.client()) {
+            try (StoreClient client = instances.client()) {
                 put(client, "a", "1");
                 instances.kill("i3");
                 instances.classPath("i3", other.mutatedClassPath());
@@ -359,8 +360,8 @@
                 program.await(
                         text -> text.contains("\"message\":\"listening\"") ? true : null, PATIENCE);
             }
-            try (RecordClient client =
-                    new RecordClient(
+            try (StoreClient client =
+                    new StoreClient(
                             addresses.stream()
                                     .map(
                                             each ->
@@ -370,21 +371,21 @@
                                     .toList(),
                             "c")) {
                 assertTrue(
-                        RecordClient.askOne(
+                        StoreClient.callInstance(
                                         new InetSocketAddress(
                                                 InetAddress.getLoopbackAddress(),
                                                 Integer.parseInt(addresses.get(0).split(":")[1])),
-                                        RecordClient.call("found"),
+                                        StoreClient.newCall("found"),
                                         PATIENCE)
                                 .path("end")
                                 .asText()
                                 .equals("done"));
                 for (int i = 1; i < 3; i++) {
-                    RecordClient.Outcome added =
-                            client.ask(
-                                    RecordClient.call("add").put("address", addresses.get(i)),
+                    StoreClient.Outcome added =
+                            client.call(
+                                    StoreClient.newCall("add").put("address", addresses.get(i)),
                                     PATIENCE);
-                    assertTrue(added.done(), added.toString());
+                    assertTrue(added.isDone(), added.toString());
                 }
                 put(client, "a", "1");
                 InetSocketAddress first =
@@ -394,7 +395,8 @@
                 for (Patience patience = new Patience(PATIENCE); ; Instances.sleep(0.02)) {
                     String status =
                             String.valueOf(
-                                    RecordClient.askOne(first, RecordClient.call("status"), 1));
+                                    StoreClient.callInstance(
+                                            first, StoreClient.newCall("status"), 1));
                     if (status.split("\"role\":\"voter\"", -1).length == 4) {
                         break;
                     }
@@ -419,7 +421,7 @@
         assertTrue(
                 instances.program(leader).output().contains("\"led\":false"),
                 instances.program(leader).output());
-        try (RecordClient client = instances.client()) {
+        try (StoreClient client = instances.client()) {
             put(client, "a", "1");
         }
     }
