--- a/node/src/main/java/embershift/operations/OperatorApi.java
+++ b/node/src/main/java/embershift/operations/OperatorApi.java
@@ -15,7 +15,8 @@
 import java.util.function.Consumer;
 
 /**
- * What operators may call, and what each call is answered; no sockets. One thread, the router's.
+ * The requests that operators may send and the answers to them; handles no sockets. Runs on the
+ * router's thread.
  */
 public final class OperatorApi {
 
@@ -23,19 +24,21 @@
 
     private final Router router;
     private final HostEjections ejections;
-    private final BooleanSupplier ready;
+    private final BooleanSupplier isReady;
 
-    /** {@code ready} says whether clients are taken now. */
-    public OperatorApi(Router router, HostEjections ejections, BooleanSupplier ready) {
+    /** {@code isReady} tells whether the node accepts clients now. */
+    public OperatorApi(Router router, HostEjections ejections, BooleanSupplier isReady) {
         this.router = router;
         this.ejections = ejections;
-        this.ready = ready;
+        this.isReady = isReady;
     }
 
     /**
-     * Answers a call, now or, where it takes effect with the next round, after that. {@code
-     * waited}: it may have lain here so long that its caller has given up, and has since had the
-     * contrary done at another process.
+     * Answers a request, at once or, where it takes effect with the router's next round, after that
+     * round.
+     *
+     * @param mayBeStale whether the request may have waited here so long that its caller has given
+     *     up and has since had the opposite done at another process
      */
     public void handle(
             HttpRequestParser request, boolean mayBeStale, Consumer<HttpResponse> answer) {
@@ -55,27 +58,27 @@
         } else if (isEjection) {
             setEjected(new HostId(path.get(2)), name.equals("exclude"), answer);
         } else {
-            answer.accept(name.equals("ready") ? ready() : telemetry());
+            answer.accept(name.equals("ready") ? readiness() : telemetry());
         }
     }
 
-    private HttpResponse ready() {
-        return ready.getAsBoolean()
+    private HttpResponse readiness() {
+        return isReady.getAsBoolean()
                 ? HttpResponse.of(200, "{\"ready\":true}")
                 : HttpResponse.error(503, "this node takes no clients now");
     }
 
-    private void setEjected(HostId host, boolean ejected, Consumer<HttpResponse> answer) {
+    private void setEjected(HostId host, boolean eject, Consumer<HttpResponse> answer) {
         if (!router.knows(host)) {
             answer.accept(HttpResponse.error(404, "no host " + host.name() + " is known here"));
             return;
         }
         ejections.setEjected(
                 host,
-                ejected,
-                end ->
+                eject,
+                outcome ->
                         answer.accept(
-                                end == HostEjections.Outcome.TOO_LATE
+                                outcome == HostEjections.Outcome.TOO_LATE
                                         ? HttpResponse.error(
                                                 503,
                                                 "this process stood still in the middle of it: look which hosts are out, call again")
@@ -86,16 +89,16 @@
                                                         + ",\"out\":"
                                                         + ejections.isEjected(host)
                                                         + ",\"kept\":"
-                                                        + (end == HostEjections.Outcome.KEPT)
+                                                        + (outcome == HostEjections.Outcome.KEPT)
                                                         + "}")));
     }
 
     private HttpResponse telemetry() {
         Tally tally = router.tally();
-        StringBuilder out = new StringBuilder("{\"operations\":{");
-        String comma = "";
+        StringBuilder json = new StringBuilder("{\"operations\":{");
+        String separator = "";
         for (ProfileId profile : tally.profiles()) {
-            out.append(comma)
+            json.append(separator)
                     .append(Json.quote(profile.name()))
                     .append(":{\"fulfilled\":")
                     .append(tally.of(profile, Outcome.OPENED))
@@ -104,9 +107,9 @@
                     .append(",\"faulted\":")
                     .append(tally.of(profile, Outcome.CLOSED_WITH_ERROR))
                     .append('}');
-            comma = ",";
+            separator = ",";
         }
-        out.append("},\"relayed\":")
+        json.append("},\"relayed\":")
                 .append(tally.of(Tally.SETUPS_WRITTEN))
                 .append(",\"open_requests\":")
                 .append(router.openTunnels())
@@ -117,12 +120,12 @@
                 .append(",\"declined\":{\"want_of_descriptors\":")
                 .append(tally.of(Tally.DECLINED_FOR_DESCRIPTORS));
         for (DeclineReason reason : DeclineReason.values()) {
-            out.append(',')
+            json.append(',')
                     .append(Json.quote(reason.name().toLowerCase(Locale.ROOT)))
                     .append(':')
                     .append(tally.of(reason));
         }
-        out.append("}}");
-        return HttpResponse.of(200, out.toString());
+        json.append("}}");
+        return HttpResponse.of(200, json.toString());
     }
 }
