--- a/hosted/src/main/java/embershift/hosted/AdminCommands.java
+++ b/hosted/src/main/java/embershift/hosted/AdminCommands.java
@@ -18,7 +18,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** The administrator's commands on nodes, duties, revisions and releases. */
+/** The administrators' commands on nodes, leased tasks, revisions and releases. */
 final class AdminCommands {
 
     static final String LATEST_REVISION_KEY = "rollout/latest";
@@ -53,7 +53,7 @@
                 AsyncStoreClient.newTransaction(preconditions, mutations), timeoutSeconds);
     }
 
-    @Parameters(commandDescription = "Each node as the owner of the rollout sees it")
+    @Parameters(commandDescription = "List the nodes as the rollout sees them")
     private static final class ListNodes extends FleetCommands.MultiCallCommand {
         @Override
         StoreClient.Outcome execute(StoreClient client) {
@@ -131,7 +131,7 @@
         }
     }
 
-    @Parameters(commandDescription = "Who owns what, by which fence, and how far it is")
+    @Parameters(commandDescription = "List the duties: owner, fencing token and progress of each")
     private static final class ListTasks extends FleetCommands.MultiCallCommand {
         @Override
         StoreClient.Outcome execute(StoreClient client) {
@@ -164,7 +164,7 @@
         }
     }
 
-    @Parameters(commandDescription = "DUTY INSTANCE: has this instance own a duty")
+    @Parameters(commandDescription = "DUTY INSTANCE: transfer a duty to this instance")
     private static final class TransferTask extends FleetCommands.MultiCallCommand {
         @Override
         StoreClient.Outcome execute(StoreClient client) {
@@ -185,17 +185,17 @@
 
     @Parameters(
             commandDescription =
-                    "FIELD=VALUE ...: a new revision with these fields set: out/HOST, discovery, sockets, peers")
+                    "FIELD=VALUE ...: create a revision with these fields set: out/HOST, discovery, sockets, peers")
     private static final class CreateRevision extends FleetCommands.MultiCallCommand {
-        @Parameter(names = "--remove", description = "Fields that go, set apart by commas")
+        @Parameter(names = "--remove", description = "Fields to remove, separated by commas")
         String removedFields = "";
 
         @Parameter(
                 names = "--back-to",
-                description = "Begin with what this revision said, not with the latest")
+                description = "Start from the fields of this revision, not of the latest one")
         long baseRevision = -1;
 
-        @Parameter(names = "--now", description = "To all nodes at once, not to a few first")
+        @Parameter(names = "--now", description = "Send it to all nodes at once, without a canary")
         boolean isImmediate;
 
         @Override
@@ -292,7 +292,7 @@
     }
 
     @Parameters(
-            commandDescription = "The revisions of the fleet's orders, and how far the last one is")
+            commandDescription = "List the configuration revisions, and the state of the rollout")
     private static final class ListRevisions extends FleetCommands.MultiCallCommand {
         @Override
         StoreClient.Outcome execute(StoreClient client) {
@@ -347,7 +347,7 @@
 
     @Parameters(
             commandDescription =
-                    "REVISION: the least on which any node may act for the fleet; only up")
+                    "REVISION: raise the least revision on which nodes may act; it is never lowered")
     private static final class RaiseFloor extends FleetCommands.MultiCallCommand {
         @Override
         StoreClient.Outcome execute(StoreClient client) {
@@ -378,7 +378,7 @@
 
     @Parameters(
             commandDescription =
-                    "NODE WHY: this process of it may not act for the fleet any more, and leaves")
+                    "NODE WHY: shut out the present process of a node, which then exits")
     private static final class ShutOutNode extends FleetCommands.MultiCallCommand {
         @Override
         StoreClient.Outcome execute(StoreClient client) {
@@ -404,7 +404,7 @@
         }
     }
 
-    @Parameters(commandDescription = "NODE: may act for the fleet again")
+    @Parameters(commandDescription = "NODE: let a node act for the fleet again")
     private static final class AdmitNode extends FleetCommands.Command {
         @Override
         ObjectNode newCall() {
@@ -415,7 +415,7 @@
 
     @Parameters(
             commandDescription =
-                    "NODE: there is no such node any more; one that comes again has a name again")
+                    "NODE: delete a node that is gone; one that connects under its name registers anew")
     private static final class ForgetNode extends FleetCommands.MultiCallCommand {
         @Override
         StoreClient.Outcome execute(StoreClient client) {
@@ -443,24 +443,24 @@
 
     @Parameters(
             commandDescription =
-                    "start NAME PART ... | show | go | pause | abort: hosts and nodes started anew in steps")
+                    "start NAME TARGET ... | show | go | pause | abort: restart hosts and nodes in steps")
     private static final class ManageRelease extends FleetCommands.MultiCallCommand {
-        @Parameter(names = "--size", description = "Parts that may be away at one time")
+        @Parameter(names = "--size", description = "Targets that may be unavailable at a time")
         int maxUnavailable = 1;
 
         @Parameter(
                 names = "--service",
-                description = "Share of tunnels that must be opened of those not declined")
+                description = "Least share of tunnels that must be opened, of those not declined")
         double minServiceRate = 0.9;
 
         @Parameter(
                 names = "--warm",
-                description = "Seconds that a part serves before it counts as back")
+                description = "Seconds that a target serves before it counts as restarted")
         double warmUpSeconds = 5;
 
         @Parameter(
                 names = "--patience",
-                description = "Seconds without progress after which it pauses by itself")
+                description = "Seconds without progress after which the release pauses by itself")
         double patienceSeconds = 60;
 
         @Override
@@ -485,7 +485,7 @@
                     arguments.subList(Math.min(2, arguments.size()), arguments.size())) {
                 if (!argument.matches("(host|node):.+")) {
                     throw new ParameterException(
-                            "a part is host:NAME or node:NAME, not " + argument);
+                            "a target is host:NAME or node:NAME, not " + argument);
                 }
                 targets.add(
                         new RollingRestartPlan.Target(
--- a/hosted/src/main/java/embershift/hosted/AsyncStoreClient.java
+++ b/hosted/src/main/java/embershift/hosted/AsyncStoreClient.java
@@ -19,8 +19,8 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the record for one that may not wait: calls go out one after the other from a thread of its
- * own, answers come back where it lives.
+ * A non-blocking client of the replicated store: calls are made one after the other on a thread of
+ * its own, and their outcomes are handed to an executor of the caller.
  */
 public final class AsyncStoreClient implements AutoCloseable {
 
@@ -28,7 +28,12 @@
     private final StoreClient client;
     private final Executor callbackExecutor;
 
-    /** {@code addresses}: where the instances are now; {@code back}: on which answers are heard. */
+    /**
+     * Creates a client.
+     *
+     * @param addresses supplies the current addresses of the instances
+     * @param callbackExecutor runs the listeners of outcomes
+     */
     public AsyncStoreClient(
             Supplier<List<InetSocketAddress>> addresses, String name, Executor callbackExecutor) {
         this.callbackExecutor = callbackExecutor;
@@ -51,7 +56,7 @@
                         callbackExecutor.execute(() -> listener.accept(outcome));
                     });
         } catch (RejectedExecutionException e) {
-            // It is closed: nobody waits any more.
+            // The client is closed, and nobody waits for the outcome any more.
         }
     }
 
@@ -71,7 +76,7 @@
                                                         outcome.text())));
     }
 
-    /** Renews a session; neither is run where no answer comes, or another one. */
+    /** Renews a session; runs neither callback if there is no answer or another one. */
     public void renewSession(
             SessionId session, double timeoutSeconds, Runnable onRenewed, Runnable onEnded) {
         call(
@@ -86,7 +91,9 @@
                 });
     }
 
-    /** Reads a key's value, empty where it has none; nothing is heard where no answer comes. */
+    /**
+     * Reads a key's value, empty if it has none; the listener is not called if there is no answer.
+     */
     public void readValue(String key, double timeoutSeconds, Consumer<Optional<String>> listener) {
         call(
                 StoreClient.newCall("get").put("key", key),
@@ -127,7 +134,9 @@
                 .put("open", change.oldestOpenNumber());
     }
 
-    /** A change that the client gives a session and a number. */
+    /**
+     * Returns a call for a transaction, to which the client adds its session and a sequence number.
+     */
     public static ObjectNode newTransaction(
             List<Precondition> preconditions, List<Mutation> mutations) {
         ObjectNode call = StoreClient.newCall("change");
--- a/hosted/src/main/java/embershift/hosted/AuditChart.java
+++ b/hosted/src/main/java/embershift/hosted/AuditChart.java
@@ -7,8 +7,8 @@
 import java.util.Locale;
 
 /**
- * An audit as a picture: time across, nodes down, one colour a revision, what is not known hatched,
- * starts and ends marked.
+ * An audit report as an SVG chart: time across, nodes down, one colour per revision, unknown
+ * periods hatched, starts and exits marked.
  */
 final class AuditChart {
 
@@ -67,7 +67,7 @@
                     svg.append(rectangle(x, end, y, "url(#gap)", title + ", entries are missing"));
                 }
                 if (period.to().isEmpty() && end < WIDTH - 11) {
-                    svg.append(rectangle(end, WIDTH - 10, y, "url(#gap)", "nothing is told"));
+                    svg.append(rectangle(end, WIDTH - 10, y, "url(#gap)", "no entries"));
                 }
             }
         }
@@ -120,7 +120,7 @@
                 escape(title));
     }
 
-    /** Revisions that follow one another are far apart in hue. */
+    /** Returns the colour of a revision; consecutive ones differ widely in hue. */
     private static String colour(long revision) {
         return revision == 0 ? "#ddd" : "hsl(" + revision * 137 % 360 + ",60%,65%)";
     }
--- a/hosted/src/main/java/embershift/hosted/AuditCommand.java
+++ b/hosted/src/main/java/embershift/hosted/AuditCommand.java
@@ -22,44 +22,44 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Which node acted on which version, asked of the trails that the record holds. */
+/** Answers from the stored audit logs which node acted on which configuration revision. */
 @Parameters(
         commandDescription =
-                "Which node acted on which version: --node N --at TIME, --revision R, --between A,B, --host H, --verify")
+                "Print which node acted on which revision: --node N --at-time TIME, --revision R, --between A,B, --host H, --verify")
 final class AuditCommand extends FleetCommands.MultiCallCommand {
 
-    @Parameter(names = "--node", description = "Of this node only")
+    @Parameter(names = "--node", description = "Only this node")
     String node = "";
 
     @Parameter(
             names = "--at-time",
             description =
-                    "What each node acted on then: 2026-12-01T10:00:00Z or milliseconds since 1970")
+                    "Print the revision of each node at a time: 2026-12-01T10:00:00Z or milliseconds since 1970")
     String atTime = "";
 
     @Parameter(
             names = "--revision",
-            description = "Who acted on this revision, who may have, who never did")
+            description = "Print which nodes acted on this revision, may have, or never did")
     long revision = -1;
 
-    @Parameter(names = "--between", description = "Entries between two times, as FROM,TO")
+    @Parameter(names = "--between", description = "Print the entries between two times, as FROM,TO")
     String timeRange = "";
 
     @Parameter(
             names = "--host",
             description =
-                    "Who was told that this host is out, and who sent it something after that")
+                    "Print which nodes were told that this host is out, and which sent to it after that")
     String host = "";
 
     @Parameter(
             names = "--verify",
-            description = "Whether the trails are whole: chains, gaps, what is told twice")
+            description = "Check that the audit logs are complete: chains, gaps, duplicates")
     boolean isVerify;
 
     @Parameter(
             names = "--picture",
             description =
-                    "File for a picture (SVG): time across, nodes down, one colour a revision")
+                    "File for a chart (SVG): time across, nodes down, one colour per revision")
     String chartFile = "";
 
     private List<String> header = List.of();
@@ -112,7 +112,7 @@
                                         item.path("key").asText(), item.path("value").asText()));
         List<String> segments = new ArrayList<>();
         for (String each : node.isEmpty() ? registered.keySet() : List.of(node)) {
-            // One node's at a time: all of them would not go into one answer.
+            // One node at a time: the logs of all nodes would not fit into one answer.
             StoreClient.Outcome trail = listKeys(client, "trail/" + each + "/");
             if (!trail.isDone()) {
                 return trail;
@@ -219,7 +219,7 @@
     @Override
     int printOutcome(StoreClient.Outcome outcome) {
         int exitStatus = super.printOutcome(outcome);
-        // What does not fit is no good end.
+        // Problems that the verification found are a failure of the command.
         return exitStatus == 0 && isVerify && !outcome.answer().path("rows").isEmpty()
                 ? 1
                 : exitStatus;
--- a/hosted/src/main/java/embershift/hosted/CallHandler.java
+++ b/hosted/src/main/java/embershift/hosted/CallHandler.java
@@ -21,19 +21,19 @@
 import java.util.Locale;
 import java.util.Optional;
 
-/** What callers may ask of an instance, as JSON, and what they are answered. */
+/** Carries out the JSON calls that clients make to an instance, and writes the answers. */
 final class CallHandler {
 
     private static final int PROTOCOL_VERSION = 1;
 
-    /** Whoever waits for an answer. */
+    /** Waits for the result of a call. */
     interface ResultListener {
         void completed(long callId, CallResult result);
     }
 
     private CallHandler() {}
 
-    /** Answers a call, now or later. */
+    /** Handles a call; the answer is sent now or later. */
     static void handle(Instance instance, Instance.InboundConnection connection, byte[] frame)
             throws FrameCodec.MalformedFrameException {
         ObjectNode call = JsonMessages.read(frame);
@@ -92,7 +92,8 @@
                             call.path("from").asLong());
             case "add", "remove", "transfer" -> {
                 if (!replica.isLeader()) {
-                    // What this instance knows of the members may be old, or nothing.
+                    // This instance may know an old membership or none. A read makes the
+                    // store answer that it does not lead.
                     replica.read(now, connection.registerCall(listener), "");
                     return;
                 }
@@ -206,7 +207,7 @@
         return answer;
     }
 
-    /** What callers are told of a role; the names are part of the protocol. */
+    /** Returns the name of a role in answers; the names are part of the protocol. */
     static String wireName(Raft.Role role) {
         return switch (role) {
             case FOLLOWER -> "follower";
--- a/hosted/src/main/java/embershift/hosted/DiscoveryWatch.java
+++ b/hosted/src/main/java/embershift/hosted/DiscoveryWatch.java
@@ -16,12 +16,15 @@
 import java.util.TreeMap;
 
 /**
- * A watch at discovery: one call after the other, each waiting for news there, at the times of
- * {@link WatchSchedule}. Keeps the whole list; on a loop.
+ * A watch at discovery: long-polling calls one after the other, timed by {@link WatchSchedule}.
+ * Keeps the complete roster. Confined to an event loop.
  */
 final class DiscoveryWatch implements TcpConnection.Listener {
 
-    /** Hears of each answer. {@code anew}: the generations before it are those of another. */
+    /**
+     * Is called for each answer; {@code isRestarted}: discovery has restarted, and its generations
+     * are not comparable with earlier ones.
+     */
     interface Listener {
         void answerReceived(long generation, Map<String, String> entries, boolean isRestarted);
     }
@@ -37,7 +40,7 @@
     private EventLoop.Timer timer;
     private boolean isClosed;
 
-    /** Whether this connection has brought an answer: from then on its versions only grow. */
+    /** Whether this connection has delivered an answer; after that its generations only grow. */
     private boolean hasAnsweredOnConnection;
 
     private double lastAnswerAt = Double.NEGATIVE_INFINITY;
@@ -50,7 +53,7 @@
         call();
     }
 
-    /** When an answer came last. */
+    /** Returns when the latest answer came. */
     double lastAnswerAt() {
         return lastAnswerAt;
     }
@@ -76,7 +79,7 @@
         }
     }
 
-    /** Looks at the schedule again when something is due. */
+    /** Sets the timer for the next action of the schedule. */
     private void scheduleNextAction() {
         if (timer != null) {
             timer.cancel();
@@ -143,9 +146,9 @@
                         && !body.path("instances").isEmpty()
                         && schedule.isEarly(loop.now());
         if (hasAnsweredOnConnection && (isRestarted || isRepeated)) {
-            // An earlier answer that came once more, whole perhaps: what it lists as ready may have
-            // been told to drain since,
-            // and the call that is out still waits there.
+            // An earlier answer was delivered again, perhaps a complete one. Hosts that it lists
+            // as ready may have been told to drain since, and the call in flight still waits
+            // at discovery.
             disconnect();
             call();
             return;
@@ -153,7 +156,7 @@
         hasAnsweredOnConnection = true;
         schedule.callAnswered(loop.now(), newGeneration != generation);
         if (isRestarted && !isComplete) {
-            // Changes against a list that nobody here has.
+            // A difference from a roster that this instance does not have.
             generation = -1;
             callOrWait();
             return;
@@ -204,7 +207,8 @@
         try {
             if (schedule.isCalling() && response.feed(bytes)) {
                 if (bytes.hasRemaining()) {
-                    // More than was asked for: the rest of it would be taken for the next answer.
+                    // More data than one response: the rest would be taken for the answer to the
+                    // next call.
                     disconnect();
                 }
                 handleResponse();
@@ -223,7 +227,7 @@
                 return;
             }
         } catch (RuntimeException e) {
-            // It ended in the middle.
+            // The response was incomplete.
         }
         callFailed();
     }
--- a/hosted/src/main/java/embershift/hosted/FleetCommands.java
+++ b/hosted/src/main/java/embershift/hosted/FleetCommands.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * The administrator's commands: each answers done (0), refused (1) or unknown (3) within a stated
- * time.
+ * The administrators' commands. Each ends as done (exit status 0), refused (1) or unknown (3)
+ * within its timeout.
  */
 final class FleetCommands {
 
@@ -26,17 +26,17 @@
     abstract static class Command {
         @Parameter(
                 names = "--at",
-                description = "Instances to ask, as HOST:PORT,HOST:PORT",
+                description = "Addresses of instances, as HOST:PORT,HOST:PORT",
                 required = true)
         String instances;
 
-        @Parameter(names = "--within", description = "Seconds within which an answer comes")
+        @Parameter(names = "--within", description = "Timeout in seconds")
         double timeoutSeconds = 5;
 
-        @Parameter(names = "--json", description = "Answer as one line of JSON")
+        @Parameter(names = "--json", description = "Print the answer as one line of JSON")
         boolean isJson;
 
-        @Parameter(description = "WORDS")
+        @Parameter(description = "ARGUMENTS")
         List<String> arguments = new ArrayList<>();
 
         List<InetSocketAddress> addresses() {
@@ -104,7 +104,7 @@
         }
     }
 
-    @Parameters(commandDescription = "Each instance as it sees itself")
+    @Parameters(commandDescription = "Print the state of each instance as it reports it")
     private static final class Status extends Command {
         @Override
         ObjectNode newCall() {
@@ -147,7 +147,7 @@
         }
     }
 
-    @Parameters(commandDescription = "Who belongs to the group, as its leader has it")
+    @Parameters(commandDescription = "List the members of the group as its leader sees them")
     private static final class Members extends Command {
         @Override
         ObjectNode newCall() {
@@ -202,7 +202,7 @@
         }
     }
 
-    @Parameters(commandDescription = "KEY: what the record holds there")
+    @Parameters(commandDescription = "KEY: print the value of a key")
     private static final class Get extends Command {
         @Override
         ObjectNode newCall() {
@@ -227,7 +227,7 @@
         }
     }
 
-    @Parameters(commandDescription = "PREFIX: all keys that begin so")
+    @Parameters(commandDescription = "PREFIX: list the keys that start with a prefix")
     private static final class ListKeys extends Command {
         @Override
         ObjectNode newCall() {
@@ -249,11 +249,11 @@
         }
     }
 
-    @Parameters(commandDescription = "KEY VALUE: writes a key")
+    @Parameters(commandDescription = "KEY VALUE: write a key")
     private static final class Put extends Command {
         @Parameter(
                 names = "--if-revision",
-                description = "Only where the key's revision is this one; 0: where there is none")
+                description = "Only if the key has this revision; 0: if it does not exist")
         long requiredRevision = -1;
 
         @Override
@@ -268,11 +268,9 @@
         }
     }
 
-    @Parameters(commandDescription = "KEY: takes a key away")
+    @Parameters(commandDescription = "KEY: delete a key")
     private static final class Delete extends Command {
-        @Parameter(
-                names = "--if-revision",
-                description = "Only where the key's revision is this one")
+        @Parameter(names = "--if-revision", description = "Only if the key has this revision")
         long requiredRevision = -1;
 
         @Override
@@ -282,9 +280,13 @@
         }
     }
 
-    @Parameters(commandDescription = "PREFIX: waits for the next changes of keys that begin so")
+    @Parameters(
+            commandDescription =
+                    "PREFIX: wait for the next changes of keys that start with a prefix")
     private static final class Watch extends Command {
-        @Parameter(names = "--from", description = "From this revision on; without it, from now")
+        @Parameter(
+                names = "--from",
+                description = "First revision to print; by default the next one")
         long fromRevision = -1;
 
         @Override
@@ -336,7 +338,7 @@
 
     @Parameters(
             commandDescription =
-                    "Begins a group with the one instance asked, whose folder is empty")
+                    "Create a group whose only member is this instance, which has an empty folder")
     private static final class CreateGroup extends Command {
         @Override
         ObjectNode newCall() {
@@ -346,9 +348,11 @@
 
     @Parameters(
             commandDescription =
-                    "ADDRESS: takes the instance there into the group, once it has caught up")
+                    "ADDRESS: add the instance there to the group once it has caught up")
     private static final class AddMember extends Command {
-        @Parameter(names = "--learner", description = "It only follows, and does not vote")
+        @Parameter(
+                names = "--learner",
+                description = "Replicate to the instance without a vote for it")
         boolean isLearner;
 
         @Override
@@ -360,7 +364,7 @@
         }
     }
 
-    @Parameters(commandDescription = "NAME: takes an instance out of the group")
+    @Parameters(commandDescription = "NAME: remove an instance from the group")
     private static final class RemoveMember extends Command {
         @Override
         ObjectNode newCall() {
@@ -369,7 +373,7 @@
         }
     }
 
-    @Parameters(commandDescription = "NAME: has this instance lead")
+    @Parameters(commandDescription = "NAME: transfer the leadership to this instance")
     private static final class TransferLeadership extends Command {
         @Override
         ObjectNode newCall() {
@@ -378,12 +382,12 @@
         }
     }
 
-    /** A command that asks more than once; each ends as one call does. */
+    /** A command that makes several calls, and ends like one call. */
     abstract static class MultiCallCommand extends Command {
 
         @Override
         final ObjectNode newCall() {
-            throw new IllegalStateException("it asks by itself");
+            throw new IllegalStateException("a command of several calls has no single one");
         }
 
         @Override
@@ -393,7 +397,9 @@
             }
         }
 
-        /** The outcome of the call that was refused or unknown, or of the last one. */
+        /**
+         * Returns the outcome of the call that was refused or unknown, otherwise of the last one.
+         */
         abstract StoreClient.Outcome execute(StoreClient client);
 
         final StoreClient.Outcome getKey(StoreClient client, String key) {
--- a/hosted/src/main/java/embershift/hosted/Handshake.java
+++ b/hosted/src/main/java/embershift/hosted/Handshake.java
@@ -10,9 +10,13 @@
 import java.io.UncheckedIOException;
 
 /**
- * How two instances begin: who speaks, of which group, to whom, and which versions of the words
- * between them it knows. {@code to} 0: only to learn who is there; {@code group} 0: of none yet;
- * {@code address}: where the speaker is reached, for one who does not know the members yet.
+ * The first message between two instances, in both directions.
+ *
+ * @param oldestVersion the oldest protocol version that the sender supports
+ * @param newestVersion the newest one
+ * @param group the sender's group; 0 if it belongs to none yet
+ * @param recipient 0 if the sender only wants to learn the recipient's identity
+ * @param senderAddress the address of the sender, for a recipient that knows no members yet
  */
 record Handshake(
         int oldestVersion,
@@ -23,7 +27,7 @@
         MemberId recipient,
         String senderAddress) {
 
-    /** The versions that this program knows. */
+    /** The protocol versions that this program supports. */
     static final int OLDEST_VERSION = 1;
 
     static final int NEWEST_VERSION = 1;
@@ -45,7 +49,7 @@
                 senderAddress);
     }
 
-    /** The newest version that both know, or 0. */
+    /** Returns the newest version that both support, or 0. */
     static int negotiatedVersion(int oldestOfOther, int newestOfOther) {
         int version = Math.min(newestOfOther, NEWEST_VERSION);
         return version >= Math.max(oldestOfOther, OLDEST_VERSION) ? version : 0;
@@ -69,13 +73,13 @@
         return bytes.toByteArray();
     }
 
-    /** What a later version says behind the first fields is left unread. */
+    /** Reads a handshake; further fields that a later version appends are ignored. */
     static Handshake decode(byte[] frame) throws FrameCodec.MalformedFrameException {
         try {
             DataInputStream in =
                     new DataInputStream(new ByteArrayInputStream(frame, 1, frame.length - 1));
             if (in.readInt() != MAGIC) {
-                throw new FrameCodec.MalformedFrameException("no greeting of an instance");
+                throw new FrameCodec.MalformedFrameException("not a handshake of an instance");
             }
             return new Handshake(
                     in.readByte(),
@@ -86,7 +90,7 @@
                     new MemberId(in.readLong()),
                     in.readUTF());
         } catch (IOException e) {
-            throw new FrameCodec.MalformedFrameException("a greeting that ends early");
+            throw new FrameCodec.MalformedFrameException("truncated handshake");
         }
     }
 }
--- a/hosted/src/main/java/embershift/hosted/Identity.java
+++ b/hosted/src/main/java/embershift/hosted/Identity.java
@@ -9,26 +9,26 @@
 import java.security.SecureRandom;
 
 /**
- * Who an instance is, as its folder says; {@code group} 0: it belongs to none yet. A lost folder
- * loses it for good.
+ * The identity of an instance, stored in its directory; {@code group} is 0 while it belongs to
+ * none. If the directory is lost, the identity is lost for good.
  */
 record Identity(MemberId id, long group) {
 
     private static final String FILE = "identity";
 
-    /** Of a folder that has none, a new one. */
+    /** Loads the identity; creates one in an empty directory. */
     static Identity loadOrCreate(Disk disk) throws IOException {
         if (disk.fileNames().contains(FILE)) {
             byte[] content = ChecksummedFile.read(disk, FILE);
             if (content.length != 2 * Long.BYTES) {
-                throw new CorruptDataException(FILE + ": of another program or version");
+                throw new CorruptDataException(FILE + ": written by another program or version");
             }
             ByteBuffer in = ByteBuffer.wrap(content);
             return new Identity(new MemberId(in.getLong()), in.getLong());
         }
         if (disk.fileNames().stream()
                 .anyMatch(name -> name.startsWith("log-") || name.startsWith("snapshot-"))) {
-            throw new CorruptDataException(FILE + ": it is gone, and the folder is not empty");
+            throw new CorruptDataException(FILE + ": missing, although the directory is not empty");
         }
         Identity created = new Identity(new MemberId(randomId()), 0);
         created.write(disk);
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -44,24 +44,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One instance: sockets, timers and the disk round a {@link ReplicatedStore}. All on one loop; what
- * waits for the disk is done aside, and what was ordered meanwhile goes there together.
+ * One control-plane instance: the sockets, timers and disk around a {@link ReplicatedStore}. All
+ * state is confined to one event loop; blocking disk writes run outside of it, and the writes
+ * requested meanwhile form the next batch.
  */
 final class Instance implements ReplicatedStore.Environment {
 
     private static final Logger LOG = LoggerFactory.getLogger(Instance.class);
+
+    /** Exit status of an instance that halts because it can't go on safely. */
     private static final int EXIT_HALTED = 3;
 
-    /** Seconds until writes that found no room are tried again. */
+    /** Seconds until writes are retried that failed on a full disk. */
     private static final double FULL_DISK_RETRY_SECONDS = 0.2;
 
-    /** Seconds for which a leader that ends waits until another leads. */
+    /** Seconds for which a leader that shuts down waits until another instance leads. */
     private static final double LEADERSHIP_TRANSFER_SECONDS = 1.5;
 
     private static final double SHUTDOWN_POLL_SECONDS = 0.02;
+
+    /** Seconds between two updates of the addresses of the leader and the other members. */
     private static final double ADDRESS_REFRESH_SECONDS = 0.2;
 
-    /** Seconds for which one that ends waits for its duties to be given back. */
+    /** Seconds for which an instance that shuts down waits until its leases are released. */
     private static final double TASK_RELEASE_SECONDS = 1;
 
     private final InstanceSettings settings;
@@ -78,7 +83,7 @@
     private boolean isDiskFull;
     private final Map<MemberId, PeerConnection> peers = new HashMap<>();
 
-    /** The connection that each other instance speaks on: its newest. */
+    /** The newest connection from each other instance; only this one is read. */
     private final Map<MemberId, InboundConnection> inboundPeers = new HashMap<>();
 
     private final Map<Long, CallHandler.ResultListener> pendingCalls = new HashMap<>();
@@ -87,7 +92,7 @@
     private final TreeMap<String, Long> counters = new TreeMap<>();
     private final CountDownLatch shutdownComplete = new CountDownLatch(1);
 
-    /** Where this instance itself listens. */
+    /** The address that this instance itself listens on. */
     private InetSocketAddress listenAddress;
 
     private volatile List<InetSocketAddress> instanceAddresses = List.of();
@@ -107,7 +112,7 @@
         lastTickAt = loop.now();
         if (persistence.truncatedBytes() > 0) {
             LOG.warn(
-                    "the end of the log was cut",
+                    "damaged end of the log truncated",
                     kv("bytes", persistence.truncatedBytes()),
                     kv("doubt", recovered.isUntrusted()));
         }
@@ -134,7 +139,7 @@
                 kv("members", replica.raft().membership().toString()));
     }
 
-    /** Starts; the program then lives on the loop. */
+    /** Starts an instance; its event loop keeps the process alive. */
     static void start(InstanceSettings settings) throws IOException {
         FileSystemDisk directory = FileSystemDisk.open(Path.of(settings.directory()));
         EventLoop loop = new EventLoop();
@@ -179,18 +184,18 @@
         counters.merge(counter, 1L, Long::sum);
     }
 
-    // Time.
+    // Time
 
     /**
-     * What the program did not foresee must not be gone on from: what it has promised can't be told
-     * any more.
+     * Runs an action and halts the process on an unexpected exception: after it nobody can tell
+     * whether what this instance has promised to others still holds.
      */
     private void runGuarded(Runnable action) {
         try {
             action.run();
         } catch (RuntimeException e) {
             LOG.error("fault", e);
-            halt("a fault of the program: " + e);
+            halt("unexpected exception: " + e);
         }
     }
 
@@ -200,7 +205,8 @@
     }
 
     /**
-     * Before anything that came is looked at: one that stood still must not take old news for new.
+     * Applies the ticks that are due. Runs before any received data is handled, so that an instance
+     * that was paused does not take old messages for recent ones.
      */
     private void catchUpTicks() {
         double now = loop.now();
@@ -211,7 +217,7 @@
         }
     }
 
-    /** For those of this instance that ask the record, wherever its leader is. */
+    /** Updates the addresses that this instance's own store clients use, the leader's first. */
     private void refreshAddresses() {
         List<InetSocketAddress> addresses = new ArrayList<>();
         MemberId leader = replica.raft().leader().orElse(MemberId.NONE);
@@ -228,7 +234,7 @@
         loop.schedule(ADDRESS_REFRESH_SECONDS, this::refreshAddresses);
     }
 
-    // The disk.
+    // Disk
 
     @Override
     public void persist(WriteRequest request) {
@@ -241,7 +247,7 @@
             return;
         }
         isWriting = true;
-        // After this turn, so that all that it orders goes together.
+        // Deferred to the next turn of the loop, so that all writes of this turn go in one batch.
         loop.execute(
                 () -> {
                     List<WriteRequest> batch = List.copyOf(pendingWrites);
@@ -257,7 +263,7 @@
                     () -> {
                         if (isDiskFull) {
                             isDiskFull = false;
-                            LOG.info("the disk takes writes again");
+                            LOG.info("disk has space again");
                         }
                         isWriting = false;
                         runGuarded(
@@ -272,7 +278,7 @@
                         if (!isDiskFull) {
                             isDiskFull = true;
                             LOG.error(
-                                    "no room: nothing is answered until there is",
+                                    "disk is full; calls are not answered until writes succeed",
                                     kv("why", e.getMessage()));
                         }
                         count("writes without room");
@@ -281,21 +287,22 @@
                                 () -> loop.executeBlocking(() -> writeBatch(batch)));
                     });
         } catch (IOException | RuntimeException e) {
-            halt("the disk failed, and what is on it can't be told: " + e);
+            halt("disk write failed, the stored state is undefined: " + e);
         }
     }
 
     @Override
     public void stateTrusted() {
-        LOG.info("has all again that it was in doubt of");
+        LOG.info("state is trusted again");
         loop.executeBlocking(
                 () -> {
                     try {
                         persistence.markTrusted();
                     } catch (IOException e) {
-                        // It will be in doubt again after the next start, which is on the safe
-                        // side.
-                        LOG.warn("the mark of doubt stays", kv("why", e.getMessage()));
+                        // The state is then untrusted again after the next start, which is safe.
+                        LOG.warn(
+                                "could not remove the mark of untrusted state",
+                                kv("why", e.getMessage()));
                     }
                 });
     }
@@ -307,15 +314,15 @@
         Runtime.getRuntime().halt(EXIT_HALTED);
     }
 
-    // The others.
+    // Other instances
 
     @Override
     public void send(MemberId to, RaftMessage message) {
         Member member = replica.raft().membership().find(to).orElse(null);
         if (member == null) {
             InboundConnection inbound = inboundPeers.get(to);
-            // Whoever is not known here, as to one that joins nobody is, is answered where it says
-            // that it lives.
+            // An instance that is still joining knows no members: it answers at the address that
+            // the sender gave in its handshake.
             member =
                     inbound == null
                             ? null
@@ -331,8 +338,8 @@
     }
 
     /**
-     * The way to another instance: one connection, dialled again when it is lost, on which only
-     * this one speaks.
+     * The outgoing connection to another instance, reopened when it is lost. Raft messages go one
+     * way only: the other instance answers on a connection of its own.
      */
     private final class PeerConnection implements TcpConnection.Listener {
         private static final double MIN_RECONNECT_SECONDS = 0.03;
@@ -447,7 +454,7 @@
                                         new String(
                                                 frame, 1, frame.length - 1, StandardCharsets.UTF_8);
                                 LOG.warn(
-                                        "not welcome",
+                                        "handshake rejected by the other instance",
                                         kv("at", peer.toString()),
                                         kv("why", reason));
                                 count("refused by others");
@@ -471,6 +478,7 @@
         }
     }
 
+    /** Closes the oldest caller connections until one more is within the limit. */
     private boolean makeRoomForConnection() {
         while (callers.size() >= settings.limits().maxCallers()) {
             InboundConnection oldest = callers.iterator().next();
@@ -480,7 +488,7 @@
         return true;
     }
 
-    /** A connection that came in: of another instance, or of a caller. */
+    /** An accepted connection: of another instance, a node or a caller. */
     final class InboundConnection implements TcpConnection.Listener {
         private static final int MAX_CONSECUTIVE_DROPS = 20;
         private final TcpConnection connection;
@@ -521,7 +529,7 @@
                     case FrameCodec.NODE -> handleNodeMessage(JsonMessages.read(frame));
                     default ->
                             throw new FrameCodec.MalformedFrameException(
-                                    "a piece of kind " + frame[0]);
+                                    "unknown frame type " + frame[0]);
                 }
             } catch (FrameCodec.MalformedFrameException | MalformedBytesException e) {
                 count("connections with unreadable bytes");
@@ -537,11 +545,12 @@
             } else if (node != null) {
                 tasks.nodes().handleMessage(node, message);
             } else {
-                throw new FrameCodec.MalformedFrameException("a node that has not said who it is");
+                throw new FrameCodec.MalformedFrameException(
+                        "first message of a node is not its registration");
             }
         }
 
-        /** Says something to a node. */
+        /** Sends a message to a node; drops it while earlier ones are still unsent. */
         void sendToNode(ObjectNode message) {
             if (connection.isClosed()) {
                 return;
@@ -549,7 +558,7 @@
             if (connection.hasPendingWrites()
                     || !connection.write(JsonMessages.frame(FrameCodec.ORDER, message))) {
                 count("words to nodes dropped");
-                // What it misses it is told again, or it comes again.
+                // A dropped message is repeated later, or the node reconnects after the close.
                 consecutiveDrops++;
                 if (consecutiveDrops > MAX_CONSECUTIVE_DROPS) {
                     close();
@@ -559,7 +568,7 @@
             }
         }
 
-        /** Ends it, once what was written is out. */
+        /** Closes the connection once everything written to it has been sent. */
         void closeGracefully() {
             callers.remove(this);
             connection.closeGracefully();
@@ -593,7 +602,8 @@
                 callers.remove(this);
                 InboundConnection previous = inboundPeers.put(peer, this);
                 if (previous != null) {
-                    // What it still holds is of a run before, or was given up by its sender.
+                    // What it still holds is from an earlier run of the sender, or the sender
+                    // abandoned it.
                     previous.close();
                 }
             }
@@ -633,12 +643,12 @@
                         + ", here is "
                         + Long.toHexString(identity.group());
             }
-            return handshake.group() == 0 ? "of no group" : null;
+            return handshake.group() == 0 ? "the sender belongs to no group" : null;
         }
 
         private void handleRaftMessage(byte[] frame) throws FrameCodec.MalformedFrameException {
             if (peer == null || inboundPeers.get(peer) != this) {
-                throw new FrameCodec.MalformedFrameException("a message without a greeting");
+                throw new FrameCodec.MalformedFrameException("Raft message without a handshake");
             }
             count("messages taken");
             replica.receive(
@@ -693,7 +703,8 @@
     }
 
     /**
-     * From now on of this group; whether that is on disk. Only once, before anything is promised.
+     * Joins a group and returns whether that is on disk. Done only once, before this instance has
+     * promised anything to other members.
      */
     private boolean joinGroup(long group) {
         Identity next = new Identity(identity.id(), group);
@@ -703,12 +714,12 @@
             LOG.info("belongs", kv("group", Long.toHexString(group)));
             return true;
         } catch (IOException e) {
-            LOG.error("can't note its group", kv("why", e.getMessage()));
+            LOG.error("could not store the group", kv("why", e.getMessage()));
             return false;
         }
     }
 
-    // Calls.
+    // Calls
 
     ReplicatedStore replica() {
         return replica;
@@ -734,7 +745,7 @@
         return persistence.logFileCount();
     }
 
-    /** Begins a group with this instance as its only one. */
+    /** Creates a group with this instance as its only member; returns the error, or null. */
     String createGroup() {
         if (identity.group() != 0 || replica.raft().lastIndex() > 0) {
             return "this instance belongs to group "
@@ -742,7 +753,7 @@
                     + " already";
         }
         if (!joinGroup(Identity.randomId())) {
-            return "the disk takes nothing";
+            return "the group could not be stored on disk";
         }
         replica.bootstrap(
                 loop.now(),
@@ -754,7 +765,7 @@
         return null;
     }
 
-    /** Asks who is at an address, then takes that one in. */
+    /** Adds the instance at an address to the group, after a handshake that tells its identity. */
     void addMember(long callId, String address, Member.Role role) {
         FrameCodec frames = new FrameCodec();
         TcpConnection[] connection = new TcpConnection[1];
@@ -765,7 +776,7 @@
                     connection[0].close();
                     complete(callId, new CallResult.Rejected(CallResult.Reason.MEMBERSHIP, reason));
                 };
-        timer[0] = loop.schedule(2, () -> reject.accept("nobody answers at " + address));
+        timer[0] = loop.schedule(2, () -> reject.accept("no answer from " + address));
         connection[0] =
                 loop.connect(
                         TomlSettings.socket(address),
@@ -796,7 +807,7 @@
                                             bytes,
                                             frame -> {
                                                 try {
-                                                    met(Handshake.decode(frame));
+                                                    handshakeCompleted(Handshake.decode(frame));
                                                 } catch (FrameCodec.MalformedFrameException e) {
                                                     reject.accept(e.getMessage());
                                                 }
@@ -806,7 +817,7 @@
                                 }
                             }
 
-                            private void met(Handshake other) {
+                            private void handshakeCompleted(Handshake other) {
                                 if (other.group() != 0 && other.group() != identity.group()) {
                                     reject.accept(
                                             other.senderName()
@@ -825,12 +836,13 @@
 
                             @Override
                             public void inputEnded() {
-                                reject.accept("who is at " + address + " ended the connection");
+                                reject.accept(
+                                        "the instance at " + address + " closed the connection");
                             }
 
                             @Override
                             public void connectionLost() {
-                                reject.accept("who is at " + address + " broke the connection");
+                                reject.accept("the connection to " + address + " was lost");
                             }
                         });
     }
@@ -845,7 +857,7 @@
 
     @Override
     public void roleChanged(boolean isLeader, long term, Optional<MemberId> leader) {
-        // Called while the replica is made, too.
+        // Also called from the constructor of the replica, while the field is still null.
         String leaderName =
                 replica == null
                         ? ""
@@ -856,11 +868,11 @@
         count(isLeader ? "terms led" : "changes of leader");
     }
 
-    // The end.
+    // Shutdown
 
     /**
-     * At SIGTERM: hands over first, its duties and then the lead, so that nobody waits for it to be
-     * missed.
+     * Releases the leases and then transfers the leadership at SIGTERM, so that no other instance
+     * has to wait for a timeout to take over.
      */
     private void shutDown() {
         loop.execute(
--- a/hosted/src/main/java/embershift/hosted/InstanceSettings.java
+++ b/hosted/src/main/java/embershift/hosted/InstanceSettings.java
@@ -12,9 +12,14 @@
 import java.util.stream.Stream;
 
 /**
- * What an operator says of one instance. {@code folder} is its own; {@code address}: where the
- * others reach it, if that is not where it listens; {@code ways}: where this instance reaches
- * others, by name, in place of what those say. Times in seconds.
+ * The settings of one instance; times in seconds.
+ *
+ * @param directory used by this instance alone
+ * @param advertisedAddress where the other instances reach this one; by default where it listens
+ * @param faultInjection whether its disk can be made to fail, for drills
+ * @param peerAddresses where this instance reaches others, by name; they replace the addresses that
+ *     those advertise
+ * @param fleet absent if this instance does no tasks of the fleet
  */
 public record InstanceSettings(
         String name,
@@ -28,9 +33,11 @@
         FleetSettings fleet) {
 
     /**
-     * What the duties go by; absent: this instance owns none. {@code discovery}: asked for all
-     * nodes; {@code manager}: who starts hosts and nodes anew; {@code session}: seconds without a
-     * word after which a duty goes to another. Others: see {@link RolloutSettings}.
+     * The settings of the fleet's tasks; for the others see {@link RolloutSettings}.
+     *
+     * @param discovery the address of discovery, which is watched on behalf of all nodes
+     * @param manager the address of the manager that restarts hosts and nodes
+     * @param sessionSeconds without word of a lease holder after which another instance takes over
      */
     public record FleetSettings(
             String discovery,
@@ -44,6 +51,7 @@
             @JsonProperty("at-once") Integer maxInFlight,
             @JsonProperty("service") Double minServiceRate) {
 
+        /** Session timeouts without progress after which a lease is released. */
         private static final double STUCK_SESSIONS = 5;
 
         public FleetSettings {
@@ -63,8 +71,8 @@
         }
 
         /**
-         * Of a duty that is never done: one that hears no node, or can't ask what it should, lets
-         * others try.
+         * Returns the lease settings of a task without end: a holder that hears no node, or cannot
+         * reach what it depends on, releases the lease so that others can try.
          */
         LeaseSettings continuousLeaseSettings() {
             return leaseSettings(
@@ -118,7 +126,11 @@
         }
     }
 
-    /** What may pile up; {@code callers}: connections of those that are no instances. */
+    /**
+     * Limits on what accumulates; see also {@link embershift.raft.RaftLimits}.
+     *
+     * @param maxCallers connections that are neither of other instances nor of nodes
+     */
     public record LimitSettings(
             @JsonProperty("command-bytes") Integer maxCommandBytes,
             @JsonProperty("waiting-bytes") Integer maxUncommittedBytes,
@@ -196,7 +208,7 @@
         }
         if (limits.maxUncommittedBytes < limits.maxCommandBytes) {
             throw new TomlSettings.InvalidSettingsException(
-                    file + ": bounds.waiting-bytes: not under bounds.command-bytes");
+                    file + ": bounds.waiting-bytes: must not be less than bounds.command-bytes");
         }
         List<String> addresses = new ArrayList<>(peerAddresses.values());
         addresses.addAll(List.of(listenAddress, advertisedAddress));
@@ -208,7 +220,7 @@
         for (String candidate : addresses) {
             if (!TomlSettings.isAddress(candidate)) {
                 throw new TomlSettings.InvalidSettingsException(
-                        file + ": " + candidate + ": a port is 65535 at the most");
+                        file + ": " + candidate + ": a port is at most 65535");
             }
         }
     }
--- a/hosted/src/main/java/embershift/hosted/LeasedTask.java
+++ b/hosted/src/main/java/embershift/hosted/LeasedTask.java
@@ -21,8 +21,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One duty at this instance: an {@link LeaseHolder} with its calls to the record. Those that extend
- * it do the work, while it holds, by its fence. On the loop.
+ * A task of the fleet that one instance at a time does under a lease: a {@link LeaseHolder} with
+ * its calls to the store. Subclasses do the work while the lease is held, with its fencing token.
+ * Confined to the event loop.
  */
 abstract class LeasedTask implements LeaseHolder.Environment {
 
@@ -39,7 +40,7 @@
     private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
     private boolean isWriting;
 
-    /** The order to hand it over that was followed already. */
+    /** The store revision of the transfer request that was handled last. */
     private long handledTransfer;
 
     LeasedTask(LeasedTasks tasks, String name) {
@@ -47,7 +48,7 @@
         id = new TaskId(name);
     }
 
-    /** The number at the beginning of what the record holds there; 0 for nothing. */
+    /** Returns the number at the start of a value in the store, or 0 if there is none. */
     static long leadingNumber(KeyValue item) {
         String firstWord = item == null ? "" : item.value().split(" ", 2)[0];
         return firstWord.matches("\\d{1,18}") ? Long.parseLong(firstWord) : 0;
@@ -73,16 +74,16 @@
         return leaseHolder.token();
     }
 
-    /** The duty is this instance's, by this fence. */
+    /** Called when this instance has acquired the lease, under a new fencing token. */
     abstract void leaseAcquired();
 
-    /** It is not any more: nothing may go out from now on. */
+    /** Called when the lease is gone: nothing may be sent under it from now on. */
     abstract void leaseLost();
 
-    /** Called often while it holds. */
+    /** Called at each tick while the lease is held. */
     abstract void doWork();
 
-    /** Called before the owner looks at the time, whether it holds or not. */
+    /** Called at the start of each tick, whether the lease is held or not. */
     void prepare() {}
 
     final void tick(double acquireDelay) {
@@ -98,7 +99,7 @@
                 && leaseHolder.isHeldOrReleasing()
                 && transfer.revision() != handledTransfer) {
             handledTransfer = transfer.revision();
-            notifyOperator(id.name() + " is handed over to " + transfer.value());
+            notifyOperator(id.name() + " is transferred to " + transfer.value());
             leaseHolder.release(now);
         }
         leaseHolder.setAcquireDelay(
@@ -120,7 +121,8 @@
             if (isTarget) {
                 write(List.of(Mutation.delete(transfer.key())));
             } else if (transfer != null) {
-                // The one that it is to go to has not come for it.
+                // The target of the transfer did not acquire it in time, and this instance did:
+                // that request counts as handled.
                 handledTransfer = transfer.revision();
             }
             leaseAcquired();
@@ -136,20 +138,22 @@
         if (!activeToken.equals(FencingToken.NONE)) {
             activeToken = FencingToken.NONE;
             pendingWrites.clear();
-            LOG.info("duty over", kv("duty", id.name()));
+            LOG.info("lease ended", kv("duty", id.name()));
             leaseLost();
         }
     }
 
     /**
-     * Writes under this owner's fence, in this order; nothing of it is written once another was
-     * granted the duty.
+     * Writes to the store under this lease's fencing token, in the order of the calls; nothing is
+     * written once another instance was granted the lease.
      */
     final void write(List<Mutation> mutations) {
         write(mutations, () -> {});
     }
 
-    /** {@code done} runs once it is in the record, while this owner still has the duty. */
+    /**
+     * {@code onWritten} runs once the mutations are stored, if this instance still holds the lease.
+     */
     final void write(List<Mutation> mutations, Runnable onWritten) {
         pendingWrites.add(new PendingWrite(mutations, onWritten));
         writeNext();
@@ -186,8 +190,8 @@
     }
 
     /**
-     * Gives a node an order by this owner's fence; a node that knows a later one ends the duty
-     * here. Hears the verdict, or null for none.
+     * Sends a node an order under the fencing token; a node that knows a later token ends the lease
+     * here. The listener gets the verdict, or null for none.
      */
     final void sendOrder(
             NodeConnections.NodeConnection node,
@@ -206,7 +210,7 @@
                 });
     }
 
-    // The owner's hands.
+    // Environment of the lease holder
 
     @Override
     public final void submit(StoreCommand command) {
@@ -238,7 +242,7 @@
 
     @Override
     public void runStep(TaskId task, TaskPlan plan, int step, FencingToken token) {
-        // A duty without steps begins its work at the next tick.
+        // A task without steps starts its work at the next tick.
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/LeasedTasks.java
+++ b/hosted/src/main/java/embershift/hosted/LeasedTasks.java
@@ -9,17 +9,27 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 
-/** The duties that this instance would own, and the nodes that they are for. On the loop. */
+/**
+ * The tasks that this instance competes for, and the nodes that they act on. Confined to the event
+ * loop.
+ */
 final class LeasedTasks implements NodeConnections.Listener {
 
-    /** Seconds by which others wait while a duty is to go to a certain one. */
+    /**
+     * Seconds by which the other instances delay acquiring a lease that is to be transferred to
+     * one.
+     */
     static final double TRANSFER_DELAY_SECONDS = 2;
 
     private static final double TICK_SECONDS = 0.05;
 
-    /** Seconds by which one that has a duty already is slower to claim another. */
+    /**
+     * Seconds of delay per lease already held before acquiring another, which spreads the tasks
+     * over the instances.
+     */
     private static final double DELAY_PER_HELD_TASK_SECONDS = 0.3;
 
+    /** The random part of the delay, which keeps instances from competing at the same moment. */
     private static final double MAX_JITTER_SECONDS = 0.1;
 
     private final EventLoop loop;
@@ -34,7 +44,12 @@
     private final Random random;
     private boolean isLeaving;
 
-    /** {@code addresses}: where the instances are now, this one too. */
+    /**
+     * Creates the tasks.
+     *
+     * @param settings null if this instance is to hold no leases
+     * @param addresses the current addresses of all instances, including this one
+     */
     LeasedTasks(
             EventLoop loop,
             String name,
@@ -80,7 +95,7 @@
         loop.schedule(TICK_SECONDS, this::tick);
     }
 
-    /** Gives all duties back; whether none is left. */
+    /** Starts to release all leases; returns whether none is held any more. */
     boolean releaseAll() {
         boolean anyHeld = false;
         for (LeasedTask task : tasks) {
--- a/hosted/src/main/java/embershift/hosted/Main.java
+++ b/hosted/src/main/java/embershift/hosted/Main.java
@@ -10,7 +10,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The command line of the hosted program. */
+/** The command line of a control-plane instance. */
 public final class Main {
 
     static final int USAGE_ERROR = 2;
@@ -21,7 +21,7 @@
     private static class SettingsOptions {
         @Parameter(
                 names = "--installation",
-                description = "The file that tells of this instance",
+                description = "Settings file of the instance",
                 required = true)
         String settingsFile;
 
@@ -30,21 +30,21 @@
         }
     }
 
-    @Parameters(commandDescription = "Run one of the instances that agree")
+    @Parameters(commandDescription = "Run a control-plane instance")
     private static final class RunInstance extends SettingsOptions {}
 
-    @Parameters(commandDescription = "Say whether an instance could run by this file")
+    @Parameters(commandDescription = "Check the settings file of an instance")
     private static final class CheckSettings extends SettingsOptions {}
 
-    /** Of the program, and of each command. */
+    /** The help option of the program and of each command. */
     static final class Help {
         @Parameter(
                 names = {"--help", "-h"},
-                description = "Say what there is",
+                description = "Print this help",
                 help = true)
         private boolean isRequested;
 
-        /** Whether it was asked for; then it has been given. */
+        /** Prints the help if it was requested, and returns whether it was. */
         boolean printIfRequested(JCommander commandLine) {
             if (isRequested) {
                 (commandLine.getParsedCommand() == null
@@ -56,7 +56,7 @@
         }
     }
 
-    @Parameters(commandDescription = "Administrators' commands; fleet --help tells them")
+    @Parameters(commandDescription = "Administrators' commands; see fleet --help")
     private static final class FleetHelp {}
 
     public static void main(String[] args) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** The exit status; negative: the program goes on by itself. */
+    /** Returns the exit status; negative if an instance was started, which keeps running. */
     public static int run(String[] args) {
         RunInstance instances = new RunInstance();
         CheckSettings check = new CheckSettings();
@@ -98,7 +98,7 @@
                         "sound: " + settings.name() + " listens at " + settings.listenAddress());
                 return 0;
             }
-            throw new ParameterException("instance, check or fleet is wanted");
+            throw new ParameterException("a command is missing: instance, check or fleet");
         } catch (ParameterException | TomlSettings.InvalidSettingsException e) {
             System.err.println(e.getMessage().lines().findFirst().orElse(""));
             return USAGE_ERROR;
--- a/hosted/src/main/java/embershift/hosted/NodeConnections.java
+++ b/hosted/src/main/java/embershift/hosted/NodeConnections.java
@@ -25,8 +25,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The nodes that are linked to this instance: who they are, what they say, and the orders that are
- * out to them. On the loop.
+ * The nodes that are connected to this instance: their registrations, their messages and the orders
+ * that they have not answered yet. Confined to the event loop.
  */
 final class NodeConnections {
 
@@ -35,20 +35,20 @@
     private static final double CALL_TIMEOUT_SECONDS = 3;
 
     /**
-     * Seconds after which an order without a verdict is given up: it is void at the node by then,
-     * or soon.
+     * Seconds after which an order without a verdict is given up: by then, or soon after, the node
+     * considers it expired.
      */
     private static final double VERDICT_TIMEOUT_SECONDS = 5;
 
     private static final int PROTOCOL_VERSION = 1;
 
-    /** Orders that may be out to one node. */
+    /** The most orders to one node that may be unanswered. */
     private static final int MAX_PENDING_ORDERS = 64;
 
     static final String NODE_PREFIX = "node/";
     static final String SHUT_OUT_PREFIX = "out/";
 
-    /** What the duties hear of nodes. */
+    /** Is notified about connected nodes. */
     interface Listener {
 
         void nodeReported(NodeConnection node);
@@ -85,19 +85,19 @@
         }
 
         /**
-         * A time, by this instance's clock, since which the node is known to have run and been
-         * heard.
+         * Returns the latest time, by this instance's clock, at which the node is known to have
+         * been running.
          */
         double lastHeardAt() {
             return lastHeardAt;
         }
 
-        /** What it reported last; empty before the first. */
+        /** Returns the node's latest report; empty before the first. */
         JsonNode report() {
             return report;
         }
 
-        /** Gives an order; hears the verdict, or null where none came in time. */
+        /** Sends an order; the listener gets the verdict, or null if none comes in time. */
         void sendOrder(ObjectNode order, Consumer<ObjectNode> listener) {
             if (pendingOrders.size() >= MAX_PENDING_ORDERS) {
                 listener.accept(null);
@@ -118,7 +118,7 @@
 
         private void reject(String reason) {
             LOG.warn(
-                    "node is out",
+                    "node rejected",
                     kv("node", name),
                     kv("incarnation", incarnation),
                     kv("why", reason));
@@ -162,7 +162,9 @@
         return LeasedTask.leadingNumber(store.get().find(RolloutTask.FLOOR_KEY).orElse(null));
     }
 
-    /** Whoever may not be here any more is told so. To be called several times a second. */
+    /**
+     * Rejects the nodes that may no longer act and expires orders. Call it several times a second.
+     */
     void checkConnections() {
         double now = loop.now();
         for (NodeConnection node : List.copyOf(connections.values())) {
@@ -182,8 +184,8 @@
     }
 
     /**
-     * Why an incarnation may not act for the fleet, by what this instance has of the record; or
-     * null.
+     * Returns why an incarnation may not act for the fleet according to this instance's replica of
+     * the store, or null.
      */
     private String rejectionReason(String name, String bootId, long incarnation) {
         if (incarnation == 0) {
@@ -201,7 +203,7 @@
                 : null;
     }
 
-    // What nodes say.
+    // Messages of nodes
 
     NodeConnection handleHello(Instance.InboundConnection connection, ObjectNode hello) {
         String name = hello.path("name").asText();
@@ -239,7 +241,7 @@
         return node;
     }
 
-    /** The name is this process's from now on, by a change whose revision is its incarnation. */
+    /** Registers the process under its name; the revision of that write is its incarnation. */
     private void register(NodeConnection node) {
         registrationClient.call(
                 StoreClient.newPut(NODE_PREFIX + node.name, node.bootId, -1),
@@ -248,17 +250,17 @@
                     if (outcome.isDone()) {
                         welcome(node, outcome.answer().path("number").asLong());
                     } else {
-                        // It comes again.
+                        // The node reconnects and registers again.
                         node.connection.close();
                     }
                 });
     }
 
     /**
-     * Whether a process gives way to another that has its name: to one that began after it. A
-     * process whose registration was given up, and came about later all the same, has two
-     * incarnations, and may be known here by the higher one of a connection that it has left: it
-     * never gives way to itself.
+     * Returns whether a process yields to another one of its name, which is the case if the other
+     * has registered later. A process whose registration timed out and yet was stored afterwards
+     * has two incarnations, and a connection that it has left may still be listed here with the
+     * higher one. So a process never yields to itself.
      */
     static boolean yieldsTo(
             long incarnation, String bootId, long otherIncarnation, String otherBootId) {
@@ -294,8 +296,8 @@
         if (!node.isWelcomed) {
             return;
         }
-        // When the node had this word before it: one that lay long on its way is no news of the
-        // node.
+        // The node echoes the time of the latest message that it had received before it sent
+        // this one: a message that was long on its way proves nothing recent about the node.
         node.lastHeardAt =
                 Math.max(node.lastHeardAt, Math.min(message.path("echo").asDouble(), loop.now()));
         switch (message.path("kind").asText()) {
@@ -317,15 +319,17 @@
     }
 
     /**
-     * Has a piece of a trail agreed on; it is acknowledged once it is, and once only kept, however
-     * often it came.
+     * Stores a segment of the node's audit log and then acknowledges it. The precondition stores it
+     * only once however often it arrives.
      */
     private void storeAuditSegment(NodeConnection node, ObjectNode message) {
         AuditSegment segment = AuditSegment.decode(message.path("text").asText()).orElse(null);
         if (segment == null
                 || !segment.node().equals(node.name)
                 || segment.incarnation() != node.incarnation) {
-            LOG.warn("a piece of a trail that can't be", kv("node", node.name));
+            LOG.warn(
+                    "audit segment rejected: malformed, or of another node or incarnation",
+                    kv("node", node.name));
             return;
         }
         auditClient.call(
--- a/hosted/src/main/java/embershift/hosted/RestartManagerClient.java
+++ b/hosted/src/main/java/embershift/hosted/RestartManagerClient.java
@@ -11,9 +11,9 @@
 import java.util.function.Consumer;
 
 /**
- * Calls whoever starts things anew, one call to a connection: {@code RESTART host|node NAME ID} or
- * {@code VOID ID}. It answers {@code GOING}, {@code DONE}, {@code VOID} or {@code NO reason}, the
- * same for the same id, whoever calls.
+ * A client of the manager that restarts hosts and nodes, one call per connection: {@code RESTART
+ * host|node NAME ID} or {@code VOID ID}. The manager answers {@code GOING}, {@code DONE}, {@code
+ * VOID} or {@code NO reason}; the answer depends on the id only, whoever calls.
  */
 final class RestartManagerClient {
 
@@ -27,7 +27,10 @@
         this.address = address;
     }
 
-    /** Hears {@code UNKNOWN} where no answer came: it may have been done, or may be. */
+    /**
+     * Calls the manager. The listener gets {@code UNKNOWN} if no answer comes: the request may have
+     * been carried out, or may be later.
+     */
     void call(String request, Consumer<RollingRestart.RestartState> listener) {
         TcpConnection[] connection = new TcpConnection[1];
         boolean[] isDone = new boolean[1];
--- a/hosted/src/main/java/embershift/hosted/RollingRestartTask.java
+++ b/hosted/src/main/java/embershift/hosted/RollingRestartTask.java
@@ -22,21 +22,29 @@
 import java.util.TreeMap;
 
 /**
- * Starts hosts and nodes anew, step by step, as {@link RollingRestart} decides, while the record
- * holds a plan.
+ * Restarts hosts and nodes step by step, as {@link RollingRestart} decides, while the store holds a
+ * plan.
  */
 final class RollingRestartTask extends LeasedTask
         implements NodeConnections.Listener, RollingRestart.FleetView, RollingRestart.Environment {
 
+    /** Seconds without a message after which a node counts as unreachable. */
     private static final double SILENT_NODE_SECONDS = 2;
+
+    /**
+     * Seconds until the ejected hosts are sent again to a node that does not report them; five
+     * times as long to one that does.
+     */
     private static final double EJECTION_RESEND_SECONDS = 1;
+
     private static final double SERVICE_RATE_WINDOW_SECONDS = 5;
 
-    /** Seconds that any one call may take. */
+    /** The longest time, in seconds, that a call of a step may take. */
     private static final double MAX_CALL_SECONDS = 1;
 
     private static final int MAX_STEP_ATTEMPTS = 6;
 
+    /** A node's totals of opened and failed tunnels at a time. */
     private record TunnelCounts(double at, long opened, long failed) {}
 
     private DiscoveryWatch discovery;
@@ -51,7 +59,8 @@
     private String writtenState = "";
 
     /**
-     * The step before was ended by this owner, under this fence: nobody can have begun the next.
+     * Whether this holder completed the previous step under its present fencing token, so that
+     * nobody else can have started the next one.
      */
     private boolean isPreviousStepDoneHere;
 
@@ -59,7 +68,10 @@
         super(tasks, "release");
     }
 
-    /** A plan that the record has, and that is not at its end, is this instance's to claim. */
+    /**
+     * Competes for the lease of the plan that the store holds, once this instance holds no lease of
+     * an earlier plan.
+     */
     @Override
     void prepare() {
         KeyValue item = tasks.store().find(RollingRestartPlan.KEY).orElse(null);
@@ -99,8 +111,8 @@
         isPreviousStepDoneHere = false;
         if (activeStep != null) {
             activeStep = null;
-            // Its time may only have lapsed: should it come back under the same grant, the step is
-            // begun again.
+            // The lease may only have lapsed for a while: if it resumes under the same token,
+            // the step starts over.
             leaseHolder()
                     .stepCompleted(
                             now(),
@@ -121,7 +133,7 @@
         double now = now();
         if (activeStep != null) {
             KeyValue intent = tasks.store().find(RollingRestartPlan.INTENT_KEY).orElse(null);
-            // Of a wish for an earlier release nothing holds.
+            // An intent for an earlier release does not apply.
             activeStep.setOperatorIntent(
                     now,
                     intent == null || intent.revision() < planRevision
@@ -149,8 +161,8 @@
     }
 
     /**
-     * Which hosts are out: told anew to whoever may not know it, and to all from time to time, as
-     * nodes let go of it by themselves.
+     * Sends the ejected hosts to the nodes that do not report them, and to all others now and then,
+     * because nodes let ejections expire by themselves.
      */
     private void sendEjections(double now) {
         for (NodeConnections.NodeConnection node : tasks.nodes().connected()) {
@@ -179,7 +191,7 @@
         }
     }
 
-    // What the step sees.
+    // Fleet view of the step
 
     @Override
     public Map<String, RollingRestart.NodeView> nodes() {
@@ -249,7 +261,7 @@
         countsByNode.remove(node.name);
     }
 
-    // What the step has done.
+    // Environment of the step
 
     @Override
     public void ejectHosts(Set<String> hosts) {
@@ -295,7 +307,7 @@
 
     @Override
     public void halted(String reason) {
-        notifyOperator("the release halts: " + reason);
+        notifyOperator("the release has halted: " + reason);
         write(
                 List.of(
                         Mutation.put(
--- a/hosted/src/main/java/embershift/hosted/RolloutTask.java
+++ b/hosted/src/main/java/embershift/hosted/RolloutTask.java
@@ -22,7 +22,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Brings each node to the revision that it should go by, as {@link ConfigRollout} decides. */
+/**
+ * Brings each node to the configuration revision that it should run, as {@link ConfigRollout}
+ * decides.
+ */
 final class RolloutTask extends LeasedTask
         implements NodeConnections.Listener, ConfigRollout.Environment {
 
@@ -30,7 +33,7 @@
     static final String STAGE_KEY = "rollout/stage";
     static final String FLOOR_KEY = "rollout/floor";
 
-    /** Revisions that go to all at once. */
+    /** Prefix of the keys that mark revisions to send to all nodes at once, without a canary. */
     static final String IMMEDIATE_PREFIX = "rollout/now/";
 
     static final String STATE_PREFIX = "state/";
@@ -47,12 +50,12 @@
     private static final double COMPACTION_SECONDS = 10;
     private static final int MAX_MUTATIONS = 200;
 
-    /** Revisions that are kept, beside those that some node may still go by. */
+    /** Revisions that are kept at least; those that some node may still run are never deleted. */
     private static final int RETAINED_REVISIONS = 500;
 
     private ConfigRollout rollout;
 
-    /** While the record is read: what this owner must know before it does anything. */
+    /** Reads of the store still to complete; before that this lease holder may not do anything. */
     private int pendingReads;
 
     private final Map<String, KeyValue> restored = new TreeMap<>();
@@ -79,7 +82,7 @@
         RESTORED_PREFIXES.forEach(prefix -> readPrefix(prefix, token().number()));
     }
 
-    /** By the record itself, not by what this instance has of it: that may be behind. */
+    /** Reads through the leader, because this instance's own replica may be behind. */
     private void readPrefix(String prefix, long tokenNumber) {
         tasks.queryClient()
                 .call(
@@ -144,7 +147,10 @@
         return digits.matches("\\d{1,18}") ? Long.parseLong(digits) : -1;
     }
 
-    /** What has come into the record since; this instance may be behind with that, never wrong. */
+    /**
+     * Applies changes of the store from this instance's replica, which may be behind but is never
+     * wrong.
+     */
     private void applyStoreChanges() {
         long storeRevision = tasks.store().revision();
         if (storeRevision == appliedStoreRevision) {
@@ -237,7 +243,8 @@
     }
 
     /**
-     * Trails have half of the record at the most; a node's whole trail has to go into one answer.
+     * Compacts the audit logs to at most half of the store, and each node's log to a sixteenth, so
+     * that it fits into one answer.
      */
     private void compactAuditTrail() {
         Map<String, String> checkpoints = new TreeMap<>();
@@ -285,7 +292,7 @@
         }
     }
 
-    // The rollout's hands.
+    // Environment of the rollout
 
     @Override
     public void order(String node, ConfigRevision revision, long base) {
@@ -356,7 +363,7 @@
 
     @Override
     public void requestRestart(String node, String reason) {
-        notifyOperator(node + " is to be started anew: " + reason);
+        notifyOperator(node + " has to be restarted: " + reason);
         write(List.of(Mutation.put(RESTART_REQUEST_PREFIX + node, reason)));
     }
 }
--- a/hosted/src/main/java/embershift/hosted/RosterTask.java
+++ b/hosted/src/main/java/embershift/hosted/RosterTask.java
@@ -9,26 +9,33 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Asks discovery for all nodes, and hands them the list by number and difference. */
+/**
+ * Watches discovery on behalf of all nodes and sends them numbered updates of its roster, as
+ * differences where possible.
+ */
 final class RosterTask extends LeasedTask implements NodeConnections.Listener {
 
     /**
-     * Seconds between two words to a node that has the list, so that it does not ask discovery
-     * itself.
+     * Seconds between two orders to a node that has the latest roster; they keep it from asking
+     * discovery itself.
      */
     private static final double KEEPALIVE_SECONDS = 1;
 
     private static final double RETRY_SECONDS = 0.2;
 
     /**
-     * Nodes that are told at one tick: a hundred that come back at once are told over a second or
-     * so.
+     * The most orders sent in one tick: a hundred nodes that reconnect at the same time get the
+     * roster spread over about a second.
      */
     private static final int MAX_ORDERS_PER_TICK = 16;
 
-    /** Seconds after which discovery counts as away: this owner can't do the duty then. */
+    /**
+     * Seconds without an answer after which discovery counts as unreachable, so that this instance
+     * makes no progress on the task.
+     */
     private static final double DISCOVERY_TIMEOUT_SECONDS = 8;
 
+    /** What a node is known to have, by its verdicts. */
     private static final class NodeProgress {
         private long incarnation;
         private long acknowledgedNumber;
@@ -145,7 +152,7 @@
 
     @Override
     public void nodeReported(NodeConnections.NodeConnection node) {
-        // What a node has is known by its verdicts.
+        // The verdicts tell what a node has.
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/StoreClient.java
+++ b/hosted/src/main/java/embershift/hosted/StoreClient.java
@@ -15,17 +15,15 @@
 import java.util.function.Supplier;
 
 /**
- * Asks the instances, one after the other until one can answer, within a time. Waits for answers:
- * not for a loop. One thread at a time.
+ * A blocking client of the replicated store: it tries the instances one after the other until one
+ * answers, within a timeout. Not for use on an event loop, and not thread-safe.
  */
 public final class StoreClient implements AutoCloseable {
 
-    /**
-     * Seconds that one instance is waited for before another is asked, and after a refusal that may
-     * pass.
-     */
+    /** Seconds that a call waits for one instance before it tries the next one. */
     private static final double INSTANCE_TIMEOUT_SECONDS = 0.7;
 
+    /** Seconds until a call is retried after a failure or a temporary refusal. */
     private static final double RETRY_PAUSE_SECONDS = 0.03;
 
     private final Supplier<List<InetSocketAddress>> addresses;
@@ -37,7 +35,7 @@
     private long session;
     private long sequenceNumber;
 
-    /** How a call ended; {@code end}: done, refused or unknown. */
+    /** How a call ended; {@code status} is done, refused or unknown. */
     public record Outcome(String status, ObjectNode answer) {
 
         public boolean isDone() {
@@ -61,7 +59,11 @@
         this(() -> addresses, name);
     }
 
-    /** {@code addresses}: where the instances are now; asked from the thread that asks. */
+    /**
+     * Creates a client.
+     *
+     * @param addresses supplies the current addresses of the instances, on the calling thread
+     */
     public StoreClient(Supplier<List<InetSocketAddress>> addresses, String name) {
         this.addresses = addresses;
         this.name = name;
@@ -72,8 +74,10 @@
     }
 
     /**
-     * A change of one key; {@code revision} negative: whatever it was; {@code value} null: takes it
-     * away.
+     * Returns a call that changes one key.
+     *
+     * @param value null deletes the key
+     * @param revision the revision that the key must have; negative for any
      */
     public static ObjectNode newPut(String key, String value, long revision) {
         ObjectNode call = newCall("change");
@@ -86,9 +90,9 @@
     }
 
     /**
-     * Has a call carried out, if it can be within so many seconds. A change goes under a session's
-     * number, so that it is carried out once however often it is sent. Unknown only where it was
-     * sent and not answered.
+     * Makes a call, with retries until the timeout. A change carries a number of this client's
+     * session, so that it is carried out at most once however often it is sent. The outcome is
+     * unknown only if the call was sent and not answered.
      */
     public Outcome call(ObjectNode call, double timeoutSeconds) {
         long deadline = System.nanoTime() + (long) (timeoutSeconds * 1e9);
@@ -142,7 +146,8 @@
                 if (status.equals("unknown")) {
                     mayHaveRun = true;
                 } else if (!reason.equals("not-leader") && !reason.equals("busy")) {
-                    // Its session's end says nothing of what was sent before that.
+                    // The end of the session does not tell whether an earlier attempt was
+                    // carried out before.
                     boolean isUndecided =
                             mayHaveRun
                                     && (reason.equals("no-session") || reason.equals("forgotten"));
@@ -184,7 +189,7 @@
         addressIndex++;
     }
 
-    /** Nothing of the call has left this program. */
+    /** The call failed before any byte of it was sent. */
     private static final class NotSentException extends IOException {
 
         private static final long serialVersionUID = 1;
@@ -194,21 +199,22 @@
         }
     }
 
-    /** Asks the instance whose turn it is. */
+    /** Makes one attempt at the current instance. */
     private ObjectNode callOnce(ObjectNode call, long deadline) throws IOException {
         if (socket == null) {
-            List<InetSocketAddress> known = addresses.get();
-            if (known.isEmpty()) {
-                throw new NotSentException("no instance is known");
+            List<InetSocketAddress> currentAddresses = addresses.get();
+            if (currentAddresses.isEmpty()) {
+                throw new NotSentException("no addresses of instances are known");
             }
-            InetSocketAddress address = known.get(addressIndex % known.size());
+            InetSocketAddress address =
+                    currentAddresses.get(addressIndex % currentAddresses.size());
             Socket newSocket = new Socket();
             try {
                 newSocket.connect(address, remainingMillis(deadline));
                 newSocket.setTcpNoDelay(true);
             } catch (IOException e) {
                 newSocket.close();
-                throw new NotSentException("nobody is at " + address);
+                throw new NotSentException("connection to " + address + " failed");
             }
             socket = newSocket;
             frames = new FrameCodec();
@@ -221,8 +227,8 @@
         List<byte[]> answers = new ArrayList<>();
         byte[] buffer = new byte[16 << 10];
         while (true) {
-            for (byte[] each : answers) {
-                ObjectNode answer = readAnswer(each);
+            for (byte[] frame : answers) {
+                ObjectNode answer = readAnswer(frame);
                 if (answer.path("id").asLong() == id) {
                     return answer;
                 }
@@ -231,7 +237,7 @@
             socket.setSoTimeout(remainingMillis(deadline));
             int count = in.read(buffer);
             if (count < 0) {
-                throw new IOException("the connection ended");
+                throw new IOException("the connection was closed");
             }
             try {
                 frames.take(ByteBuffer.wrap(buffer, 0, count), answers::add);
@@ -257,7 +263,7 @@
         return (int) millis;
     }
 
-    /** Asks one instance itself, whoever leads; null where it does not answer in time. */
+    /** Calls one instance, whether or not it leads; returns null if it does not answer in time. */
     public static ObjectNode callInstance(
             InetSocketAddress address, ObjectNode call, double timeoutSeconds) {
         try (StoreClient client = new StoreClient(List.of(address), "")) {
@@ -273,7 +279,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // It is gone all the same.
+                // The socket is closed nevertheless.
             }
             socket = null;
         }
--- a/hosted/src/main/java/embershift/hosted/package-info.java
+++ b/hosted/src/main/java/embershift/hosted/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program that instances run, and its command line: what is decided stands in {@code fleet} and
- * {@code raft}.
+ * The program of a control-plane instance and its command line. The decisions are made in {@code
+ * fleet} and {@code raft}.
  */
 package embershift.hosted;
--- a/hosted/src/test/java/embershift/hosted/DiscoveryWatchTest.java
+++ b/hosted/src/test/java/embershift/hosted/DiscoveryWatchTest.java
@@ -20,54 +20,54 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** The fleet's watch at discovery, whose answers may come twice. */
+/** The control plane's watch at discovery, whose answers may be delivered twice. */
 public class DiscoveryWatchTest {
 
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> answers = new LinkedBlockingQueue<>();
     private EventLoop loop;
     private ServerSocket server;
-    private volatile DiscoveryWatch discovery;
+    private volatile DiscoveryWatch watch;
 
     @BeforeMethod
-    public void begin() throws IOException {
-        heard.clear();
+    public void startWatch() throws IOException {
+        answers.clear();
         loop = new EventLoop();
         server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         server.setSoTimeout(10_000);
         loop.execute(
                 () ->
-                        discovery =
+                        watch =
                                 new DiscoveryWatch(
                                         loop,
                                         new InetSocketAddress(
                                                 server.getInetAddress(), server.getLocalPort()),
-                                        (generation, whole, anew) ->
-                                                heard.add(
+                                        (generation, isComplete, isRestarted) ->
+                                                answers.add(
                                                         generation
                                                                 + " "
-                                                                + whole.values()
+                                                                + isComplete.values()
                                                                 + " "
-                                                                + anew)));
+                                                                + isRestarted)));
     }
 
     @AfterMethod
-    public void end() throws IOException {
+    public void stopWatch() throws IOException {
         loop.stop();
         server.close();
     }
 
-    private Socket called() throws IOException {
+    private Socket acceptCall() throws IOException {
         Socket call = server.accept();
         call.setSoTimeout(10_000);
         return call;
     }
 
-    private static String call(BufferedReader lines) throws IOException {
+    private static String readRequest(BufferedReader lines) throws IOException {
         String first = lines.readLine();
         for (String line = lines.readLine();
                 line != null && !line.isEmpty();
                 line = lines.readLine()) {
-            // Its other lines.
+            // The other lines of the request are not checked.
         }
         return first;
     }
@@ -77,80 +77,85 @@
                 new InputStreamReader(call.getInputStream(), StandardCharsets.US_ASCII));
     }
 
-    private static void say(Socket call, String words) throws IOException {
-        call.getOutputStream().write(words.getBytes(StandardCharsets.US_ASCII));
+    private static void send(Socket call, String text) throws IOException {
+        call.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    private static String answer(int generation, boolean whole, String state) {
+    private static String response(int generation, boolean isComplete, String state) {
         String body =
                 "{\"generation\":"
                         + generation
                         + ",\"reset\":"
-                        + whole
+                        + isComplete
                         + ",\"instances\":[{\"instanceId\":\"s\",\"lifecycle\":\""
                         + state
                         + "\"}]}";
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private String next() throws InterruptedException {
-        return String.valueOf(heard.poll(10, TimeUnit.SECONDS));
+    private String nextAnswer() throws InterruptedException {
+        return String.valueOf(answers.poll(10, TimeUnit.SECONDS));
     }
 
     @Test
-    public void olderListThatComesOnceMoreIsNotTakenForTheNewest() throws Exception {
-        Socket call = called();
+    public void repeatedOlderRosterIsNotTakenForTheLatest() throws Exception {
+        Socket call = acceptCall();
         BufferedReader lines = lines(call);
-        call(lines);
-        say(call, answer(2, true, "in_service"));
-        assertTrue(next().contains("in_service"));
-        call(lines);
-        say(call, answer(3, false, "terminating"));
-        assertTrue(next().contains("terminating"));
-        call(lines);
-        say(call, answer(2, true, "in_service"));
-        Socket again = called();
-        assertEquals(call(lines(again)), "GET /api/targets?after=3&wait_ms=1600 HTTP/1.1");
-        assertEquals(heard.size(), 0);
+        readRequest(lines);
+        send(call, response(2, true, "in_service"));
+        assertTrue(nextAnswer().contains("in_service"));
+        readRequest(lines);
+        send(call, response(3, false, "terminating"));
+        assertTrue(nextAnswer().contains("terminating"));
+        readRequest(lines);
+        send(call, response(2, true, "in_service"));
+        Socket nextCall = acceptCall();
+        assertEquals(
+                readRequest(lines(nextCall)), "GET /api/targets?after=3&wait_ms=1600 HTTP/1.1");
+        assertEquals(answers.size(), 0);
     }
 
     @Test
-    public void whatComesWithAnAnswerIsNoAnswerToTheNextCall() throws Exception {
-        Socket call = called();
-        call(lines(call));
-        say(call, answer(2, true, "in_service") + answer(2, true, "in_service").substring(0, 30));
-        assertTrue(next().startsWith("2 "));
-        Socket again = called();
-        assertEquals(call(lines(again)), "GET /api/targets?after=2&wait_ms=1600 HTTP/1.1");
-        say(again, answer(3, false, "terminating"));
-        assertTrue(next().startsWith("3 "));
+    public void surplusDataIsNotTakenForTheNextAnswer() throws Exception {
+        Socket call = acceptCall();
+        readRequest(lines(call));
+        send(
+                call,
+                response(2, true, "in_service") + response(2, true, "in_service").substring(0, 30));
+        assertTrue(nextAnswer().startsWith("2 "));
+        Socket nextCall = acceptCall();
+        assertEquals(
+                readRequest(lines(nextCall)), "GET /api/targets?after=2&wait_ms=1600 HTTP/1.1");
+        send(nextCall, response(3, false, "terminating"));
+        assertTrue(nextAnswer().startsWith("3 "));
     }
 
     @Test
-    public void callThatBringsNothingIsMadeAnewWhileThereIsTimeForItsAnswer() throws Exception {
-        Socket call = called();
-        call(lines(call));
-        say(call, answer(2, true, "in_service").substring(0, 60));
+    public void callWithoutAnswerIsRetriedInTime() throws Exception {
+        Socket call = acceptCall();
+        readRequest(lines(call));
+        send(call, response(2, true, "in_service").substring(0, 60));
         CompletableFuture<Long> calls = new CompletableFuture<>();
-        // It is given up after 3.8 s. On the loop's own clock: a busy machine holds up both.
-        loop.execute(() -> loop.schedule(4.4, () -> calls.complete(discovery.callCount())));
-        Socket again = called();
+        // The call is abandoned after 3.8 s. Measured by the event loop's clock, because a busy
+        // machine delays both.
+        loop.execute(() -> loop.schedule(4.4, () -> calls.complete(watch.callCount())));
+        Socket nextCall = acceptCall();
         assertEquals((long) calls.get(), 2);
-        call(lines(again));
-        say(again, answer(2, true, "terminating"));
-        assertTrue(next().contains("terminating"));
+        readRequest(lines(nextCall));
+        send(nextCall, response(2, true, "terminating"));
+        assertTrue(nextAnswer().contains("terminating"));
     }
 
     @Test
-    public void versionsThatBeginAnewOnAnotherConnectionAreTaken() throws Exception {
-        Socket call = called();
-        call(lines(call));
-        say(call, answer(40, true, "in_service"));
-        assertTrue(next().startsWith("40 "));
+    public void restartedGenerationsAreAcceptedOnNewConnection() throws Exception {
+        Socket call = acceptCall();
+        readRequest(lines(call));
+        send(call, response(40, true, "in_service"));
+        assertTrue(nextAnswer().startsWith("40 "));
         call.close();
-        Socket again = called();
-        call(lines(again));
-        say(again, answer(2, true, "terminating"));
-        assertTrue(next().endsWith(" true"));
+        Socket nextCall = acceptCall();
+        readRequest(lines(nextCall));
+        send(nextCall, response(2, true, "terminating"));
+        assertTrue(nextAnswer().endsWith(" true"));
     }
 }
--- a/hosted/src/test/java/embershift/hosted/InputValidationTest.java
+++ b/hosted/src/test/java/embershift/hosted/InputValidationTest.java
@@ -15,16 +15,17 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** What operators and other programs may hand in, right and wrong. */
+/** Valid and invalid input: settings of operators, frames and handshakes of other programs. */
 public class InputValidationTest {
 
-    private static final String LEAST = "name = \"i1\"\nfolder = \"f\"\nlisten = \"127.0.0.1:1\"\n";
+    private static final String MINIMAL_SETTINGS =
+            "name = \"i1\"\nfolder = \"f\"\nlisten = \"127.0.0.1:1\"\n";
 
     @Test
-    public void installationThatCannotBeUsedIsRefusedInOneLineThatNamesTheKey() throws Exception {
-        InstanceSettings least = InstanceSettings.read(LEAST, "x");
-        assertEquals(least.advertisedAddress(), "127.0.0.1:1");
-        String[][] wrong = {
+    public void invalidSettingsAreRejectedInOneLineNamingTheKey() throws Exception {
+        InstanceSettings settings = InstanceSettings.read(MINIMAL_SETTINGS, "x");
+        assertEquals(settings.advertisedAddress(), "127.0.0.1:1");
+        String[][] invalid = {
             {"more = 1\n", "more"},
             {"[pace]\ntick-s = 0\n", "tick-s"},
             {"[pace]\nelection-s = 0.1\n", "pace"},
@@ -34,11 +35,11 @@
             {"[bounds]\nwaiting-bytes = 8192\n", "waiting-bytes"},
             {"listen", ""}
         };
-        for (String[] each : wrong) {
+        for (String[] each : invalid) {
             String message =
                     expectThrows(
                                     TomlSettings.InvalidSettingsException.class,
-                                    () -> InstanceSettings.read(LEAST + each[0], "x"))
+                                    () -> InstanceSettings.read(MINIMAL_SETTINGS + each[0], "x"))
                             .getMessage();
             assertTrue(
                     message.startsWith("x:")
@@ -52,49 +53,52 @@
     }
 
     @Test
-    public void piecesArriveInAnySplitAndAChangedOneEndsTheConnection() throws Exception {
-        byte[] all = new byte[0];
+    public void framesAreReadInAnySplitAndCorruptionIsDetected() throws Exception {
+        byte[] stream = new byte[0];
         for (int i = 0; i < 3; i++) {
-            ByteBuffer piece = FrameCodec.encode(FrameCodec.CALL, new byte[i * 300]);
-            byte[] longer = Arrays.copyOf(all, all.length + piece.remaining());
-            piece.get(longer, all.length, piece.remaining());
-            all = longer;
+            ByteBuffer frame = FrameCodec.encode(FrameCodec.CALL, new byte[i * 300]);
+            byte[] longer = Arrays.copyOf(stream, stream.length + frame.remaining());
+            frame.get(longer, stream.length, frame.remaining());
+            stream = longer;
         }
         for (int split = 1; split < 40; split++) {
             List<Integer> lengths = new ArrayList<>();
             FrameCodec frames = new FrameCodec();
-            for (int at = 0; at < all.length; at += split) {
+            for (int position = 0; position < stream.length; position += split) {
                 frames.take(
-                        ByteBuffer.wrap(all, at, Math.min(split, all.length - at)),
-                        piece -> lengths.add(piece.length));
+                        ByteBuffer.wrap(
+                                stream, position, Math.min(split, stream.length - position)),
+                        frame -> lengths.add(frame.length));
             }
             assertEquals(lengths, List.of(1, 301, 601));
         }
-        for (int at = 0; at < all.length; at += 7) {
-            byte[] changed = all.clone();
-            changed[at] ^= 0x40;
+        for (int position = 0; position < stream.length; position += 7) {
+            byte[] changed = stream.clone();
+            changed[position] ^= 0x40;
             List<Integer> lengths = new ArrayList<>();
-            boolean refused = false;
+            boolean isRejected = false;
             try {
-                new FrameCodec().take(ByteBuffer.wrap(changed), piece -> lengths.add(piece.length));
+                new FrameCodec().take(ByteBuffer.wrap(changed), frame -> lengths.add(frame.length));
             } catch (FrameCodec.MalformedFrameException e) {
-                refused = true;
+                isRejected = true;
             }
-            // A greater length waits for more; nothing that was changed is ever handed on.
-            assertTrue(refused || lengths.size() < 3, "at " + at);
+            // A length that was increased waits for more data; no frame that was changed is ever
+            // delivered.
+            assertTrue(isRejected || lengths.size() < 3, "at " + position);
         }
     }
 
     @Test
-    public void greetingIsReadAsWrittenAndVersionsMeetWhereTheyOverlap() throws Exception {
-        Handshake greeting = Handshake.of(7, new MemberId(1), "i1", new MemberId(2), "h:1");
-        byte[] content = greeting.encode();
-        byte[] piece = new byte[content.length + 1];
-        System.arraycopy(content, 0, piece, 1, content.length);
-        assertEquals(Handshake.decode(piece), greeting);
-        for (int length = 1; length < piece.length; length++) {
-            byte[] cut = Arrays.copyOf(piece, length);
-            assertThrows(FrameCodec.MalformedFrameException.class, () -> Handshake.decode(cut));
+    public void handshakeRoundTripsAndVersionsAreNegotiated() throws Exception {
+        Handshake handshake = Handshake.of(7, new MemberId(1), "i1", new MemberId(2), "h:1");
+        byte[] content = handshake.encode();
+        byte[] frame = new byte[content.length + 1];
+        System.arraycopy(content, 0, frame, 1, content.length);
+        assertEquals(Handshake.decode(frame), handshake);
+        for (int length = 1; length < frame.length; length++) {
+            byte[] truncated = Arrays.copyOf(frame, length);
+            assertThrows(
+                    FrameCodec.MalformedFrameException.class, () -> Handshake.decode(truncated));
         }
         assertEquals(Handshake.negotiatedVersion(1, 3), 1);
         assertEquals(Handshake.negotiatedVersion(2, 3), 0);
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -30,51 +30,53 @@
 import org.testng.annotations.Test;
 
 /**
- * What an instance answers to callers, other instances and nodes, what the administrator's commands
- * print, and the files of an instance's directory stay as earlier versions have them. One instance
- * of a group of its own runs in this process; cases build on each other.
+ * Compatibility with earlier versions: the answers of an instance to callers, other instances and
+ * nodes, the output of the administrators' commands, and the files of an instance's directory. One
+ * instance with a group of its own runs in this process; the tests build on each other.
  */
 public class InstanceMessagesTest {
 
-    private static final int PATIENCE_MS = 10_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
 
-    private Path folder;
-    private Path file;
+    private Path directory;
+    private Path settingsFile;
     private int port;
 
     /** A connection to the instance. */
     private static final class Connection implements AutoCloseable {
         private final Socket socket;
-        private final FrameCodec frames = new FrameCodec();
-        private final Deque<byte[]> pieces = new ArrayDeque<>();
-        private long calls;
+        private final FrameCodec codec = new FrameCodec();
+        private final Deque<byte[]> frames = new ArrayDeque<>();
+        private long lastCallId;
 
         Connection(int port) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
         }
 
-        byte[] next() throws Exception {
+        byte[] nextFrame() throws Exception {
             byte[] buffer = new byte[1 << 16];
-            while (pieces.isEmpty()) {
+            while (frames.isEmpty()) {
                 int read = socket.getInputStream().read(buffer);
                 if (read < 0) {
                     return null;
                 }
-                frames.take(ByteBuffer.wrap(buffer, 0, read), pieces::add);
+                codec.take(ByteBuffer.wrap(buffer, 0, read), frames::add);
             }
-            return pieces.remove();
+            return frames.remove();
         }
 
-        void say(ByteBuffer piece) throws IOException {
-            byte[] bytes = new byte[piece.remaining()];
-            piece.get(bytes);
+        void send(ByteBuffer frame) throws IOException {
+            byte[] bytes = new byte[frame.remaining()];
+            frame.get(bytes);
             socket.getOutputStream().write(bytes);
         }
 
         ObjectNode call(ObjectNode call) throws Exception {
-            say(JsonMessages.frame(FrameCodec.CALL, call.put("id", ++calls).put("version", 1)));
-            return JsonMessages.read(next());
+            send(
+                    JsonMessages.frame(
+                            FrameCodec.CALL, call.put("id", ++lastCallId).put("version", 1)));
+            return JsonMessages.read(nextFrame());
         }
 
         @Override
@@ -85,25 +87,26 @@
 
     @BeforeClass
     public void startInstance() throws Exception {
-        folder = Files.createTempDirectory("instance");
+        directory = Files.createTempDirectory("instance");
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        file = folder.resolve("i1.toml");
+        settingsFile = directory.resolve("i1.toml");
         Files.writeString(
-                file,
+                settingsFile,
                 "name = \"i1\"\nfolder = \""
-                        + folder.resolve("data")
+                        + directory.resolve("data")
                         + "\"\nlisten = \"127.0.0.1:"
                         + port
                         + "\"\n");
-        assertEquals(Main.run(new String[] {"instance", "--installation", file.toString()}), -1);
+        assertEquals(
+                Main.run(new String[] {"instance", "--installation", settingsFile.toString()}), -1);
     }
 
-    /** Without ports and identities, which differ from run to run. */
-    private String stable(String text) {
+    /** Replaces ports and identities, which differ between runs. */
+    private String normalize(String text) {
         return text.replace(String.valueOf(port), "PORT")
-                .replace(folder.toString(), "FOLDER")
+                .replace(directory.toString(), "FOLDER")
                 .replaceAll("\"(group|id|member)\":\"[0-9a-f]{2,}\"", "\"$1\":HEX")
                 .replaceAll("\\b[0-9a-f]{12,16}\\b", "HEX")
                 .replaceAll("\"time\":\"\\d+\\.\\d+\"", "\"time\":HYBRID")
@@ -111,9 +114,10 @@
                 .replaceAll("(\"[a-z ]+\"):\\d+(?=[^{]*\\}\\})", "$1:N");
     }
 
-    private void call(GoldenSamples samples, Connection connection, String name, ObjectNode call)
+    private void sampleCall(
+            GoldenSamples samples, Connection connection, String name, ObjectNode call)
             throws Exception {
-        samples.text("answer: " + name, stable(connection.call(call).toString()));
+        samples.text("answer: " + name, normalize(connection.call(call).toString()));
     }
 
     private static ObjectNode change(String key, String value, Long revision, boolean bound) {
@@ -122,21 +126,21 @@
         return call;
     }
 
-    private static ObjectNode in(long session, long number, ObjectNode call) {
+    private static ObjectNode inSession(long session, long number, ObjectNode call) {
         return call.put("session", session).put("number", number).put("open", number);
     }
 
     @Test
-    public void callsAreAnsweredAsBefore() throws Exception {
+    public void callAnswersAreUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         try (Connection connection = new Connection(port)) {
-            call(samples, connection, "status before a group", StoreClient.newCall("status"));
-            call(
+            sampleCall(samples, connection, "status before a group", StoreClient.newCall("status"));
+            sampleCall(
                     samples,
                     connection,
                     "get without a leader",
                     StoreClient.newCall("get").put("key", "a"));
-            call(samples, connection, "found", StoreClient.newCall("found"));
+            sampleCall(samples, connection, "found", StoreClient.newCall("found"));
             while (!connection
                     .call(StoreClient.newCall("status"))
                     .path("role")
@@ -144,131 +148,136 @@
                     .equals("leader")) {
                 Thread.sleep(5);
             }
-            connection.calls = 100;
-            call(samples, connection, "found again", StoreClient.newCall("found"));
+            connection.lastCallId = 100;
+            sampleCall(samples, connection, "found again", StoreClient.newCall("found"));
             ObjectNode opened =
                     connection.call(
                             StoreClient.newCall("open").put("client", "c").put("seconds", 30));
             long session = opened.path("number").asLong();
-            samples.text("answer: open", stable(opened.toString()));
-            call(
+            samples.text("answer: open", normalize(opened.toString()));
+            sampleCall(
                     samples,
                     connection,
                     "open for too long",
                     StoreClient.newCall("open").put("client", "c").put("seconds", 1e9));
-            call(samples, connection, "change", in(session, 1, change("a", "one", 0L, false)));
-            call(
+            sampleCall(
+                    samples,
+                    connection,
+                    "change",
+                    inSession(session, 1, change("a", "one", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change sent again",
-                    in(session, 1, change("a", "one", 0L, false)));
-            call(
+                    inSession(session, 1, change("a", "one", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change of a condition that fails",
-                    in(session, 2, change("a", "two", 0L, false)));
-            call(
+                    inSession(session, 2, change("a", "two", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change bound to the session",
-                    in(session, 3, change("b", "bound", null, true)));
-            call(
+                    inSession(session, 3, change("b", "bound", null, true)));
+            sampleCall(
                     samples,
                     connection,
                     "change without a session",
-                    in(999, 1, change("b", "bound", null, true)));
-            call(
+                    inSession(999, 1, change("b", "bound", null, true)));
+            sampleCall(
                     samples,
                     connection,
                     "change that was forgotten",
-                    in(session, 1, change("a", "one", 0L, false)));
-            call(
+                    inSession(session, 1, change("a", "one", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change that is too large",
-                    in(session, 4, change("k".repeat(600), "one", null, false)));
-            call(samples, connection, "get", StoreClient.newCall("get").put("key", "a"));
-            call(
+                    inSession(session, 4, change("k".repeat(600), "one", null, false)));
+            sampleCall(samples, connection, "get", StoreClient.newCall("get").put("key", "a"));
+            sampleCall(
                     samples,
                     connection,
                     "get of nothing",
                     StoreClient.newCall("get").put("key", "nothing"));
-            call(samples, connection, "list", StoreClient.newCall("list").put("prefix", ""));
-            call(
+            sampleCall(samples, connection, "list", StoreClient.newCall("list").put("prefix", ""));
+            sampleCall(
                     samples,
                     connection,
                     "renew",
                     StoreClient.newCall("renew").put("session", session));
-            call(
+            sampleCall(
                     samples,
                     connection,
                     "renew without a session",
                     StoreClient.newCall("renew").put("session", 999));
-            call(
+            sampleCall(
                     samples,
                     connection,
                     "watch",
                     StoreClient.newCall("watch").put("prefix", "").put("from", 1));
-            call(
+            sampleCall(
                     samples,
                     connection,
                     "watch from before all that is known",
                     StoreClient.newCall("watch").put("prefix", "").put("from", 0));
-            call(samples, connection, "end", StoreClient.newCall("end").put("session", session));
-            call(
+            sampleCall(
+                    samples, connection, "end", StoreClient.newCall("end").put("session", session));
+            sampleCall(
                     samples,
                     connection,
                     "add of no address",
                     StoreClient.newCall("add").put("address", "nowhere"));
-            call(
+            sampleCall(
                     samples,
                     connection,
                     "add where nobody is",
                     StoreClient.newCall("add").put("address", "127.0.0.1:1"));
-            call(
+            sampleCall(
                     samples,
                     connection,
                     "remove of nobody",
                     StoreClient.newCall("remove").put("name", "i9"));
-            call(
+            sampleCall(
                     samples,
                     connection,
                     "remove of the last voter",
                     StoreClient.newCall("remove").put("name", "i1"));
-            call(
+            sampleCall(
                     samples,
                     connection,
                     "transfer to itself",
                     StoreClient.newCall("transfer").put("name", "i1"));
-            call(samples, connection, "no such call", StoreClient.newCall("dance"));
-            call(samples, connection, "status", StoreClient.newCall("status"));
-            connection.say(
+            sampleCall(samples, connection, "no such call", StoreClient.newCall("dance"));
+            sampleCall(samples, connection, "status", StoreClient.newCall("status"));
+            connection.send(
                     JsonMessages.frame(
                             FrameCodec.CALL,
                             StoreClient.newCall("status").put("id", 7).put("version", 9)));
             samples.text(
                     "answer: version that is not known",
-                    JsonMessages.read(connection.next()).toString());
+                    JsonMessages.read(connection.nextFrame()).toString());
         }
         samples.assertMatch(getClass(), "calls.txt");
     }
 
     @Test
-    public void rolesAreToldByTheNamesOfBefore() {
+    public void roleNamesAreUnchanged() {
         assertEquals(
                 Stream.of(Raft.Role.values()).map(CallHandler::wireName).toList(),
                 List.of("follower", "looking_ahead", "candidate", "leader"));
     }
 
-    @Test(dependsOnMethods = "callsAreAnsweredAsBefore")
-    public void otherInstancesAreGreetedAsBefore() throws Exception {
+    @Test(dependsOnMethods = "callAnswersAreUnchanged")
+    public void handshakesAreUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         samples.bytes(
                 "greeting",
                 Handshake.of(7, new MemberId(1), "i1", new MemberId(2), "h:1").encode());
         for (long[] each : new long[][] {{7, 0}, {7, 2}, {0, 0}}) {
             try (Connection connection = new Connection(port)) {
-                connection.say(
+                connection.send(
                         FrameCodec.encode(
                                 FrameCodec.HANDSHAKE,
                                 Handshake.of(
@@ -278,11 +287,11 @@
                                                 new MemberId(each[1]),
                                                 "h:1")
                                         .encode()));
-                byte[] piece = connection.next();
-                String said;
-                if (piece[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
-                    Handshake read = Handshake.decode(piece);
-                    said =
+                byte[] frame = connection.nextFrame();
+                String reply;
+                if (frame[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
+                    Handshake read = Handshake.decode(frame);
+                    reply =
                             read.oldestVersion()
                                     + " "
                                     + read.newestVersion()
@@ -293,21 +302,21 @@
                                     + " "
                                     + read.senderAddress();
                 } else {
-                    said = new String(piece, 1, piece.length - 1, StandardCharsets.UTF_8);
+                    reply = new String(frame, 1, frame.length - 1, StandardCharsets.UTF_8);
                 }
                 samples.text(
-                        "reply of kind " + piece[0] + " to group " + each[0] + " member " + each[1],
-                        stable(said));
+                        "reply of kind " + frame[0] + " to group " + each[0] + " member " + each[1],
+                        normalize(reply));
             }
         }
         samples.assertMatch(getClass(), "greetings.txt");
     }
 
-    @Test(dependsOnMethods = "callsAreAnsweredAsBefore")
-    public void nodesAreToldAsBefore() throws Exception {
+    @Test(dependsOnMethods = "callAnswersAreUnchanged")
+    public void nodeMessagesAreUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         try (Connection node = new Connection(port)) {
-            node.say(
+            node.send(
                     JsonMessages.frame(
                             FrameCodec.NODE,
                             JsonMessages.node("here")
@@ -316,16 +325,16 @@
                                     .put("boot", "ab12")
                                     .put("incarnation", 0)
                                     .put("clock", 3.5)));
-            byte[] piece = node.next();
+            byte[] frame = node.nextFrame();
             samples.text(
-                    "welcome, of kind " + piece[0],
-                    stable(JsonMessages.read(piece).toString())
+                    "welcome, of kind " + frame[0],
+                    normalize(JsonMessages.read(frame).toString())
                             .replaceAll("\"incarnation\":\\d+", "\"incarnation\":N"));
-            node.say(
+            node.send(
                     JsonMessages.frame(
                             FrameCodec.NODE,
                             JsonMessages.node("report").put("clock", 4.5).put("revision", 0)));
-            samples.text("heard", stable(JsonMessages.read(node.next()).toString()));
+            samples.text("heard", normalize(JsonMessages.read(node.nextFrame()).toString()));
             try (Connection caller = new Connection(port)) {
                 long incarnation =
                         caller.call(StoreClient.newCall("get").put("key", "node/n1"))
@@ -344,11 +353,11 @@
                         5);
                 client.close();
             }
-            samples.text("out", stable(JsonMessages.read(node.next()).toString()));
-            assertEquals(node.next(), null);
+            samples.text("out", normalize(JsonMessages.read(node.nextFrame()).toString()));
+            assertEquals(node.nextFrame(), null);
         }
         try (Connection node = new Connection(port)) {
-            node.say(
+            node.send(
                     JsonMessages.frame(
                             FrameCodec.NODE,
                             JsonMessages.node("here")
@@ -356,15 +365,16 @@
                                     .put("name", "n2")
                                     .put("boot", "ab12")));
             samples.text(
-                    "out, of another version", stable(JsonMessages.read(node.next()).toString()));
+                    "out, of another version",
+                    normalize(JsonMessages.read(node.nextFrame()).toString()));
         }
         samples.assertMatch(getClass(), "nodes.txt");
     }
 
-    private String command(String... words) throws Exception {
-        List<String> all = new ArrayList<>(List.of("fleet"));
-        all.addAll(List.of(words));
-        all.addAll(List.of("--at", "127.0.0.1:" + port));
+    private String runCommand(String... arguments) throws Exception {
+        List<String> commandLine = new ArrayList<>(List.of("fleet"));
+        commandLine.addAll(List.of(arguments));
+        commandLine.addAll(List.of("--at", "127.0.0.1:" + port));
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         PrintStream out = System.out;
         PrintStream err = System.err;
@@ -373,21 +383,21 @@
             try (PrintStream to = new PrintStream(printed, true, StandardCharsets.UTF_8)) {
                 System.setOut(to);
                 System.setErr(to);
-                status = Main.run(all.toArray(new String[0]));
+                status = Main.run(commandLine.toArray(new String[0]));
             } finally {
                 System.setOut(out);
                 System.setErr(err);
             }
         }
-        // Columns are as wide as the identities in them.
+        // The width of the columns depends on the identities in them.
         return "exit "
                 + status
                 + "\n"
-                + stable(printed.toString(StandardCharsets.UTF_8)).replaceAll(" {2,}", "  ");
+                + normalize(printed.toString(StandardCharsets.UTF_8)).replaceAll(" {2,}", "  ");
     }
 
-    @Test(dependsOnMethods = {"otherInstancesAreGreetedAsBefore", "nodesAreToldAsBefore"})
-    public void commandsPrintAsBefore() throws Exception {
+    @Test(dependsOnMethods = {"handshakesAreUnchanged", "nodeMessagesAreUnchanged"})
+    public void commandOutputIsUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         String[] commands = {
             "status",
@@ -439,18 +449,21 @@
             "dance"
         };
         for (String each : commands) {
-            samples.text("fleet " + each + " (" + samples.size() + ")", command(each.split(" ")));
+            samples.text(
+                    "fleet " + each + " (" + samples.size() + ")", runCommand(each.split(" ")));
             if (!each.startsWith("audit") && !each.startsWith("watch")) {
-                List<String> words = new ArrayList<>(List.of(each.split(" ")));
-                words.add("--json");
+                List<String> arguments = new ArrayList<>(List.of(each.split(" ")));
+                arguments.add("--json");
                 samples.text(
                         "fleet " + each + " --json (" + samples.size() + ")",
-                        command(words.toArray(new String[0])));
+                        runCommand(arguments.toArray(new String[0])));
             }
         }
         samples.text(
                 "check",
-                "exit " + Main.run(new String[] {"check", "--installation", file.toString()}));
+                "exit "
+                        + Main.run(
+                                new String[] {"check", "--installation", settingsFile.toString()}));
         samples.text(
                 "check of no file",
                 "exit " + Main.run(new String[] {"check", "--installation", "/nowhere"}));
@@ -459,7 +472,7 @@
     }
 
     @Test
-    public void settingsHaveTheKeysOfBefore() throws Exception {
+    public void settingsKeysAreUnchanged() throws Exception {
         try (InputStream schema =
                 InstanceSettings.class.getResourceAsStream("installation.schema.json")) {
             new GoldenSamples()
@@ -468,9 +481,9 @@
         }
     }
 
-    @Test(dependsOnMethods = "commandsPrintAsBefore")
-    public void directoryHasTheSameFiles() throws Exception {
-        try (var files = Files.list(folder.resolve("data"))) {
+    @Test(dependsOnMethods = "commandOutputIsUnchanged")
+    public void directoryFilesAreUnchanged() throws Exception {
+        try (var files = Files.list(directory.resolve("data"))) {
             assertEquals(
                     new TreeSet<>(files.map(path -> path.getFileName().toString()).toList()),
                     new TreeSet<>(List.of("identity", "lock", "log-0000000000000001")));
--- a/hosted/src/test/java/embershift/hosted/NodeConnectionsTest.java
+++ b/hosted/src/test/java/embershift/hosted/NodeConnectionsTest.java
@@ -5,13 +5,14 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
+/** Which of two processes with the name of one node keeps it. */
 public class NodeConnectionsTest {
 
     @DataProvider
     public static Object[][] processesOfOneName() {
         return new Object[][] {
-            // Its registration was given up and came about later: it comes back by the lower of its
-            // two incarnations.
+            // Its registration timed out and was stored later: it reconnects with the lower of
+            // its two incarnations.
             {7L, "a1", 9L, "a1", false},
             {9L, "a1", 7L, "a1", false},
             {7L, "a1", 7L, "a1", false},
