--- a/hosted/src/main/java/embershift/hosted/StoreClient.java
+++ b/hosted/src/main/java/embershift/hosted/StoreClient.java
@@ -214,7 +214,7 @@
                 newSocket.setTcpNoDelay(true);
             } catch (IOException e) {
                 newSocket.close();
-                throw new NotSentException("connection to " + address + " failed");
+                throw new NotSentException("cannot connect to " + address);
             }
             socket = newSocket;
             frames = new FrameCodec();
