--- a/hosted/src/main/java/embershift/hosted/AdminCommands.java
+++ b/hosted/src/main/java/embershift/hosted/AdminCommands.java
@@ -65,7 +65,7 @@
             if (!shutOuts.isDone()) {
                 return shutOuts;
             }
-            ObjectNode answer = JsonMessages.node();
+            ObjectNode answer = JsonMessages.newObject();
             Map<String, ObjectNode> rows = new TreeMap<>();
             names.answer()
                     .path("items")
@@ -76,7 +76,7 @@
                                                     .asText()
                                                     .substring(
                                                             NodeConnections.NODE_PREFIX.length()),
-                                            JsonMessages.node()
+                                            JsonMessages.newObject()
                                                     .put(
                                                             "incarnation",
                                                             item.path("revision").asLong())));
@@ -302,7 +302,7 @@
             if (!stage.isDone()) {
                 return stage;
             }
-            ObjectNode answer = JsonMessages.node();
+            ObjectNode answer = JsonMessages.newObject();
             for (JsonNode item : revisions.answer().path("items")) {
                 ConfigRevision revision =
                         ConfigRevision.decode(item.path("value").asText()).orElse(null);
@@ -312,7 +312,7 @@
                                     .addObject()
                                     .put("number", revision.number())
                                     .put("chain", revision.chainDigest());
-                    JsonMessages.texts(row.putObject("fields"), revision.fields());
+                    JsonMessages.putTexts(row.putObject("fields"), revision.fields());
                 }
             }
             stage.answer()
--- a/hosted/src/main/java/embershift/hosted/AuditCommand.java
+++ b/hosted/src/main/java/embershift/hosted/AuditCommand.java
@@ -120,7 +120,7 @@
             trail.answer().path("items").forEach(item -> segments.add(item.path("value").asText()));
         }
         AuditReport audit = new AuditReport(segments, registered, checkpointTexts);
-        ObjectNode answer = JsonMessages.node();
+        ObjectNode answer = JsonMessages.newObject();
         ArrayNode rows = answer.putArray("rows");
         if (isVerify) {
             header = List.of("PROBLEM");
--- a/hosted/src/main/java/embershift/hosted/CallHandler.java
+++ b/hosted/src/main/java/embershift/hosted/CallHandler.java
@@ -36,7 +36,7 @@
     /** Handles a call; the answer is sent now or later. */
     static void handle(Instance instance, Instance.InboundConnection connection, byte[] frame)
             throws FrameCodec.MalformedFrameException {
-        ObjectNode call = JsonMessages.read(frame);
+        ObjectNode call = JsonMessages.decodeFrame(frame);
         long id = call.path("id").asLong();
         ResultListener listener =
                 (callId, result) -> {
@@ -131,7 +131,7 @@
             Instance.InboundConnection connection,
             ResultListener listener,
             ObjectNode call) {
-        if (!TomlSettings.isAddress(call.path("address").asText())) {
+        if (!TomlSettings.isValidAddress(call.path("address").asText())) {
             listener.completed(
                     0,
                     new CallResult.Rejected(
@@ -174,7 +174,7 @@
     }
 
     private static ObjectNode answer(long id, CallResult result) {
-        ObjectNode answer = JsonMessages.node().put("id", id);
+        ObjectNode answer = JsonMessages.newObject().put("id", id);
         if (result instanceof CallResult.Done done) {
             answer.put("end", "done").put("number", done.number());
         } else if (result instanceof CallResult.Found found) {
@@ -221,7 +221,7 @@
         Raft raft = instance.replica().raft();
         String leader = raft.leader().flatMap(raft.membership()::find).map(Member::name).orElse("");
         ObjectNode answer =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("id", id)
                         .put("end", "done")
                         .put("name", instance.name())
--- a/hosted/src/main/java/embershift/hosted/FleetCommands.java
+++ b/hosted/src/main/java/embershift/hosted/FleetCommands.java
@@ -42,10 +42,10 @@
         List<InetSocketAddress> addresses() {
             List<InetSocketAddress> addresses = new ArrayList<>();
             for (String address : instances.split(",")) {
-                if (!TomlSettings.isAddress(address)) {
+                if (!TomlSettings.isValidAddress(address)) {
                     throw new ParameterException("--at takes HOST:PORT, not " + address);
                 }
-                addresses.add(TomlSettings.socket(address));
+                addresses.add(TomlSettings.parseAddress(address));
             }
             return addresses;
         }
@@ -70,7 +70,7 @@
             if (isJson) {
                 System.out.println(
                         outcome.answer() == null
-                                ? JsonMessages.node().put("end", outcome.status())
+                                ? JsonMessages.newObject().put("end", outcome.status())
                                 : outcome.answer().put("end", outcome.status()));
             } else if (outcome.isDone()) {
                 printAnswer(outcome.answer());
@@ -123,7 +123,9 @@
                 if (isJson) {
                     System.out.println(
                             answer == null
-                                    ? JsonMessages.node().put("address", name).put("end", "unknown")
+                                    ? JsonMessages.newObject()
+                                            .put("address", name)
+                                            .put("end", "unknown")
                                     : answer);
                 } else if (answer == null) {
                     rows.add(List.of(name, "no answer", "", "", "", "", ""));
@@ -167,7 +169,7 @@
             return printOutcome(
                     latest == null
                             ? new StoreClient.Outcome(
-                                    "refused", JsonMessages.node().put("reason", "no-answer"))
+                                    "refused", JsonMessages.newObject().put("reason", "no-answer"))
                             : new StoreClient.Outcome("done", latest));
         }
 
@@ -306,7 +308,8 @@
                 if (status == null) {
                     return printOutcome(
                             new StoreClient.Outcome(
-                                    "refused", JsonMessages.node().put("reason", "no-answer")));
+                                    "refused",
+                                    JsonMessages.newObject().put("reason", "no-answer")));
                 }
                 call.put("from", status.path("revision").asLong() + 1);
             }
@@ -315,7 +318,7 @@
                     new StoreClient.Outcome(
                             answer == null ? "refused" : answer.path("end").asText(),
                             answer == null
-                                    ? JsonMessages.node().put("reason", "nothing-changed")
+                                    ? JsonMessages.newObject().put("reason", "nothing-changed")
                                     : answer));
         }
 
@@ -412,7 +415,7 @@
 
         static StoreClient.Outcome refused(String reason, String text) {
             return new StoreClient.Outcome(
-                    "refused", JsonMessages.node().put("reason", reason).put("text", text));
+                    "refused", JsonMessages.newObject().put("reason", reason).put("text", text));
         }
     }
 
--- a/hosted/src/main/java/embershift/hosted/Instance.java
+++ b/hosted/src/main/java/embershift/hosted/Instance.java
@@ -147,7 +147,7 @@
             Instance instance = new Instance(settings, loop, directory);
             InetSocketAddress address =
                     loop.listen(
-                                    TomlSettings.socket(settings.listenAddress()),
+                                    TomlSettings.parseAddress(settings.listenAddress()),
                                     instance::makeRoomForConnection,
                                     connection ->
                                             loop.execute(
@@ -225,7 +225,7 @@
             InetSocketAddress address =
                     member.id().equals(identity.id())
                             ? listenAddress
-                            : TomlSettings.socket(
+                            : TomlSettings.parseAddress(
                                     settings.peerAddresses()
                                             .getOrDefault(member.name(), member.address()));
             addresses.add(member.id().equals(leader) ? 0 : addresses.size(), address);
@@ -331,7 +331,7 @@
         }
         if (member != null) {
             String address = settings.peerAddresses().getOrDefault(member.name(), member.address());
-            if (TomlSettings.isAddress(address)) {
+            if (TomlSettings.isValidAddress(address)) {
                 peers.computeIfAbsent(to, key -> new PeerConnection(to)).send(address, message);
             }
         }
@@ -400,7 +400,7 @@
             queuedBytes = 0;
             blockedSince = now;
             reconnectAt = now + reconnectDelay;
-            connection = loop.connect(TomlSettings.socket(address), this);
+            connection = loop.connect(TomlSettings.parseAddress(address), this);
             TcpConnection attempt = connection;
             loop.schedule(
                     STALL_TIMEOUT_SECONDS,
@@ -443,7 +443,7 @@
         @Override
         public void received(ByteBuffer bytes) {
             try {
-                frames.take(
+                frames.decode(
                         bytes,
                         frame -> {
                             if (frame[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
@@ -510,7 +510,7 @@
         public void received(ByteBuffer bytes) {
             runGuarded(Instance.this::catchUpTicks);
             try {
-                frames.take(bytes, frame -> runGuarded(() -> handleFrame(frame)));
+                frames.decode(bytes, frame -> runGuarded(() -> handleFrame(frame)));
             } catch (FrameCodec.MalformedFrameException e) {
                 count("connections with unreadable bytes");
                 close();
@@ -526,7 +526,7 @@
                     case FrameCodec.HANDSHAKE -> handleHandshake(Handshake.decode(frame));
                     case FrameCodec.MESSAGE -> handleRaftMessage(frame);
                     case FrameCodec.CALL -> CallHandler.handle(Instance.this, this, frame);
-                    case FrameCodec.NODE -> handleNodeMessage(JsonMessages.read(frame));
+                    case FrameCodec.NODE -> handleNodeMessage(JsonMessages.decodeFrame(frame));
                     default ->
                             throw new FrameCodec.MalformedFrameException(
                                     "unknown frame type " + frame[0]);
@@ -556,7 +556,7 @@
                 return;
             }
             if (connection.hasPendingWrites()
-                    || !connection.write(JsonMessages.frame(FrameCodec.ORDER, message))) {
+                    || !connection.write(JsonMessages.encodeFrame(FrameCodec.ORDER, message))) {
                 count("words to nodes dropped");
                 // A dropped message is repeated later, or the node reconnects after the close.
                 consecutiveDrops++;
@@ -659,7 +659,7 @@
 
         void sendAnswer(ObjectNode answer) {
             if (!connection.isClosed()) {
-                connection.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.bytes(answer)));
+                connection.write(FrameCodec.encode(FrameCodec.ANSWER, JsonMessages.encode(answer)));
             }
         }
 
@@ -685,7 +685,7 @@
             openCallIds.forEach(
                     callId -> {
                         pendingCalls.remove(callId);
-                        replica.abandon(callId);
+                        replica.cancelCall(callId);
                     });
             openCallIds.clear();
             connection.close();
@@ -779,7 +779,7 @@
         timer[0] = loop.schedule(2, () -> reject.accept("no answer from " + address));
         connection[0] =
                 loop.connect(
-                        TomlSettings.socket(address),
+                        TomlSettings.parseAddress(address),
                         new TcpConnection.Listener() {
                             @Override
                             public void connected() {
@@ -803,7 +803,7 @@
                             @Override
                             public void received(ByteBuffer bytes) {
                                 try {
-                                    frames.take(
+                                    frames.decode(
                                             bytes,
                                             frame -> {
                                                 try {
--- a/hosted/src/main/java/embershift/hosted/InstanceSettings.java
+++ b/hosted/src/main/java/embershift/hosted/InstanceSettings.java
@@ -62,7 +62,7 @@
                             : sessionSeconds;
             settleSeconds = settleSeconds == null ? defaults.settleSeconds() : settleSeconds;
             patienceSeconds =
-                    patienceSeconds == null ? defaults.patienceSeconds() : patienceSeconds;
+                    patienceSeconds == null ? defaults.canaryTimeoutSeconds() : patienceSeconds;
             silentSeconds = silentSeconds == null ? defaults.silentSeconds() : silentSeconds;
             canaryShare = canaryShare == null ? defaults.canaryShare() : canaryShare;
             maxAttempts = maxAttempts == null ? defaults.maxAttempts() : maxAttempts;
@@ -180,7 +180,7 @@
     }
 
     public static InstanceSettings read(Path file) throws TomlSettings.InvalidSettingsException {
-        return read(TomlSettings.text(file), file.toString());
+        return read(TomlSettings.readText(file), file.toString());
     }
 
     static InstanceSettings read(String text, String file)
@@ -218,7 +218,7 @@
                     .forEach(addresses::add);
         }
         for (String candidate : addresses) {
-            if (!TomlSettings.isAddress(candidate)) {
+            if (!TomlSettings.isValidAddress(candidate)) {
                 throw new TomlSettings.InvalidSettingsException(
                         file + ": " + candidate + ": a port is at most 65535");
             }
--- a/hosted/src/main/java/embershift/hosted/LeasedTask.java
+++ b/hosted/src/main/java/embershift/hosted/LeasedTask.java
@@ -181,7 +181,7 @@
                                 pendingWrites.poll().onWritten.run();
                                 writeNext();
                             } else if (outcome.reason().equals("condition")) {
-                                leaseHolder.learnedToken(
+                                leaseHolder.tokenObserved(
                                         now(), new FencingToken(token.number() + 1));
                             } else {
                                 tasks.schedule(WRITE_RETRY_SECONDS, this::writeNext);
@@ -203,7 +203,7 @@
                 verdict -> {
                     if (verdict != null && verdict.path("verdict").asText().equals("OLD")) {
                         tasks.count("orders refused as old");
-                        leaseHolder.learnedToken(
+                        leaseHolder.tokenObserved(
                                 now(), new FencingToken(verdict.path("known").asLong()));
                     }
                     listener.accept(verdict);
--- a/hosted/src/main/java/embershift/hosted/LeasedTasks.java
+++ b/hosted/src/main/java/embershift/hosted/LeasedTasks.java
@@ -101,7 +101,7 @@
         for (LeasedTask task : tasks) {
             if (task.leaseHolder() != null) {
                 if (!isLeaving) {
-                    task.leaseHolder().setLeaving(now(), true);
+                    task.leaseHolder().setShuttingDown(now(), true);
                 }
                 anyHeld |= task.leaseHolder().isHeldOrReleasing();
             }
--- a/hosted/src/main/java/embershift/hosted/NodeConnections.java
+++ b/hosted/src/main/java/embershift/hosted/NodeConnections.java
@@ -66,7 +66,7 @@
         private final Instance.InboundConnection connection;
         private double nodeClock;
         private double lastHeardAt;
-        private JsonNode report = JsonMessages.node();
+        private JsonNode report = JsonMessages.newObject();
         private boolean isWelcomed;
         private final Map<Long, PendingOrder> pendingOrders = new HashMap<>();
 
@@ -122,7 +122,7 @@
                     kv("node", name),
                     kv("incarnation", incarnation),
                     kv("why", reason));
-            send(JsonMessages.node("out").put("why", reason));
+            send(JsonMessages.newMessage("out").put("why", reason));
             connection.closeGracefully();
             remove(this);
         }
@@ -212,7 +212,7 @@
                 || !bootId.matches("[0-9a-f]{1,16}")
                 || hello.path("version").asInt() != PROTOCOL_VERSION) {
             connection.sendToNode(
-                    JsonMessages.node("out")
+                    JsonMessages.newMessage("out")
                             .put(
                                     "why",
                                     "a node has a name of its own, and speaks version "
@@ -284,7 +284,7 @@
         }
         connections.put(node.name, node);
         node.isWelcomed = true;
-        node.send(JsonMessages.node("welcome").put("incarnation", incarnation));
+        node.send(JsonMessages.newMessage("welcome").put("incarnation", incarnation));
     }
 
     void handleMessage(NodeConnection node, ObjectNode message) {
@@ -304,7 +304,7 @@
             case "report" -> {
                 node.nodeClock = message.path("clock").asDouble();
                 node.report = message;
-                node.send(JsonMessages.node("heard"));
+                node.send(JsonMessages.newMessage("heard"));
                 listener.nodeReported(node);
             }
             case "verdict" -> {
@@ -339,7 +339,7 @@
                 CALL_TIMEOUT_SECONDS,
                 outcome -> {
                     if (outcome.isDone() || outcome.reason().equals("condition")) {
-                        node.send(JsonMessages.node("kept").put("number", segment.number()));
+                        node.send(JsonMessages.newMessage("kept").put("number", segment.number()));
                     }
                 });
     }
--- a/hosted/src/main/java/embershift/hosted/RollingRestartTask.java
+++ b/hosted/src/main/java/embershift/hosted/RollingRestartTask.java
@@ -92,11 +92,11 @@
     void leaseAcquired() {
         manager =
                 new RestartManagerClient(
-                        tasks.loop(), TomlSettings.socket(tasks.settings().manager()));
+                        tasks.loop(), TomlSettings.parseAddress(tasks.settings().manager()));
         discovery =
                 new DiscoveryWatch(
                         tasks.loop(),
-                        TomlSettings.socket(tasks.settings().discovery()),
+                        TomlSettings.parseAddress(tasks.settings().discovery()),
                         (generation, entries, isRestarted) -> {});
         countsByNode.clear();
         ejectionsSentAt.clear();
@@ -114,7 +114,7 @@
             // The lease may only have lapsed for a while: if it resumes under the same token,
             // the step starts over.
             leaseHolder()
-                    .stepCompleted(
+                    .stepEnded(
                             now(),
                             stepNumber,
                             leaseHolder().token(),
@@ -166,7 +166,8 @@
      */
     private void sendEjections(double now) {
         for (NodeConnections.NodeConnection node : tasks.nodes().connected()) {
-            boolean isUpToDate = JsonMessages.list(node.report().path("out")).equals(ejectedHosts);
+            boolean isUpToDate =
+                    JsonMessages.readList(node.report().path("out")).equals(ejectedHosts);
             double lastSentAt = ejectionsSentAt.getOrDefault(node.name, Double.NEGATIVE_INFINITY);
             if (node.report().has("clock")
                     && now - lastSentAt
@@ -174,8 +175,8 @@
                                     ? 5 * EJECTION_RESEND_SECONDS
                                     : EJECTION_RESEND_SECONDS)) {
                 ejectionsSentAt.put(node.name, now);
-                ObjectNode order = JsonMessages.node();
-                JsonMessages.list(order.putArray("hosts"), ejectedHosts);
+                ObjectNode order = JsonMessages.newObject();
+                JsonMessages.addTexts(order.putArray("hosts"), ejectedHosts);
                 sendOrder(
                         node,
                         "out",
@@ -212,7 +213,7 @@
                             : new RollingRestart.NodeView(
                                     now - node.lastHeardAt() < SILENT_NODE_SECONDS,
                                     node.report().path("ready").asBoolean(),
-                                    JsonMessages.list(node.report().path("out"))));
+                                    JsonMessages.readList(node.report().path("out"))));
         }
         return views;
     }
@@ -280,7 +281,7 @@
     }
 
     private void callManager(String request, String partId) {
-        if (leaseHolder().mayAct(now())) {
+        if (leaseHolder().canCompleteStep(now())) {
             RollingRestart caller = activeStep;
             manager.call(
                     request,
@@ -302,7 +303,7 @@
                         : stepNumber + 1 == plan.steps()
                                 ? "done"
                                 : "step " + (stepNumber + 1) + " is done");
-        leaseHolder().stepCompleted(now(), stepNumber, token(), LeaseHolder.StepOutcome.DONE);
+        leaseHolder().stepEnded(now(), stepNumber, token(), LeaseHolder.StepOutcome.DONE);
     }
 
     @Override
--- a/hosted/src/main/java/embershift/hosted/RolloutTask.java
+++ b/hosted/src/main/java/embershift/hosted/RolloutTask.java
@@ -197,7 +197,7 @@
         if (!hasNodes
                 || tasks.nodes().connected().stream()
                         .anyMatch(node -> now - node.lastHeardAt() < READ_TIMEOUT_SECONDS)) {
-            leaseHolder().madeProgress(now);
+            leaseHolder().progressMade(now);
         }
         if (rollout == null) {
             return;
@@ -252,7 +252,7 @@
                 .findByPrefix(AuditCheckpoint.KEY_PREFIX)
                 .forEach(item -> checkpoints.put(item.key(), item.value()));
         List<Mutation> mutations =
-                AuditRetention.compact(
+                AuditRetention.deleteExcess(
                         tasks.store().findByPrefix("trail/"),
                         checkpoints,
                         KeyValueStore.MAX_TOTAL_CHARS / 2,
@@ -268,7 +268,7 @@
         if (rollout != null) {
             JsonNode report = node.report();
             if (report.has("clock")) {
-                rollout.reported(
+                rollout.reportReceived(
                         node.lastHeardAt(),
                         new NodeReport(
                                 node.name,
@@ -301,7 +301,7 @@
             return;
         }
         ObjectNode order =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("number", revision.number())
                         .put("base", base)
                         .put("chain", revision.chainDigest())
@@ -315,9 +315,10 @@
                                 .orElse(null);
         if (baseRevision == null) {
             order.put("base", 0);
-            JsonMessages.texts(order.putObject("fields"), revision.fields());
+            JsonMessages.putTexts(order.putObject("fields"), revision.fields());
         } else {
-            JsonMessages.changes(order.putObject("fields"), revision.differenceFrom(baseRevision));
+            JsonMessages.putChanges(
+                    order.putObject("fields"), revision.differenceFrom(baseRevision));
         }
         tasks.count(baseRevision == null ? "revisions told whole" : "revisions told by difference");
         ConfigRollout sender = rollout;
@@ -334,9 +335,9 @@
 
     private static ConfigRollout.OrderAnswer toOrderAnswer(ObjectNode verdict) {
         return switch (verdict.path("end").asText()) {
-            case "TAKEN" -> ConfigRollout.OrderAnswer.TAKEN;
+            case "TAKEN" -> ConfigRollout.OrderAnswer.APPLIED;
             case "WHOLE" -> ConfigRollout.OrderAnswer.FULL_REVISION_NEEDED;
-            default -> ConfigRollout.OrderAnswer.NOT_TAKEN;
+            default -> ConfigRollout.OrderAnswer.NOT_APPLIED;
         };
     }
 
--- a/hosted/src/main/java/embershift/hosted/RosterTask.java
+++ b/hosted/src/main/java/embershift/hosted/RosterTask.java
@@ -60,7 +60,7 @@
         discovery =
                 new DiscoveryWatch(
                         tasks.loop(),
-                        TomlSettings.socket(tasks.settings().discovery()),
+                        TomlSettings.parseAddress(tasks.settings().discovery()),
                         (generation, entries, isRestarted) -> {
                             tasks.count("discovery answers");
                             if (isRestarted) {
@@ -90,7 +90,7 @@
         if (now - discovery.lastAnswerAt() < DISCOVERY_TIMEOUT_SECONDS
                 && (tasks.nodes().connected().size() > 0
                         || tasks.store().findByPrefix(NodeConnections.NODE_PREFIX).isEmpty())) {
-            leaseHolder().madeProgress(now);
+            leaseHolder().progressMade(now);
         }
         if (endpoints.number() == 0) {
             return;
@@ -116,12 +116,12 @@
     private void sendUpdate(NodeConnections.NodeConnection node, NodeProgress progress) {
         EndpointUpdate update = endpoints.updateSince(progress.acknowledgedNumber);
         ObjectNode order =
-                JsonMessages.node()
+                JsonMessages.newObject()
                         .put("number", update.number())
                         .put("base", update.baseNumber())
                         .put("generation", update.generation());
-        JsonMessages.texts(order.putObject("changed"), update.changed());
-        JsonMessages.list(order.putArray("gone"), update.removed());
+        JsonMessages.putTexts(order.putObject("changed"), update.changed());
+        JsonMessages.addTexts(order.putArray("gone"), update.removed());
         progress.isOrderPending = true;
         tasks.count(update.baseNumber() == 0 ? "lists told whole" : "lists told by difference");
         long incarnation = progress.incarnation;
--- a/hosted/src/main/java/embershift/hosted/StoreClient.java
+++ b/hosted/src/main/java/embershift/hosted/StoreClient.java
@@ -70,7 +70,7 @@
     }
 
     public static ObjectNode newCall(String name) {
-        return JsonMessages.node().put("call", name);
+        return JsonMessages.newObject().put("call", name);
     }
 
     /**
@@ -104,7 +104,7 @@
                 if (!opened.isDone()) {
                     return new Outcome(
                             "refused",
-                            JsonMessages.node()
+                            JsonMessages.newObject()
                                     .put("reason", "no-leader")
                                     .put(
                                             "text",
@@ -127,7 +127,9 @@
     private Outcome callWithRetries(ObjectNode call, long deadline) {
         boolean mayHaveRun = false;
         ObjectNode lastAnswer =
-                JsonMessages.node().put("reason", "no-answer").put("text", "no instance answered");
+                JsonMessages.newObject()
+                        .put("reason", "no-answer")
+                        .put("text", "no instance answered");
         while (System.nanoTime() < deadline) {
             try {
                 ObjectNode answer =
@@ -222,7 +224,7 @@
         long id = ++lastCallId;
         call.put("id", id).put("version", 1);
         socket.getOutputStream()
-                .write(FrameCodec.encodeToArray(FrameCodec.CALL, JsonMessages.bytes(call)));
+                .write(FrameCodec.encodeToArray(FrameCodec.CALL, JsonMessages.encode(call)));
         InputStream in = socket.getInputStream();
         List<byte[]> answers = new ArrayList<>();
         byte[] buffer = new byte[16 << 10];
@@ -240,7 +242,7 @@
                 throw new IOException("the connection was closed");
             }
             try {
-                frames.take(ByteBuffer.wrap(buffer, 0, count), answers::add);
+                frames.decode(ByteBuffer.wrap(buffer, 0, count), answers::add);
             } catch (FrameCodec.MalformedFrameException e) {
                 throw new IOException(e.getMessage());
             }
@@ -249,7 +251,7 @@
 
     private static ObjectNode readAnswer(byte[] frame) throws IOException {
         try {
-            return JsonMessages.read(frame);
+            return JsonMessages.decodeFrame(frame);
         } catch (FrameCodec.MalformedFrameException e) {
             throw new IOException(e.getMessage());
         }
--- a/hosted/src/test/java/embershift/hosted/InputValidationTest.java
+++ b/hosted/src/test/java/embershift/hosted/InputValidationTest.java
@@ -65,7 +65,7 @@
             List<Integer> lengths = new ArrayList<>();
             FrameCodec frames = new FrameCodec();
             for (int position = 0; position < stream.length; position += split) {
-                frames.take(
+                frames.decode(
                         ByteBuffer.wrap(
                                 stream, position, Math.min(split, stream.length - position)),
                         frame -> lengths.add(frame.length));
@@ -78,7 +78,8 @@
             List<Integer> lengths = new ArrayList<>();
             boolean isRejected = false;
             try {
-                new FrameCodec().take(ByteBuffer.wrap(changed), frame -> lengths.add(frame.length));
+                new FrameCodec()
+                        .decode(ByteBuffer.wrap(changed), frame -> lengths.add(frame.length));
             } catch (FrameCodec.MalformedFrameException e) {
                 isRejected = true;
             }
@@ -103,8 +104,8 @@
         assertEquals(Handshake.negotiatedVersion(1, 3), 1);
         assertEquals(Handshake.negotiatedVersion(2, 3), 0);
         assertFalse(
-                TomlSettings.isAddress("h:99999")
-                        || TomlSettings.isAddress("h")
-                        || !TomlSettings.isAddress("h:80"));
+                TomlSettings.isValidAddress("h:99999")
+                        || TomlSettings.isValidAddress("h")
+                        || !TomlSettings.isValidAddress("h:80"));
     }
 }
--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -61,7 +61,7 @@
                 if (read < 0) {
                     return null;
                 }
-                codec.take(ByteBuffer.wrap(buffer, 0, read), frames::add);
+                codec.decode(ByteBuffer.wrap(buffer, 0, read), frames::add);
             }
             return frames.remove();
         }
@@ -74,9 +74,9 @@
 
         ObjectNode call(ObjectNode call) throws Exception {
             send(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.CALL, call.put("id", ++lastCallId).put("version", 1)));
-            return JsonMessages.read(nextFrame());
+            return JsonMessages.decodeFrame(nextFrame());
         }
 
         @Override
@@ -252,12 +252,12 @@
             sampleCall(samples, connection, "no such call", StoreClient.newCall("dance"));
             sampleCall(samples, connection, "status", StoreClient.newCall("status"));
             connection.send(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.CALL,
                             StoreClient.newCall("status").put("id", 7).put("version", 9)));
             samples.text(
                     "answer: version that is not known",
-                    JsonMessages.read(connection.nextFrame()).toString());
+                    JsonMessages.decodeFrame(connection.nextFrame()).toString());
         }
         samples.assertMatch(getClass(), "calls.txt");
     }
@@ -317,9 +317,9 @@
         GoldenSamples samples = new GoldenSamples();
         try (Connection node = new Connection(port)) {
             node.send(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.NODE,
-                            JsonMessages.node("here")
+                            JsonMessages.newMessage("here")
                                     .put("version", 1)
                                     .put("name", "n1")
                                     .put("boot", "ab12")
@@ -328,13 +328,15 @@
             byte[] frame = node.nextFrame();
             samples.text(
                     "welcome, of kind " + frame[0],
-                    normalize(JsonMessages.read(frame).toString())
+                    normalize(JsonMessages.decodeFrame(frame).toString())
                             .replaceAll("\"incarnation\":\\d+", "\"incarnation\":N"));
             node.send(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.NODE,
-                            JsonMessages.node("report").put("clock", 4.5).put("revision", 0)));
-            samples.text("heard", normalize(JsonMessages.read(node.nextFrame()).toString()));
+                            JsonMessages.newMessage("report")
+                                    .put("clock", 4.5)
+                                    .put("revision", 0)));
+            samples.text("heard", normalize(JsonMessages.decodeFrame(node.nextFrame()).toString()));
             try (Connection caller = new Connection(port)) {
                 long incarnation =
                         caller.call(StoreClient.newCall("get").put("key", "node/n1"))
@@ -353,20 +355,20 @@
                         5);
                 client.close();
             }
-            samples.text("out", normalize(JsonMessages.read(node.nextFrame()).toString()));
+            samples.text("out", normalize(JsonMessages.decodeFrame(node.nextFrame()).toString()));
             assertEquals(node.nextFrame(), null);
         }
         try (Connection node = new Connection(port)) {
             node.send(
-                    JsonMessages.frame(
+                    JsonMessages.encodeFrame(
                             FrameCodec.NODE,
-                            JsonMessages.node("here")
+                            JsonMessages.newMessage("here")
                                     .put("version", 2)
                                     .put("name", "n2")
                                     .put("boot", "ab12")));
             samples.text(
                     "out, of another version",
-                    normalize(JsonMessages.read(node.nextFrame()).toString()));
+                    normalize(JsonMessages.decodeFrame(node.nextFrame()).toString()));
         }
         samples.assertMatch(getClass(), "nodes.txt");
     }
