--- a/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
+++ b/hosted/src/test/java/embershift/hosted/InstanceMessagesTest.java
@@ -30,53 +30,53 @@
 import org.testng.annotations.Test;
 
 /**
- * What an instance answers to callers, other instances and nodes, what the administrator's commands
- * print, and the files of an instance's directory stay as earlier versions have them. One instance
- * of a group of its own runs in this process; cases build on each other.
+ * Compatibility with earlier versions: the answers of an instance to callers, other instances and
+ * nodes, the output of the administrators' commands, and the files of an instance's directory. One
+ * instance with a group of its own runs in this process; the tests build on each other.
  */
 public class InstanceMessagesTest {
 
-    private static final int PATIENCE_MS = 10_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
 
-    private Path folder;
-    private Path file;
+    private Path directory;
+    private Path settingsFile;
     private int port;
 
     /** A connection to the instance. */
     private static final class Connection implements AutoCloseable {
         private final Socket socket;
-        private final FrameCodec frames = new FrameCodec();
-        private final Deque<byte[]> pieces = new ArrayDeque<>();
-        private long calls;
+        private final FrameCodec codec = new FrameCodec();
+        private final Deque<byte[]> frames = new ArrayDeque<>();
+        private long lastCallId;
 
         Connection(int port) throws IOException {
             socket = new Socket(InetAddress.getLoopbackAddress(), port);
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
         }
 
-        byte[] next() throws Exception {
+        byte[] nextFrame() throws Exception {
             byte[] buffer = new byte[1 << 16];
-            while (pieces.isEmpty()) {
+            while (frames.isEmpty()) {
                 int read = socket.getInputStream().read(buffer);
                 if (read < 0) {
                     return null;
                 }
-                frames.decode(ByteBuffer.wrap(buffer, 0, read), pieces::add);
+                codec.decode(ByteBuffer.wrap(buffer, 0, read), frames::add);
             }
-            return pieces.remove();
+            return frames.remove();
         }
 
-        void say(ByteBuffer piece) throws IOException {
-            byte[] bytes = new byte[piece.remaining()];
-            piece.get(bytes);
+        void send(ByteBuffer frame) throws IOException {
+            byte[] bytes = new byte[frame.remaining()];
+            frame.get(bytes);
             socket.getOutputStream().write(bytes);
         }
 
         ObjectNode call(ObjectNode call) throws Exception {
-            say(
+            send(
                     JsonMessages.encodeFrame(
-                            FrameCodec.CALL, call.put("id", ++calls).put("version", 1)));
-            return JsonMessages.decodeFrame(next());
+                            FrameCodec.CALL, call.put("id", ++lastCallId).put("version", 1)));
+            return JsonMessages.decodeFrame(nextFrame());
         }
 
         @Override
@@ -87,25 +87,26 @@
 
     @BeforeClass
     public void startInstance() throws Exception {
-        folder = Files.createTempDirectory("instance");
+        directory = Files.createTempDirectory("instance");
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        file = folder.resolve("i1.toml");
+        settingsFile = directory.resolve("i1.toml");
         Files.writeString(
-                file,
+                settingsFile,
                 "name = \"i1\"\nfolder = \""
-                        + folder.resolve("data")
+                        + directory.resolve("data")
                         + "\"\nlisten = \"127.0.0.1:"
                         + port
                         + "\"\n");
-        assertEquals(Main.run(new String[] {"instance", "--installation", file.toString()}), -1);
+        assertEquals(
+                Main.run(new String[] {"instance", "--installation", settingsFile.toString()}), -1);
     }
 
-    /** Without ports and identities, which differ from run to run. */
-    private String stable(String text) {
+    /** Replaces ports and identities, which differ between runs. */
+    private String normalize(String text) {
         return text.replace(String.valueOf(port), "PORT")
-                .replace(folder.toString(), "FOLDER")
+                .replace(directory.toString(), "FOLDER")
                 .replaceAll("\"(group|id|member)\":\"[0-9a-f]{2,}\"", "\"$1\":HEX")
                 .replaceAll("\\b[0-9a-f]{12,16}\\b", "HEX")
                 .replaceAll("\"time\":\"\\d+\\.\\d+\"", "\"time\":HYBRID")
@@ -113,198 +114,209 @@
                 .replaceAll("(\"[a-z ]+\"):\\d+(?=[^{]*\\}\\})", "$1:N");
     }
 
-    private void call(GoldenSamples samples, Connection connection, String name, ObjectNode call)
+    private void sampleCall(
+            GoldenSamples samples, Connection connection, String name, ObjectNode call)
             throws Exception {
-        samples.text("answer: " + name, stable(connection.call(call).toString()));
+        samples.text("answer: " + name, normalize(connection.call(call).toString()));
     }
 
     private static ObjectNode change(String key, String value, Long revision, boolean bound) {
-        ObjectNode call = RecordClient.put(key, value, revision == null ? -1 : revision);
+        ObjectNode call = StoreClient.newPut(key, value, revision == null ? -1 : revision);
         ((ObjectNode) call.path("writes").get(0)).put("bound", bound);
         return call;
     }
 
-    private static ObjectNode in(long session, long number, ObjectNode call) {
+    private static ObjectNode inSession(long session, long number, ObjectNode call) {
         return call.put("session", session).put("number", number).put("open", number);
     }
 
     @Test
-    public void callsAreAnsweredAsBefore() throws Exception {
+    public void callAnswersAreUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         try (Connection connection = new Connection(port)) {
-            call(samples, connection, "status before a group", RecordClient.call("status"));
-            call(
+            sampleCall(samples, connection, "status before a group", StoreClient.newCall("status"));
+            sampleCall(
                     samples,
                     connection,
                     "get without a leader",
-                    RecordClient.call("get").put("key", "a"));
-            call(samples, connection, "found", RecordClient.call("found"));
+                    StoreClient.newCall("get").put("key", "a"));
+            sampleCall(samples, connection, "found", StoreClient.newCall("found"));
             while (!connection
-                    .call(RecordClient.call("status"))
+                    .call(StoreClient.newCall("status"))
                     .path("role")
                     .asText()
                     .equals("leader")) {
                 Thread.sleep(5);
             }
-            connection.calls = 100;
-            call(samples, connection, "found again", RecordClient.call("found"));
+            connection.lastCallId = 100;
+            sampleCall(samples, connection, "found again", StoreClient.newCall("found"));
             ObjectNode opened =
                     connection.call(
-                            RecordClient.call("open").put("client", "c").put("seconds", 30));
+                            StoreClient.newCall("open").put("client", "c").put("seconds", 30));
             long session = opened.path("number").asLong();
-            samples.text("answer: open", stable(opened.toString()));
-            call(
+            samples.text("answer: open", normalize(opened.toString()));
+            sampleCall(
                     samples,
                     connection,
                     "open for too long",
-                    RecordClient.call("open").put("client", "c").put("seconds", 1e9));
-            call(samples, connection, "change", in(session, 1, change("a", "one", 0L, false)));
-            call(
+                    StoreClient.newCall("open").put("client", "c").put("seconds", 1e9));
+            sampleCall(
+                    samples,
+                    connection,
+                    "change",
+                    inSession(session, 1, change("a", "one", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change sent again",
-                    in(session, 1, change("a", "one", 0L, false)));
-            call(
+                    inSession(session, 1, change("a", "one", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change of a condition that fails",
-                    in(session, 2, change("a", "two", 0L, false)));
-            call(
+                    inSession(session, 2, change("a", "two", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change bound to the session",
-                    in(session, 3, change("b", "bound", null, true)));
-            call(
+                    inSession(session, 3, change("b", "bound", null, true)));
+            sampleCall(
                     samples,
                     connection,
                     "change without a session",
-                    in(999, 1, change("b", "bound", null, true)));
-            call(
+                    inSession(999, 1, change("b", "bound", null, true)));
+            sampleCall(
                     samples,
                     connection,
                     "change that was forgotten",
-                    in(session, 1, change("a", "one", 0L, false)));
-            call(
+                    inSession(session, 1, change("a", "one", 0L, false)));
+            sampleCall(
                     samples,
                     connection,
                     "change that is too large",
-                    in(session, 4, change("k".repeat(600), "one", null, false)));
-            call(samples, connection, "get", RecordClient.call("get").put("key", "a"));
-            call(
+                    inSession(session, 4, change("k".repeat(600), "one", null, false)));
+            sampleCall(samples, connection, "get", StoreClient.newCall("get").put("key", "a"));
+            sampleCall(
                     samples,
                     connection,
                     "get of nothing",
-                    RecordClient.call("get").put("key", "nothing"));
-            call(samples, connection, "list", RecordClient.call("list").put("prefix", ""));
-            call(samples, connection, "renew", RecordClient.call("renew").put("session", session));
-            call(
+                    StoreClient.newCall("get").put("key", "nothing"));
+            sampleCall(samples, connection, "list", StoreClient.newCall("list").put("prefix", ""));
+            sampleCall(
+                    samples,
+                    connection,
+                    "renew",
+                    StoreClient.newCall("renew").put("session", session));
+            sampleCall(
                     samples,
                     connection,
                     "renew without a session",
-                    RecordClient.call("renew").put("session", 999));
-            call(
+                    StoreClient.newCall("renew").put("session", 999));
+            sampleCall(
                     samples,
                     connection,
                     "watch",
-                    RecordClient.call("watch").put("prefix", "").put("from", 1));
-            call(
+                    StoreClient.newCall("watch").put("prefix", "").put("from", 1));
+            sampleCall(
                     samples,
                     connection,
                     "watch from before all that is known",
-                    RecordClient.call("watch").put("prefix", "").put("from", 0));
-            call(samples, connection, "end", RecordClient.call("end").put("session", session));
-            call(
+                    StoreClient.newCall("watch").put("prefix", "").put("from", 0));
+            sampleCall(
+                    samples, connection, "end", StoreClient.newCall("end").put("session", session));
+            sampleCall(
                     samples,
                     connection,
                     "add of no address",
-                    RecordClient.call("add").put("address", "nowhere"));
-            call(
+                    StoreClient.newCall("add").put("address", "nowhere"));
+            sampleCall(
                     samples,
                     connection,
                     "add where nobody is",
-                    RecordClient.call("add").put("address", "127.0.0.1:1"));
-            call(
+                    StoreClient.newCall("add").put("address", "127.0.0.1:1"));
+            sampleCall(
                     samples,
                     connection,
                     "remove of nobody",
-                    RecordClient.call("remove").put("name", "i9"));
-            call(
+                    StoreClient.newCall("remove").put("name", "i9"));
+            sampleCall(
                     samples,
                     connection,
                     "remove of the last voter",
-                    RecordClient.call("remove").put("name", "i1"));
-            call(
+                    StoreClient.newCall("remove").put("name", "i1"));
+            sampleCall(
                     samples,
                     connection,
                     "transfer to itself",
-                    RecordClient.call("transfer").put("name", "i1"));
-            call(samples, connection, "no such call", RecordClient.call("dance"));
-            call(samples, connection, "status", RecordClient.call("status"));
-            connection.say(
+                    StoreClient.newCall("transfer").put("name", "i1"));
+            sampleCall(samples, connection, "no such call", StoreClient.newCall("dance"));
+            sampleCall(samples, connection, "status", StoreClient.newCall("status"));
+            connection.send(
                     JsonMessages.encodeFrame(
                             FrameCodec.CALL,
-                            RecordClient.call("status").put("id", 7).put("version", 9)));
+                            StoreClient.newCall("status").put("id", 7).put("version", 9)));
             samples.text(
                     "answer: version that is not known",
-                    JsonMessages.decodeFrame(connection.next()).toString());
+                    JsonMessages.decodeFrame(connection.nextFrame()).toString());
         }
         samples.assertMatch(getClass(), "calls.txt");
     }
 
     @Test
-    public void rolesAreToldByTheNamesOfBefore() {
+    public void roleNamesAreUnchanged() {
         assertEquals(
-                Stream.of(Raft.Role.values()).map(Calls::wireName).toList(),
+                Stream.of(Raft.Role.values()).map(CallHandler::wireName).toList(),
                 List.of("follower", "looking_ahead", "candidate", "leader"));
     }
 
-    @Test(dependsOnMethods = "callsAreAnsweredAsBefore")
-    public void otherInstancesAreGreetedAsBefore() throws Exception {
+    @Test(dependsOnMethods = "callAnswersAreUnchanged")
+    public void handshakesAreUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         samples.bytes(
-                "greeting", Greeting.of(7, new MemberId(1), "i1", new MemberId(2), "h:1").bytes());
+                "greeting",
+                Handshake.of(7, new MemberId(1), "i1", new MemberId(2), "h:1").encode());
         for (long[] each : new long[][] {{7, 0}, {7, 2}, {0, 0}}) {
             try (Connection connection = new Connection(port)) {
-                connection.say(
+                connection.send(
                         FrameCodec.encode(
                                 FrameCodec.HANDSHAKE,
-                                Greeting.of(
+                                Handshake.of(
                                                 each[0],
                                                 new MemberId(5),
                                                 "i5",
                                                 new MemberId(each[1]),
                                                 "h:1")
-                                        .bytes()));
-                byte[] piece = connection.next();
-                String said;
-                if (piece[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
-                    Greeting read = Greeting.read(piece);
-                    said =
-                            read.oldest()
+                                        .encode()));
+                byte[] frame = connection.nextFrame();
+                String reply;
+                if (frame[0] == FrameCodec.HANDSHAKE_ACCEPTED) {
+                    Handshake read = Handshake.decode(frame);
+                    reply =
+                            read.oldestVersion()
                                     + " "
-                                    + read.newest()
+                                    + read.newestVersion()
                                     + " "
-                                    + read.name()
+                                    + read.senderName()
                                     + " "
-                                    + read.to().number()
+                                    + read.recipient().number()
                                     + " "
-                                    + read.address();
+                                    + read.senderAddress();
                 } else {
-                    said = new String(piece, 1, piece.length - 1, StandardCharsets.UTF_8);
+                    reply = new String(frame, 1, frame.length - 1, StandardCharsets.UTF_8);
                 }
                 samples.text(
-                        "reply of kind " + piece[0] + " to group " + each[0] + " member " + each[1],
-                        stable(said));
+                        "reply of kind " + frame[0] + " to group " + each[0] + " member " + each[1],
+                        normalize(reply));
             }
         }
         samples.assertMatch(getClass(), "greetings.txt");
     }
 
-    @Test(dependsOnMethods = "callsAreAnsweredAsBefore")
-    public void nodesAreToldAsBefore() throws Exception {
+    @Test(dependsOnMethods = "callAnswersAreUnchanged")
+    public void nodeMessagesAreUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         try (Connection node = new Connection(port)) {
-            node.say(
+            node.send(
                     JsonMessages.encodeFrame(
                             FrameCodec.NODE,
                             JsonMessages.newMessage("here")
@@ -313,40 +325,41 @@
                                     .put("boot", "ab12")
                                     .put("incarnation", 0)
                                     .put("clock", 3.5)));
-            byte[] piece = node.next();
+            byte[] frame = node.nextFrame();
             samples.text(
-                    "welcome, of kind " + piece[0],
-                    stable(JsonMessages.decodeFrame(piece).toString())
+                    "welcome, of kind " + frame[0],
+                    normalize(JsonMessages.decodeFrame(frame).toString())
                             .replaceAll("\"incarnation\":\\d+", "\"incarnation\":N"));
-            node.say(
+            node.send(
                     JsonMessages.encodeFrame(
                             FrameCodec.NODE,
                             JsonMessages.newMessage("report")
                                     .put("clock", 4.5)
                                     .put("revision", 0)));
-            samples.text("heard", stable(JsonMessages.decodeFrame(node.next()).toString()));
+            samples.text("heard", normalize(JsonMessages.decodeFrame(node.nextFrame()).toString()));
             try (Connection caller = new Connection(port)) {
                 long incarnation =
-                        caller.call(RecordClient.call("get").put("key", "node/n1"))
+                        caller.call(StoreClient.newCall("get").put("key", "node/n1"))
                                 .path("items")
                                 .path(0)
                                 .path("revision")
                                 .asLong();
-                RecordClient client =
-                        new RecordClient(
+                StoreClient client =
+                        new StoreClient(
                                 List.of(
                                         new InetSocketAddress(
                                                 InetAddress.getLoopbackAddress(), port)),
                                 "test");
-                client.ask(
-                        RecordClient.put("out/n1", incarnation + " by-hand because of it", -1), 5);
+                client.call(
+                        StoreClient.newPut("out/n1", incarnation + " by-hand because of it", -1),
+                        5);
                 client.close();
             }
-            samples.text("out", stable(JsonMessages.decodeFrame(node.next()).toString()));
-            assertEquals(node.next(), null);
+            samples.text("out", normalize(JsonMessages.decodeFrame(node.nextFrame()).toString()));
+            assertEquals(node.nextFrame(), null);
         }
         try (Connection node = new Connection(port)) {
-            node.say(
+            node.send(
                     JsonMessages.encodeFrame(
                             FrameCodec.NODE,
                             JsonMessages.newMessage("here")
@@ -355,15 +368,15 @@
                                     .put("boot", "ab12")));
             samples.text(
                     "out, of another version",
-                    stable(JsonMessages.decodeFrame(node.next()).toString()));
+                    normalize(JsonMessages.decodeFrame(node.nextFrame()).toString()));
         }
         samples.assertMatch(getClass(), "nodes.txt");
     }
 
-    private String command(String... words) throws Exception {
-        List<String> all = new ArrayList<>(List.of("fleet"));
-        all.addAll(List.of(words));
-        all.addAll(List.of("--at", "127.0.0.1:" + port));
+    private String runCommand(String... arguments) throws Exception {
+        List<String> commandLine = new ArrayList<>(List.of("fleet"));
+        commandLine.addAll(List.of(arguments));
+        commandLine.addAll(List.of("--at", "127.0.0.1:" + port));
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         PrintStream out = System.out;
         PrintStream err = System.err;
@@ -372,21 +385,21 @@
             try (PrintStream to = new PrintStream(printed, true, StandardCharsets.UTF_8)) {
                 System.setOut(to);
                 System.setErr(to);
-                status = Main.run(all.toArray(new String[0]));
+                status = Main.run(commandLine.toArray(new String[0]));
             } finally {
                 System.setOut(out);
                 System.setErr(err);
             }
         }
-        // Columns are as wide as the identities in them.
+        // The width of the columns depends on the identities in them.
         return "exit "
                 + status
                 + "\n"
-                + stable(printed.toString(StandardCharsets.UTF_8)).replaceAll(" {2,}", "  ");
+                + normalize(printed.toString(StandardCharsets.UTF_8)).replaceAll(" {2,}", "  ");
     }
 
-    @Test(dependsOnMethods = {"otherInstancesAreGreetedAsBefore", "nodesAreToldAsBefore"})
-    public void commandsPrintAsBefore() throws Exception {
+    @Test(dependsOnMethods = {"handshakesAreUnchanged", "nodeMessagesAreUnchanged"})
+    public void commandOutputIsUnchanged() throws Exception {
         GoldenSamples samples = new GoldenSamples();
         String[] commands = {
             "status",
@@ -438,18 +451,21 @@
             "dance"
         };
         for (String each : commands) {
-            samples.text("fleet " + each + " (" + samples.size() + ")", command(each.split(" ")));
+            samples.text(
+                    "fleet " + each + " (" + samples.size() + ")", runCommand(each.split(" ")));
             if (!each.startsWith("audit") && !each.startsWith("watch")) {
-                List<String> words = new ArrayList<>(List.of(each.split(" ")));
-                words.add("--json");
+                List<String> arguments = new ArrayList<>(List.of(each.split(" ")));
+                arguments.add("--json");
                 samples.text(
                         "fleet " + each + " --json (" + samples.size() + ")",
-                        command(words.toArray(new String[0])));
+                        runCommand(arguments.toArray(new String[0])));
             }
         }
         samples.text(
                 "check",
-                "exit " + Main.run(new String[] {"check", "--installation", file.toString()}));
+                "exit "
+                        + Main.run(
+                                new String[] {"check", "--installation", settingsFile.toString()}));
         samples.text(
                 "check of no file",
                 "exit " + Main.run(new String[] {"check", "--installation", "/nowhere"}));
@@ -458,18 +474,18 @@
     }
 
     @Test
-    public void settingsHaveTheKeysOfBefore() throws Exception {
+    public void settingsKeysAreUnchanged() throws Exception {
         try (InputStream schema =
-                Installation.class.getResourceAsStream("installation.schema.json")) {
+                InstanceSettings.class.getResourceAsStream("installation.schema.json")) {
             new GoldenSamples()
                     .text("schema", new String(schema.readAllBytes(), StandardCharsets.UTF_8))
                     .assertMatch(getClass(), "settings.txt");
         }
     }
 
-    @Test(dependsOnMethods = "commandsPrintAsBefore")
-    public void directoryHasTheSameFiles() throws Exception {
-        try (var files = Files.list(folder.resolve("data"))) {
+    @Test(dependsOnMethods = "commandOutputIsUnchanged")
+    public void directoryFilesAreUnchanged() throws Exception {
+        try (var files = Files.list(directory.resolve("data"))) {
             assertEquals(
                     new TreeSet<>(files.map(path -> path.getFileName().toString()).toList()),
                     new TreeSet<>(List.of("identity", "lock", "log-0000000000000001")));
