--- a/core/src/main/java/embershift/model/Decisions.java
+++ b/core/src/main/java/embershift/model/Decisions.java
@@ -12,6 +12,7 @@
      */
     void sendSetup(TunnelId id, HostId host, double timeout);
 
+    /** Gives up a setup that has not ended; its end is then reported as an event. */
     void cancelSetup(TunnelId id, int setup);
 
     /**
@@ -26,16 +27,22 @@
     /** Closes an open tunnel gracefully, so that its client reconnects. */
     void move(TunnelId id);
 
+    /** Asks the host for a load report. */
     void probe(HostId host);
 
+    /** Closes the connection that is kept open for probes of the host, if there is one. */
     void closeIdle(HostId host);
 
+    /** Starts or stops watching the roster for changes. */
     void watchRoster(boolean enabled);
 
+    /** Requests the complete roster once. */
     void requestRoster();
 
+    /** Sends a message to one other node; it may be lost. */
     void sendToNode(int node, byte[] content);
 
+    /** Sends a message to all other nodes; it may be lost. */
     void sendToAllNodes(byte[] content);
 
     /** Requests a round after this delay, even if no event has arrived by then. */
--- a/core/src/main/java/embershift/model/NodeEvents.java
+++ b/core/src/main/java/embershift/model/NodeEvents.java
@@ -14,6 +14,7 @@
      */
     void rosterReplaced(List<RosterEntry> entries, boolean fromCache);
 
+    /** Entries of the roster that were added or changed; all other entries stay as they were. */
     void rosterChanged(List<RosterEntry> entries);
 
     /** A call to the roster failed, or its watch broke; the last known roster stays in force. */
@@ -48,6 +49,7 @@
             GroupId group,
             HostId host);
 
+    /** The host accepted this setup, {@code duration} after it was sent, and the tunnel is open. */
     void tunnelOpened(TunnelId id, int setup, HostId host, double duration);
 
     /**
@@ -76,11 +78,13 @@
     /** How long a message takes at this host now. */
     void messageDelayMeasured(HostId host, double delay);
 
+    /** A probe was answered, or failed, {@code duration} after it was sent. */
     void probeEnded(HostId host, boolean answered, double duration);
 
     /** A host's own report; NaN for each figure that it does not report. */
     void hostReported(HostId host, double loadOverCapacity, double openTunnels, double queued);
 
+    /** Another node sent a message to this one. */
     void nodeMessageReceived(int node, byte[] content);
 
     /**
--- a/core/src/main/java/embershift/model/RosterEntry.java
+++ b/core/src/main/java/embershift/model/RosterEntry.java
@@ -8,6 +8,7 @@
 public record RosterEntry(
         HostId host, State state, ZoneId zone, double weight, int cell, double launchedAt) {
 
+    /** Replaces a weight that is not above 0 and finite by 1. */
     public RosterEntry {
         weight = weight > 0 && weight < Double.POSITIVE_INFINITY ? weight : 1;
     }
--- a/core/src/main/java/embershift/policy/HostCapacityEstimate.java
+++ b/core/src/main/java/embershift/policy/HostCapacityEstimate.java
@@ -21,6 +21,7 @@
     private double coldTunnels;
     private double tunnelsPerWarmHost;
 
+    /** Creates an estimate that has seen no reports yet. */
     public HostCapacityEstimate(Deployment deployment) {
         this.deployment = deployment;
     }
--- a/core/src/main/java/embershift/policy/Policy.java
+++ b/core/src/main/java/embershift/policy/Policy.java
@@ -224,7 +224,7 @@
     private boolean allHostsLate;
     private double shortestMessageGoal = Double.POSITIVE_INFINITY;
     private double longestMessageGoal;
-    private final TimeBuckets openings = new TimeBuckets(4, PERIOD_SECONDS / 2);
+    private final TimeBuckets openedSetups = new TimeBuckets(4, PERIOD_SECONDS / 2);
     private final TimeBuckets completions = new TimeBuckets(8, 2 * PERIOD_SECONDS);
 
     /** Tunnels of this node that a warm host can take per second. */
@@ -265,6 +265,7 @@
 
     private double rosterLostAt;
 
+    /** Creates the policy of a node that starts, with an estimate that may be inherited. */
     public Policy(Deployment deployment, HostCapacityEstimate capacityEstimate) {
         this.deployment = deployment;
         this.capacityEstimate = capacityEstimate;
@@ -451,7 +452,7 @@
         Tunnel tunnel = tunnels.get(id);
         if (tunnel != null && setup == tunnel.setupsSent - 1 && tunnel.setupInFlight) {
             tunnel.setupInFlight = false;
-            openings.add(now, duration, 1);
+            openedSetups.add(now, duration, 1);
             setupLimiter.setupEnded(now, false);
             tunnel.open = true;
             tunnel.host.consecutiveFailures = 0;
@@ -636,7 +637,7 @@
      * has time.
      */
     private boolean mayWait(Tunnel tunnel) {
-        double expectedWait = (waitingTunnels.size() + 1) / Math.max(1, openings.rate(now));
+        double expectedWait = (waitingTunnels.size() + 1) / Math.max(1, openedSetups.rate(now));
         return now + expectedWait + tunnel.profile.setupGoal() < tunnel.clientTimeoutAt;
     }
 
@@ -695,7 +696,7 @@
         }
         // Where a slow session store, or anything else that all setups share, delays all setups,
         // those cut off at their goal would only be queued again; hence the recent mean.
-        double averageDuration = openings.sum(now) / Math.max(1, openings.count(now));
+        double averageDuration = openedSetups.sum(now) / Math.max(1, openedSetups.count(now));
         double maxDuration =
                 SETUP_TIMEOUT_MULTIPLE * Math.max(tunnel.profile.setupGoal(), averageDuration);
         // After a timeout, a once-only tunnel, or a referenced one past its dedup window, could
@@ -846,7 +847,7 @@
         for (int k = 0; drawsLeft > 0 && k < 4 * hostSlots.slotCount(); k++) {
             long hash = HostSlots.mix(groupHash + k);
             Host host = hostSlots.hostAt(hash);
-            // The last condition accepts a host with a probability of (total load - its load) /
+            // The last condition accepts a host with the probability (total load - its load) /
             // total
             // load, in proportion to its weight.
             if (host == null
@@ -992,24 +993,27 @@
     }
 
     private Host drawByWeight(List<Host> candidates, double number) {
-        int n = candidates.size();
+        int hostCount = candidates.size();
         double total = candidates.stream().mapToDouble(this::drawLoad).sum();
         for (Host host : candidates) {
-            number -= weight(drawLoad(host), total, n);
+            number -= weight(drawLoad(host), total, hostCount);
             if (number < 0) {
                 return host;
             }
         }
-        return candidates.get(n - 1);
+        return candidates.get(hostCount - 1);
     }
 
     /**
-     * Weight of a host in the draw, w_i = 256 (total - count_i) / (total (n - 1)) in the design.
+     * Weight of a host in the draw: w_i = 256 (total - count_i) / (total (n - 1)) in the design,
+     * with n as the number of hosts.
      */
-    static double weight(double load, double total, int n) {
-        return n == 1
+    static double weight(double load, double total, int hostCount) {
+        return hostCount == 1
                 ? DRAW_RANGE
-                : total <= 0 ? DRAW_RANGE / n : DRAW_RANGE * (total - load) / (total * (n - 1));
+                : total <= 0
+                        ? DRAW_RANGE / hostCount
+                        : DRAW_RANGE * (total - load) / (total * (hostCount - 1));
     }
 
     // ---- Probes, reports and host health ----
--- a/core/src/main/java/embershift/policy/SeededRandom.java
+++ b/core/src/main/java/embershift/policy/SeededRandom.java
@@ -9,6 +9,7 @@
     private final long seed;
     private long draws;
 
+    /** Creates a generator whose numbers depend only on the seed. */
     public SeededRandom(long seed) {
         this.seed = seed;
     }
--- a/core/src/test/java/embershift/policy/PolicyHarness.java
+++ b/core/src/test/java/embershift/policy/PolicyHarness.java
@@ -210,12 +210,12 @@
         return new RosterEntry(host(host), state, zone, 1, host / 2, launchedAt);
     }
 
-    static HostId host(int i) {
-        return new HostId("h" + i);
+    static HostId host(int number) {
+        return new HostId("h" + number);
     }
 
-    static TunnelId tunnel(int i) {
-        return new TunnelId("t" + i);
+    static TunnelId tunnel(int number) {
+        return new TunnelId("t" + number);
     }
 
     /** Runs one round and returns its decisions. */
--- a/core/src/test/java/embershift/policy/PolicyTest.java
+++ b/core/src/test/java/embershift/policy/PolicyTest.java
@@ -36,8 +36,8 @@
     }
 
     @Test(dataProvider = "weights")
-    public void weightsAreInverseToLoad(double count, double total, int n, double weight) {
-        assertEquals(Policy.weight(count, total, n), weight, 1e-9);
+    public void weightsAreInverseToLoad(double count, double total, int hostCount, double weight) {
+        assertEquals(Policy.weight(count, total, hostCount), weight, 1e-9);
     }
 
     @Test
@@ -265,9 +265,9 @@
                 List.of("move t8", "move t9"));
     }
 
-    private static void resumeOnFirstHost(NodeEvents events, int i, String group) {
+    private static void resumeOnFirstHost(NodeEvents events, int tunnelNumber, String group) {
         events.tunnelResumed(
-                PolicyHarness.tunnel(i),
+                PolicyHarness.tunnel(tunnelNumber),
                 new ProfileId("p"),
                 null,
                 null,
--- a/core/src/test/java/embershift/policy/SlowStartFleetTest.java
+++ b/core/src/test/java/embershift/policy/SlowStartFleetTest.java
@@ -108,15 +108,15 @@
             for (double now = duration < WARM_UP_TIME ? rushAt : START; now < end; now += step) {
                 int from = random.nextInt(nodes.length);
                 for (int k = 0; k < nodes.length; k++) {
-                    int i = (from + k) % nodes.length;
-                    if (now >= restartAt && now < restartAt + step && i % 10 < 7) {
-                        nodes[i] = node(nodes.length, i, now);
-                        started[i] = false;
-                        informedAt[i] = now;
+                    int index = (from + k) % nodes.length;
+                    if (now >= restartAt && now < restartAt + step && index % 10 < 7) {
+                        nodes[index] = node(nodes.length, index, now);
+                        started[index] = false;
+                        informedAt[index] = now;
                     }
-                    if (!started[i] && now >= informedAt[i]) {
-                        started[i] = true;
-                        nodes[i].hostStarted(new HostId(host), START, informedAt[i]);
+                    if (!started[index] && now >= informedAt[index]) {
+                        started[index] = true;
+                        nodes[index].hostStarted(new HostId(host), START, informedAt[index]);
                     }
                     double arrivals =
                             switch (traffic) {
@@ -127,12 +127,13 @@
                                                         < OVERLOAD_WINDOW / 2
                                                 ? Double.POSITIVE_INFINITY
                                                 : 0;
-                                case THIN -> poisson(demand * allowed(now - step, now) * shares[i]);
+                                case THIN ->
+                                        poisson(demand * allowed(now - step, now) * shares[index]);
                             };
-                    while (started[i]
+                    while (started[index]
                             && arrivals-- > 0
-                            && nodes[i].maySend(now, warmHostRate * shares[i])) {
-                        nodes[i].tunnelSent(now);
+                            && nodes[index].maySend(now, warmHostRate * shares[index])) {
+                        nodes[index].tunnelSent(now);
                         sent[sentCount++] = now;
                     }
                 }
--- a/node/src/main/java/embershift/adapter/Adapter.java
+++ b/node/src/main/java/embershift/adapter/Adapter.java
@@ -50,6 +50,7 @@
 
     private long lineNumber;
 
+    /** Creates an adapter that reads batches from {@code in} and answers them on {@code out}. */
     public Adapter(InputStream in, OutputStream out, PrintStream errors) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
@@ -79,20 +80,20 @@
     }
 
     private void decide(double now, int number, Instance instance, StringBuilder reply) {
-        DecisionWriter replies = new DecisionWriter(number, reply);
+        DecisionWriter decisions = new DecisionWriter(number, reply);
         List<Consumer<NodeEvents>> pendingEvents = instance.events;
         try {
-            instance.module.round(
+            instance.policy.round(
                     now,
                     events -> {
                         for (Consumer<NodeEvents> event : pendingEvents) {
                             event.accept(events);
                         }
                     },
-                    replies);
+                    decisions);
         } catch (RuntimeException | StackOverflowError | AssertionError e) {
             e.printStackTrace(errors);
-            replies.exception(e);
+            decisions.exception(e);
         }
         pendingEvents.clear();
     }
@@ -324,20 +325,20 @@
         return events -> events.hostReported(host, loadOverCapacity, openTunnels, queued);
     }
 
-    /** An isolated policy module with its events of the current batch. */
+    /** A policy, isolated from all others, with its events of the current batch. */
     private static final class Instance {
-        final Policy module;
+        final Policy policy;
         final String[] columns;
         final List<Consumer<NodeEvents>> events = new ArrayList<>();
 
-        Instance(Policy module, List<String> columns) {
-            this.module = module;
+        Instance(Policy policy, List<String> columns) {
+            this.policy = policy;
             this.columns = columns.toArray(new String[0]);
         }
 
         double value(double[] row, String column) {
-            int i = Arrays.asList(columns).indexOf(column);
-            return i < 0 || i >= row.length ? Double.NaN : row[i];
+            int index = Arrays.asList(columns).indexOf(column);
+            return index < 0 || index >= row.length ? Double.NaN : row[index];
         }
     }
 }
--- a/node/src/main/java/embershift/adapter/DecisionWriter.java
+++ b/node/src/main/java/embershift/adapter/DecisionWriter.java
@@ -17,8 +17,8 @@
         this.reply = reply;
     }
 
-    private StringBuilder beginLine(String word) {
-        return reply.append(word).append(' ').append(instance);
+    private StringBuilder beginLine(String message) {
+        return reply.append(message).append(' ').append(instance);
     }
 
     @Override
@@ -38,9 +38,9 @@
     }
 
     @Override
-    public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
+    public void decline(TunnelId id, double retryAfter, DeclineReason reason) {
         beginLine("BOUNCE").append(' ').append(id.name()).append(' ');
-        endWithSeconds(returnAfter);
+        endWithSeconds(retryAfter);
     }
 
     @Override
--- a/node/src/main/java/embershift/operations/OperatorServer.java
+++ b/node/src/main/java/embershift/operations/OperatorServer.java
@@ -45,6 +45,7 @@
     private final StallDetector stallDetector;
     private EventLoop.Acceptor listener;
 
+    /** Creates a server that does not listen yet. */
     public OperatorServer(EventLoop loop, OperatorApi api, Tally tally) {
         this.loop = loop;
         this.api = api;
@@ -52,6 +53,7 @@
         stallDetector = new StallDetector(loop.now());
     }
 
+    /** Listens at the address and returns the one that the system has bound. */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         heartbeat();
         listener =
@@ -72,9 +74,9 @@
                                                 - listener.openConnections();
                             }
                         },
-                        link -> {
+                        connection -> {
                             tally.count("operators' connections");
-                            new OperatorConnection(link);
+                            new OperatorConnection(connection);
                         });
         return listener.localAddress();
     }
@@ -108,40 +110,40 @@
             return false;
         }
         tally.count("operators' connections that gave way");
-        OperatorConnection connection = oldest.next();
-        connection.answer(HttpResponse.error(503, "others call, and no whole call has come here"));
+        OperatorConnection evicted = oldest.next();
+        evicted.answer(HttpResponse.error(503, "others call, and no whole call has come here"));
         // All that it sent has been read, so closing does not reset the connection and lose the
         // answer.
-        connection.link.close();
+        evicted.connection.close();
         return true;
     }
 
     private final class OperatorConnection implements TcpConnection.Listener {
-        private final TcpConnection link;
+        private final TcpConnection connection;
         private final HttpRequestParser request = new HttpRequestParser();
         private final EventLoop.Timer timeout;
 
-        OperatorConnection(TcpConnection link) {
-            this.link = link;
+        OperatorConnection(TcpConnection connection) {
+            this.connection = connection;
             waiting.add(this);
             timeout =
                     loop.schedule(
                             REQUEST_TIMEOUT_SECONDS,
                             () -> answerAndFinish(HttpResponse.error(408, "no whole call came")));
-            link.setListener(this);
+            connection.setListener(this);
         }
 
         private void answer(HttpResponse answer) {
             stopWaiting();
-            if (!link.isClosed()) {
+            if (!connection.isClosed()) {
                 tally.count("operators' calls answered " + answer.status());
-                link.write(answer.encode());
+                connection.write(answer.encode());
             }
         }
 
         private void answerAndFinish(HttpResponse answer) {
             answer(answer);
-            link.closeGracefully();
+            connection.closeGracefully();
         }
 
         private void stopWaiting() {
@@ -179,7 +181,7 @@
         @Override
         public void connectionLost() {
             stopWaiting();
-            link.close();
+            connection.close();
         }
     }
 }
--- a/node/src/main/java/embershift/program/Main.java
+++ b/node/src/main/java/embershift/program/Main.java
@@ -133,6 +133,7 @@
         }
     }
 
+    /** Runs the program, and exits unless its status is negative: then a node goes on running. */
     public static void main(String[] args) throws IOException {
         int status = run(args);
         if (status >= 0) {
--- a/node/src/main/java/embershift/program/NodeExtension.java
+++ b/node/src/main/java/embershift/program/NodeExtension.java
@@ -27,10 +27,13 @@
     /** The node, as its extension sees it. */
     interface NodeContext {
 
+        /** The loop that the node runs on. */
         EventLoop loop();
 
+        /** The router of the node's tunnels. */
         Router router();
 
+        /** The hosts that operators have ejected. */
         HostEjections ejections();
 
         /** The configuration as it was read last. */
@@ -39,6 +42,7 @@
         /** Whether the node accepts clients now, apart from what the extension says. */
         boolean isServing();
 
+        /** Writes a line to the node's log. */
         void log(String line);
 
         /** Shuts the node down as at SIGTERM, then exits with that status. */
--- a/node/src/main/java/embershift/program/NodeProcess.java
+++ b/node/src/main/java/embershift/program/NodeProcess.java
@@ -52,6 +52,7 @@
 
     /** Reads the configuration, at the start and at each reload. */
     public interface ConfigurationSource {
+        /** Returns the current configuration; fails if it is malformed or cannot be read. */
         NodeConfiguration read() throws MalformedDataException;
     }
 
@@ -102,8 +103,8 @@
      */
     InetSocketAddress start() throws IOException {
         loop = new EventLoop();
-        CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
-        loop.execute(() -> serve(listening));
+        CompletableFuture<InetSocketAddress> listenAddress = new CompletableFuture<>();
+        loop.execute(() -> serve(listenAddress));
         // Before the node can report that it is ready: unhandled, both signals would end the
         // program.
         if (!Signals.onHangup(this::reload)) {
@@ -117,7 +118,7 @@
         // registered before the start completes, as clients may be connected by then.
         Runtime.getRuntime().addShutdownHook(new Thread(this::shutDownAndWait, "leave"));
         try {
-            return listening.join();
+            return listenAddress.join();
         } catch (CompletionException e) {
             stopped.countDown();
             loop.stop();
@@ -125,7 +126,7 @@
         }
     }
 
-    private void serve(CompletableFuture<InetSocketAddress> listening) {
+    private void serve(CompletableFuture<InetSocketAddress> listenAddress) {
         try {
             router = new Router(loop, startConfiguration, log::line);
             if (startConfiguration.hasManagement()) {
@@ -147,9 +148,9 @@
             }
             enter(Phase.SERVING);
             log.line("listening on " + Addresses.format(address));
-            listening.complete(address);
+            listenAddress.complete(address);
         } catch (IOException | RuntimeException e) {
-            listening.completeExceptionally(e);
+            listenAddress.completeExceptionally(e);
         }
     }
 
--- a/node/src/main/java/embershift/program/SiblingProcesses.java
+++ b/node/src/main/java/embershift/program/SiblingProcesses.java
@@ -410,9 +410,9 @@
         }
     }
 
-    private void logOnce(String problem, Exception e) {
+    private void logOnce(String problem, Exception cause) {
         if (loggedProblems.add(problem)) {
-            log.accept(problem + ": " + e.getMessage());
+            log.accept(problem + ": " + cause.getMessage());
         }
     }
 }
--- a/node/src/main/java/embershift/protocol/Addresses.java
+++ b/node/src/main/java/embershift/protocol/Addresses.java
@@ -17,6 +17,7 @@
         return address.getHostString() + ":" + address.getPort();
     }
 
+    /** Parses an IPv4 address and a port, such as {@code 127.0.0.1:3000}. */
     public static InetSocketAddress parse(String text) throws MalformedDataException {
         int colon = text.lastIndexOf(':');
         String[] parts = colon < 0 ? new String[0] : text.substring(0, colon).split("\\.", -1);
--- a/node/src/main/java/embershift/protocol/DeploymentReader.java
+++ b/node/src/main/java/embershift/protocol/DeploymentReader.java
@@ -21,6 +21,7 @@
 
     private final Map<String, String> pairs;
 
+    /** Creates a reader of values by their paths, such as {@code profiles.count}. */
     public DeploymentReader(Map<String, String> pairs) {
         this.pairs = pairs;
     }
@@ -52,6 +53,7 @@
         }
     }
 
+    /** Reads the deployment; fails where a required value is missing or a value is malformed. */
     public Deployment read(long seed) throws MalformedDataException {
         List<Profile> profiles = new ArrayList<>();
         int count = (int) number("profiles.count");
@@ -119,11 +121,13 @@
     }
 
     /** Returns how long a message of the i-th profile may take, in seconds. */
-    private double messageGoal(int i) throws MalformedDataException {
+    private double messageGoal(int profileIndex) throws MalformedDataException {
         String path = "domain.message-aim-s";
         String[] goals = isSet(path) ? pairs.get(path).split(",") : new String[0];
         try {
-            return i < goals.length ? Double.parseDouble(goals[i]) : Double.POSITIVE_INFINITY;
+            return profileIndex < goals.length
+                    ? Double.parseDouble(goals[profileIndex])
+                    : Double.POSITIVE_INFINITY;
         } catch (NumberFormatException e) {
             throw new MalformedDataException(path + ": expected numbers separated by commas");
         }
--- a/node/src/main/java/embershift/protocol/EjectionList.java
+++ b/node/src/main/java/embershift/protocol/EjectionList.java
@@ -26,6 +26,7 @@
 
     private EjectionList() {}
 
+    /** Formats the hosts as {@link #parse} accepts them. */
     public static String format(Collection<HostId> hosts) {
         String ids =
                 hosts.stream()
--- a/node/src/main/java/embershift/protocol/HostLine.java
+++ b/node/src/main/java/embershift/protocol/HostLine.java
@@ -15,6 +15,7 @@
         OTHER
     }
 
+    /** Parses a line without its end; an unknown first word makes it {@link Type#OTHER}. */
     public static HostLine parse(String text) {
         int space = text.indexOf(' ');
         String word = space < 0 ? text : text.substring(0, space);
--- a/node/src/main/java/embershift/protocol/HostLineTracker.java
+++ b/node/src/main/java/embershift/protocol/HostLineTracker.java
@@ -69,6 +69,9 @@
         return atLineBoundary;
     }
 
+    /**
+     * Returns the last line that was observed completely, or one of type OTHER before the first.
+     */
     public HostLine lastLine() {
         return lastLine;
     }
--- a/node/src/main/java/embershift/protocol/HttpRequestParser.java
+++ b/node/src/main/java/embershift/protocol/HttpRequestParser.java
@@ -30,6 +30,7 @@
             this.status = status;
         }
 
+        /** Returns the HTTP status code of the response to the request. */
         public int status() {
             return status;
         }
@@ -117,8 +118,8 @@
     private static String decoded(String part) throws MalformedDataException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(part.length());
         for (int i = 0; i < part.length(); i++) {
-            char c = part.charAt(i);
-            if (c == '%') {
+            char character = part.charAt(i);
+            if (character == '%') {
                 boolean complete = i + 2 < part.length();
                 int high = complete ? Character.digit(part.charAt(i + 1), 16) : -1;
                 int low = complete ? Character.digit(part.charAt(i + 2), 16) : -1;
@@ -128,7 +129,7 @@
                 bytes.write(high * 16 + low);
                 i += 2;
             } else {
-                bytes.write(c);
+                bytes.write(character);
             }
         }
         return bytes.toString(StandardCharsets.UTF_8);
--- a/node/src/main/java/embershift/protocol/HttpResponse.java
+++ b/node/src/main/java/embershift/protocol/HttpResponse.java
@@ -6,6 +6,7 @@
 /** An HTTP/1.1 response with a JSON body. The connection is closed after it. */
 public record HttpResponse(int status, String json, String allow) {
 
+    /** Creates a response with this status and body, and no {@code Allow} field. */
     public static HttpResponse of(int status, String json) {
         return new HttpResponse(status, json, null);
     }
@@ -36,6 +37,7 @@
         };
     }
 
+    /** Returns the bytes of the whole response; the body must be ASCII. */
     public ByteBuffer encode() {
         String body = json + "\n";
         return ByteBuffer.wrap(
--- a/node/src/main/java/embershift/protocol/HttpResponseParser.java
+++ b/node/src/main/java/embershift/protocol/HttpResponseParser.java
@@ -57,14 +57,17 @@
         body.write(chunk, 0, chunk.length);
     }
 
+    /** Returns the status code of the response. */
     public int status() {
         return status;
     }
 
+    /** Whether the server keeps the connection open for another request. */
     public boolean keepAlive() {
         return keepAlive;
     }
 
+    /** Returns the body received so far. */
     public String body() {
         return body.toString(StandardCharsets.UTF_8);
     }
--- a/node/src/main/java/embershift/protocol/Json.java
+++ b/node/src/main/java/embershift/protocol/Json.java
@@ -17,6 +17,7 @@
         this.text = text;
     }
 
+    /** Parses a text that consists of a single JSON value. */
     public static Object parse(String text) throws MalformedDataException {
         Json json = new Json(text);
         Object value = json.value(0);
@@ -50,8 +51,8 @@
         if (depth > MAX_DEPTH) {
             throw malformed("at most " + MAX_DEPTH + " levels of nesting");
         }
-        char c = next("a value");
-        return switch (c) {
+        char first = next("a value");
+        return switch (first) {
             case '{' -> object(depth);
             case '[' -> list(depth);
             case '"' -> string();
@@ -87,12 +88,12 @@
             }
             position++;
             fields.put(name, value(depth + 1));
-            char c = next(", or }");
+            char separator = next(", or }");
             position++;
-            if (c == '}') {
+            if (separator == '}') {
                 return fields;
             }
-            if (c != ',') {
+            if (separator != ',') {
                 position--;
                 throw malformed(", or }");
             }
@@ -108,12 +109,12 @@
         }
         while (true) {
             items.add(value(depth + 1));
-            char c = next(", or ]");
+            char separator = next(", or ]");
             position++;
-            if (c == ']') {
+            if (separator == ']') {
                 return items;
             }
-            if (c != ',') {
+            if (separator != ',') {
                 position--;
                 throw malformed(", or ]");
             }
@@ -124,12 +125,12 @@
         StringBuilder out = new StringBuilder();
         position++;
         while (position < text.length()) {
-            char c = text.charAt(position++);
-            if (c == '"') {
+            char character = text.charAt(position++);
+            if (character == '"') {
                 return out.toString();
             }
-            if (c != '\\') {
-                out.append(c);
+            if (character != '\\') {
+                out.append(character);
                 continue;
             }
             if (position >= text.length()) {
@@ -152,9 +153,9 @@
 
     private char unicode() throws MalformedDataException {
         try {
-            char c = (char) Integer.parseInt(text.substring(position, position + 4), 16);
+            char character = (char) Integer.parseInt(text.substring(position, position + 4), 16);
             position += 4;
-            return c;
+            return character;
         } catch (IndexOutOfBoundsException | NumberFormatException e) {
             throw malformed("four hexadecimal digits");
         }
@@ -177,14 +178,14 @@
     public static String quote(String text) {
         StringBuilder out = new StringBuilder(text.length() + 2).append('"');
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c == '"' || c == '\\') {
-                out.append('\\').append(c);
-            } else if (c < ' ' || c > '~') {
-                String digits = Integer.toHexString(c);
+            char character = text.charAt(i);
+            if (character == '"' || character == '\\') {
+                out.append('\\').append(character);
+            } else if (character < ' ' || character > '~') {
+                String digits = Integer.toHexString(character);
                 out.append("\\u").append("0000", digits.length(), 4).append(digits);
             } else {
-                out.append(c);
+                out.append(character);
             }
         }
         return out.append('"').toString();
--- a/node/src/main/java/embershift/protocol/LoadReport.java
+++ b/node/src/main/java/embershift/protocol/LoadReport.java
@@ -40,6 +40,7 @@
         }
     }
 
+    /** Whether none of the named figures is present. */
     public boolean isEmpty() {
         return Double.isNaN(loadOverCapacity) && Double.isNaN(openTunnels) && Double.isNaN(queued);
     }
--- a/node/src/main/java/embershift/protocol/OpenRequest.java
+++ b/node/src/main/java/embershift/protocol/OpenRequest.java
@@ -41,6 +41,7 @@
         return request;
     }
 
+    /** Whether the line begins as an OPEN line does; its fields may still be malformed. */
     public static boolean isOpenLine(String text) {
         return text.startsWith(PREFIX);
     }
@@ -112,14 +113,17 @@
         return out.flip();
     }
 
+    /** Returns the id that the client gave the tunnel. */
     public TunnelId id() {
         return id;
     }
 
+    /** Returns the line's key: what the tunnel is about. */
     public SubjectId subject() {
         return subject;
     }
 
+    /** Returns the profile, which each line names. */
     public ProfileId profile() {
         return profile;
     }
--- a/node/src/main/java/embershift/protocol/PartialLineBuffer.java
+++ b/node/src/main/java/embershift/protocol/PartialLineBuffer.java
@@ -10,14 +10,16 @@
  */
 public final class PartialLineBuffer {
 
-    private byte[] held;
+    private byte[] partialLine;
 
     /** Consumes all bytes and forwards the complete lines in order. */
     public void forward(ByteBuffer bytes, Consumer<ByteBuffer> target) {
         int limit = bytes.limit();
         int end = LineCodec.endOfLastLine(bytes);
         int partialLength =
-                limit - end + (end == bytes.position() && held != null ? held.length : 0);
+                limit
+                        - end
+                        + (end == bytes.position() && partialLine != null ? partialLine.length : 0);
         if (partialLength > LineCodec.MAX_LENGTH) {
             end = limit;
         }
@@ -30,20 +32,20 @@
             bytes.limit(limit).position(end);
         }
         if (bytes.hasRemaining()) {
-            int heldLength = held == null ? 0 : held.length;
-            byte[] grown = new byte[heldLength + bytes.remaining()];
-            if (held != null) {
-                System.arraycopy(held, 0, grown, 0, heldLength);
+            int oldLength = partialLine == null ? 0 : partialLine.length;
+            byte[] grown = new byte[oldLength + bytes.remaining()];
+            if (partialLine != null) {
+                System.arraycopy(partialLine, 0, grown, 0, oldLength);
             }
-            bytes.get(grown, heldLength, bytes.remaining());
-            held = grown;
+            bytes.get(grown, oldLength, bytes.remaining());
+            partialLine = grown;
         }
     }
 
     /** Returns what is held back and forgets it; null if there is nothing. */
     public ByteBuffer takeRemainder() {
-        ByteBuffer remainder = held == null ? null : ByteBuffer.wrap(held);
-        held = null;
+        ByteBuffer remainder = partialLine == null ? null : ByteBuffer.wrap(partialLine);
+        partialLine = null;
         return remainder;
     }
 }
--- a/node/src/main/java/embershift/protocol/RosterUpdate.java
+++ b/node/src/main/java/embershift/protocol/RosterUpdate.java
@@ -22,6 +22,7 @@
         Map<HostId, InetSocketAddress> addresses,
         int malformedEntries) {
 
+    /** Parses the JSON text of an update. */
     public static RosterUpdate parse(String text) throws MalformedDataException {
         return fromJson(Json.parse(text));
     }
--- a/node/src/main/java/embershift/routing/HostEndpoint.java
+++ b/node/src/main/java/embershift/routing/HostEndpoint.java
@@ -181,7 +181,7 @@
         if (Double.isNaN(probeStartedAt)) {
             return;
         }
-        double took = router.now() - probeStartedAt;
+        double duration = router.now() - probeStartedAt;
         probeStartedAt = Double.NaN;
         probeWritten = false;
         lastAnswerAt = router.now();
@@ -203,7 +203,7 @@
         }
         router.enqueueEvent(
                 events -> {
-                    events.probeEnded(host, answered, took);
+                    events.probeEnded(host, answered, duration);
                     reportLoad(events, report);
                 });
     }
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -160,6 +160,7 @@
     private int listedHosts;
     private int avoidedHosts;
 
+    /** Creates the router of a node that does not listen for clients yet. */
     public Router(EventLoop loop, NodeConfiguration configuration, Consumer<String> log)
             throws IOException {
         this.loop = loop;
@@ -225,8 +226,8 @@
      * Switches between lists from the external source, with discovery not being called, and
      * discovery.
      */
-    public void useExternalRoster(boolean on) {
-        rosterClient.useExternalRoster(on);
+    public void useExternalRoster(boolean enabled) {
+        rosterClient.useExternalRoster(enabled);
     }
 
     /** Applies the external source's full list again, as the policy has asked for it. */
@@ -252,6 +253,7 @@
         return descriptorLimit;
     }
 
+    /** Addresses of the other nodes, in the order of the configuration. */
     public List<InetSocketAddress> peerAddresses() {
         return peers.addresses();
     }
@@ -445,6 +447,7 @@
         return peers.address();
     }
 
+    /** The counters of this node. */
     public Tally tally() {
         return tally;
     }
@@ -539,12 +542,12 @@
         }
     }
 
-    private void logFault(RuntimeException e) {
+    private void logFault(RuntimeException fault) {
         tally.count("faults");
-        StackTraceElement[] trace = e.getStackTrace();
+        StackTraceElement[] trace = fault.getStackTrace();
         if (loggedFaults.size() < MAX_LOGGED_FAULTS
                 && loggedFaults.add(trace.length == 0 ? "" : trace[0].toString())) {
-            log.accept("fault: " + e);
+            log.accept("fault: " + fault);
             for (StackTraceElement frame : trace) {
                 log.accept("    at " + frame);
             }
@@ -663,7 +666,7 @@
         return true;
     }
 
-    void tunnelOpened(TunnelRelay relay, HostEndpoint endpoint, int setup, double took) {
+    void tunnelOpened(TunnelRelay relay, HostEndpoint endpoint, int setup, double duration) {
         OpenRequest openRequest = relay.openRequest();
         if (openRequest.resumeHost() != null) {
             enqueueEvent(
@@ -676,7 +679,7 @@
                                     openRequest.group(),
                                     endpoint.host));
         } else {
-            enqueueEvent(events -> events.tunnelOpened(relay.id(), setup, endpoint.host, took));
+            enqueueEvent(events -> events.tunnelOpened(relay.id(), setup, endpoint.host, duration));
         }
     }
 
@@ -746,10 +749,10 @@
     }
 
     @Override
-    public void decline(TunnelId id, double returnAfter, DeclineReason reason) {
+    public void decline(TunnelId id, double retryAfter, DeclineReason reason) {
         TunnelRelay relay = relays.get(id);
         if (relay != null) {
-            long millis = (long) Math.ceil(returnAfter * 1000);
+            long millis = (long) Math.ceil(retryAfter * 1000);
             relay.decline(millis > 0 ? "BUSY " + millis : "BUSY", reason);
         }
     }
@@ -784,8 +787,8 @@
     }
 
     @Override
-    public void watchRoster(boolean on) {
-        rosterClient.watch(on);
+    public void watchRoster(boolean enabled) {
+        rosterClient.watch(enabled);
     }
 
     @Override
--- a/node/src/main/java/embershift/routing/Tally.java
+++ b/node/src/main/java/embershift/routing/Tally.java
@@ -55,6 +55,7 @@
                 .forEach(profile -> profiles.put(profile.id(), new EnumMap<>(Outcome.class)));
     }
 
+    /** Adds 1 to the counter of this name. */
     public void count(String name) {
         add(name, 1);
     }
@@ -86,6 +87,7 @@
         return count == null ? 0 : count[0];
     }
 
+    /** Number of tunnels that were declined for this reason. */
     public long of(DeclineReason reason) {
         return of(name(reason));
     }
@@ -95,6 +97,7 @@
         return new ArrayList<>(profiles.keySet());
     }
 
+    /** Number of the profile's tunnels with this outcome; the profile must be the deployment's. */
     public long of(ProfileId profile, Outcome outcome) {
         return profiles.get(profile).getOrDefault(outcome, 0L);
     }
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -234,10 +234,10 @@
     // ---- Decisions of the policy ----
 
     /**
-     * Sends the next setup and returns true, unless the client has left. A {@code timeOut} of 0
+     * Sends the next setup and returns true, unless the client has left. A {@code timeout} of 0
      * means that only the client's timeout applies.
      */
-    boolean sendSetup(HostEndpoint endpoint, double timeOut) {
+    boolean sendSetup(HostEndpoint endpoint, double timeout) {
         // The decision may be late, after a list in the same wake-up or a pause of the process. A
         // host may count an attempt from its connection on, so check first whether the client has
         // left.
@@ -250,7 +250,7 @@
         double left = timeLeft(router.now());
         setup = new Setup(endpoint, setupCount++);
         firstSetupSentAt = setupCount == 1 ? setup.sentAt : firstSetupSentAt;
-        setup.start(timeOut == 0 ? left : Math.min(left, timeOut));
+        setup.start(timeout == 0 ? left : Math.min(left, timeout));
         return true;
     }
 
@@ -346,19 +346,21 @@
     }
 
     /** Marks an open tunnel as ended, and reports that to the policy once. */
-    private void endTunnel(SetupOutcome end, LoadReport report) {
+    private void endTunnel(SetupOutcome outcome, LoadReport report) {
         markClosed();
-        reportSetupEnd(setup, end, report, true);
+        reportSetupEnd(setup, outcome, report, true);
         router.remove(this);
     }
 
-    private void reportSetupEnd(Setup ended, SetupOutcome end, LoadReport report, boolean last) {
-        double took = router.now() - ended.sentAt;
-        router.tally().count("setups ended " + end.name().toLowerCase(java.util.Locale.ROOT));
+    private void reportSetupEnd(
+            Setup ended, SetupOutcome outcome, LoadReport report, boolean tunnelEnded) {
+        double duration = router.now() - ended.sentAt;
+        router.tally().count("setups ended " + outcome.name().toLowerCase(java.util.Locale.ROOT));
         router.enqueueEvent(
                 events -> {
                     ended.endpoint.reportLoad(events, report);
-                    events.setupEnded(id, ended.number, ended.endpoint.host, end, took, last);
+                    events.setupEnded(
+                            id, ended.number, ended.endpoint.host, outcome, duration, tunnelEnded);
                 });
     }
 
@@ -756,13 +758,13 @@
             state = State.OPEN;
             hostLineTracker = new HostLineTracker();
             partialLineBuffer = new PartialLineBuffer();
-            double took = router.now() - sentAt;
+            double duration = router.now() - sentAt;
             if (isResuming()) {
                 router.tally().count("standing tunnels resumed");
             }
             router.tally().count(Outcome.OPENED, openRequest.profile());
             client.write(ByteBuffer.wrap(line));
-            router.tunnelOpened(TunnelRelay.this, endpoint, number, took);
+            router.tunnelOpened(TunnelRelay.this, endpoint, number, duration);
             if (earlyBytes != null) {
                 connection.write(earlyBytes);
                 earlyBytes = null;
--- a/node/src/main/java/embershift/transport/DatagramEndpoint.java
+++ b/node/src/main/java/embershift/transport/DatagramEndpoint.java
@@ -18,6 +18,7 @@
 
     /** Receives the datagrams that arrive. */
     public interface Handler {
+        /** A datagram arrived from this address. */
         void received(InetSocketAddress from, byte[] content);
     }
 
@@ -49,10 +50,12 @@
         }
     }
 
+    /** Stops receiving and releases the address. */
     public void close() {
         IoUtils.safeClose(channel);
     }
 
+    /** The address at which datagrams are received. */
     public InetSocketAddress localAddress() {
         return channel.getLocalAddress(InetSocketAddress.class);
     }
--- a/node/src/main/java/embershift/transport/EventLoop.java
+++ b/node/src/main/java/embershift/transport/EventLoop.java
@@ -88,6 +88,7 @@
 
     private final List<Acceptor> acceptors = new CopyOnWriteArrayList<>();
 
+    /** Starts the thread of the loop. */
     public EventLoop() throws IOException {
         LIBRARY_LOGGERS.forEach(logger -> logger.setLevel(Level.WARNING));
         worker =
@@ -337,15 +338,15 @@
         }
     }
 
-    private static IOException withAddress(InetSocketAddress address, IOException e) {
+    private static IOException withAddress(InetSocketAddress address, IOException cause) {
         return new IOException(
                 "can't listen on "
                         + address.getHostString()
                         + ":"
                         + address.getPort()
                         + ": "
-                        + e.getMessage(),
-                e);
+                        + cause.getMessage(),
+                cause);
     }
 
     /** Stops the thread and closes all sockets that are still open. */
@@ -455,6 +456,7 @@
             }
         }
 
+        /** The address on which this acceptor listens. */
         public InetSocketAddress localAddress() {
             return server.getLocalAddress(InetSocketAddress.class);
         }
@@ -482,6 +484,7 @@
             return false;
         }
 
+        /** Stops listening; accepted connections stay open. */
         public void close() {
             IoUtils.safeClose(server);
             acceptors.remove(this);
@@ -490,6 +493,7 @@
 
     /** A timer that can be cancelled. */
     public interface Timer {
+        /** Keeps the task from running if it has not begun. */
         void cancel();
     }
 }
--- a/node/src/main/java/embershift/transport/TcpConnection.java
+++ b/node/src/main/java/embershift/transport/TcpConnection.java
@@ -24,8 +24,10 @@
      */
     public interface Listener {
 
+        /** An outgoing connection was established. */
         default void connected() {}
 
+        /** An outgoing connection could not be established. */
         default void connectFailed() {}
 
         /** Bytes were read. The buffer is valid only during the call; unread bytes are dropped. */
@@ -307,6 +309,7 @@
         return inputEnded;
     }
 
+    /** Whether the connection is closed, by this side or because it was lost. */
     public boolean isClosed() {
         return closed;
     }
--- a/node/src/test/java/embershift/adapter/AdapterTest.java
+++ b/node/src/test/java/embershift/adapter/AdapterTest.java
@@ -110,10 +110,10 @@
 
     @Test(dataProvider = "malformedLines")
     public void errorNamesTheLineAndTheField(String line, String field) {
-        MalformedLineException e =
+        MalformedLineException thrown =
                 expectThrows(
                         MalformedLineException.class, () -> run("BEGIN_BATCH 1 1", line, "COMMIT"));
-        String message = e.getMessage();
+        String message = thrown.getMessage();
         assertTrue(message.startsWith("line 2: ") && message.contains(field), message);
     }
 
--- a/node/src/test/java/embershift/protocol/ProtocolTest.java
+++ b/node/src/test/java/embershift/protocol/ProtocolTest.java
@@ -414,10 +414,10 @@
     @Test(dataProvider = "requiredKeys")
     public void errorNamesTheMissingKey(String key, String named) {
         String text = CONFIGURATION.replace(key, "\"other\"");
-        MalformedDataException e =
+        MalformedDataException thrown =
                 org.testng.Assert.expectThrows(
                         MalformedDataException.class, () -> NodeConfiguration.parse(text, null));
-        assertTrue(e.getMessage().contains(named), e.getMessage());
+        assertTrue(thrown.getMessage().contains(named), thrown.getMessage());
     }
 
     @Test
