--- a/node/src/main/java/embershift/operations/OperatorServer.java
+++ b/node/src/main/java/embershift/operations/OperatorServer.java
@@ -111,7 +111,10 @@
         }
         tally.count("operators' connections that gave way");
         OperatorConnection evicted = oldest.next();
-        evicted.answer(HttpResponse.error(503, "others call, and no whole call has come here"));
+        evicted.answer(
+                HttpResponse.error(
+                        503,
+                        "no complete request was received, and the connection is needed for others"));
         // All that it sent has been read, so closing does not reset the connection and lose the
         // answer.
         evicted.connection.close();
@@ -129,7 +132,11 @@
             timeout =
                     loop.schedule(
                             REQUEST_TIMEOUT_SECONDS,
-                            () -> answerAndFinish(HttpResponse.error(408, "no whole call came")));
+                            () ->
+                                    answerAndFinish(
+                                            HttpResponse.error(
+                                                    408,
+                                                    "no complete request was received in time")));
             connection.setListener(this);
         }
 
--- a/node/src/main/java/embershift/protocol/WatchSchedule.java
+++ b/node/src/main/java/embershift/protocol/WatchSchedule.java
@@ -32,17 +32,18 @@
 
     private static final double WIDE_JITTER = 0.42;
 
-    /** Seconds that a call on a persistent connection may wait for news at discovery. */
+    /** Seconds that a call on a persistent connection may wait for changes at discovery. */
     private static final double MAX_WAIT = 3.0;
 
-    /** Maximum seconds that a call on a new connection may wait for news at discovery. */
+    /** Maximum seconds that a call on a new connection may wait for changes at discovery. */
     private static final double MAX_FIRST_WAIT = 1.6;
 
     /** Seconds reserved for a call on a new connection that has to queue at discovery first. */
     private static final double QUEUEING_RESERVE = 2.0;
 
     /**
-     * Seconds before the next call after an early answer without news; a watch allows 0.2 seconds.
+     * Seconds before the next call after an early answer without changes; a watch allows 0.2
+     * seconds.
      */
     private static final double EARLY_ANSWER_PAUSE = 0.1;
 
@@ -110,7 +111,7 @@
     /**
      * The current call was answered, and the watch continues.
      *
-     * @param changed whether the answer contained news
+     * @param changed whether the answer contained changes
      */
     public void callAnswered(double now, boolean changed) {
         calling = false;
@@ -119,7 +120,7 @@
         nextActionAt = changed || !isEarly(now) ? now : now + EARLY_ANSWER_PAUSE;
     }
 
-    /** Returns whether an answer now comes long before a call without news would end. */
+    /** Returns whether an answer now comes long before a call without changes would end. */
     public boolean isEarly(double now) {
         return now < callStartedAt + maxWait / 2;
     }
@@ -135,7 +136,7 @@
         return calling;
     }
 
-    /** Returns the seconds that the current call may wait for news at discovery. */
+    /** Returns the seconds that the current call may wait for changes at discovery. */
     public double maxWait() {
         return maxWait;
     }
--- a/node/src/main/java/embershift/routing/RosterClient.java
+++ b/node/src/main/java/embershift/routing/RosterClient.java
@@ -82,9 +82,9 @@
      * Switches to lists from another source, or back to discovery, which is then asked for the full
      * list.
      */
-    void useExternalRoster(boolean on) {
-        external = on;
-        if (on) {
+    void useExternalRoster(boolean enabled) {
+        external = enabled;
+        if (enabled) {
             stop();
             fullListWanted = false;
         } else {
@@ -105,9 +105,9 @@
         scheduleNext();
     }
 
-    void watch(boolean on) {
-        watching = on;
-        if (on && !schedule.isCalling() && !external) {
+    void watch(boolean enabled) {
+        watching = enabled;
+        if (enabled && !schedule.isCalling() && !external) {
             startCall();
         }
     }
@@ -213,12 +213,13 @@
             callFailed();
             return;
         }
-        boolean sameAgain =
+        boolean repeatsLastAnswer =
                 update.generation() == generation
                         && !update.entries().isEmpty()
                         && schedule.isEarly(router.now());
         if (reusedConnection
-                && (update.generation() < generation || (!fullListRequested && sameAgain))) {
+                && (update.generation() < generation
+                        || (!fullListRequested && repeatsLastAnswer))) {
             // On one connection generations only grow: this is a duplicate of an earlier answer,
             // and discovery still holds the call in progress.
             repeatOnNewConnection();
@@ -251,7 +252,7 @@
     }
 
     /**
-     * Repeats the call in progress on a new connection, as replies on this one belong to earlier
+     * Repeats the call in progress on a new connection, as responses on this one belong to earlier
      * calls.
      */
     private void repeatOnNewConnection() {
@@ -282,7 +283,7 @@
         try {
             if (response.feed(bytes)) {
                 if (bytes.hasRemaining()) {
-                    // More than one reply: the rest would be taken for the next call's reply.
+                    // More than one response: the rest would be taken for the next call's.
                     closeConnection();
                 }
                 responseReceived();
--- a/node/src/main/java/embershift/routing/Router.java
+++ b/node/src/main/java/embershift/routing/Router.java
@@ -396,7 +396,7 @@
                         : unopenedConnections.hasPartialFirstLine());
     }
 
-    /** Whether a host list or a ban has named this host. */
+    /** Whether a roster or an ejection has named this host. */
     public boolean knows(HostId host) {
         return endpoints.containsKey(host);
     }
@@ -733,9 +733,9 @@
     // ---- Decisions of the policy ----
 
     @Override
-    public void sendSetup(TunnelId id, HostId host, double timeOut) {
+    public void sendSetup(TunnelId id, HostId host, double timeout) {
         TunnelRelay relay = relays.get(id);
-        if (relay != null && relay.sendSetup(endpoint(host), timeOut)) {
+        if (relay != null && relay.sendSetup(endpoint(host), timeout)) {
             endpoint(host).setupsSent++;
         }
     }
--- a/node/src/main/java/embershift/routing/TunnelRelay.java
+++ b/node/src/main/java/embershift/routing/TunnelRelay.java
@@ -238,7 +238,8 @@
      * means that only the client's timeout applies.
      */
     boolean sendSetup(HostEndpoint endpoint, double timeout) {
-        // The decision may be late, after a list in the same wake-up or a pause of the process. A
+        // The decision may be late, after a roster update in the same wake-up or a pause of the
+        // process. A
         // host may count an attempt from its connection on, so check first whether the client has
         // left.
         if (state == State.PENDING) {
@@ -441,8 +442,8 @@
 
     /** The client has closed or reset its connection. */
     private void clientLeft(boolean reset) {
-        State was = state;
-        if (was == State.OPEN || was == State.CLOSING) {
+        State previousState = state;
+        if (previousState == State.OPEN || previousState == State.CLOSING) {
             router.closingTunnels().remove(this);
             endTunnel(SetupOutcome.CANCELLED, LoadReport.NONE);
             if (reset) {
@@ -455,7 +456,7 @@
         }
         markClosed();
         client.close();
-        if (was == State.PENDING) {
+        if (previousState == State.PENDING) {
             router.tally().count("tunnels left early");
             router.tally()
                     .count("tunnels left early " + (setup == null ? "unplaced" : setup.stage()));
@@ -512,23 +513,24 @@
         if (rest != null) {
             setup.writeToClient(rest);
         }
-        HostLine.Type last =
+        HostLine.Type lastLineType =
                 hostLineTracker.atLineBoundary()
                         ? hostLineTracker.lastLine().type()
                         : HostLine.Type.OTHER;
         // If a host closes after BYE or MOVE while a client's line is in flight, its end arrives as
         // a reset.
-        boolean closedNormally = last == HostLine.Type.BYE || last == HostLine.Type.MOVE;
-        SetupOutcome end =
-                last == HostLine.Type.BYE
+        boolean closedNormally =
+                lastLineType == HostLine.Type.BYE || lastLineType == HostLine.Type.MOVE;
+        SetupOutcome outcome =
+                lastLineType == HostLine.Type.BYE
                         ? SetupOutcome.COMPLETED
                         : closedNormally || (state == State.CLOSING && !reset)
                                 ? SetupOutcome.CANCELLED
                                 : SetupOutcome.BROKEN;
         router.closingTunnels().remove(this);
         endTunnel(
-                end,
-                end == SetupOutcome.COMPLETED
+                outcome,
+                outcome == SetupOutcome.COMPLETED
                         ? hostLineTracker.lastLine().report()
                         : LoadReport.NONE);
         if (reset && !closedNormally) {
@@ -660,25 +662,25 @@
          * no other setup may follow while this one is in progress. Does not wait if the client's
          * final answer is due.
          */
-        private void giveUp(SetupOutcome reason) {
+        private void giveUp(SetupOutcome outcome) {
             if (resolved) {
                 return;
             }
             if (!firstLineWritten
                     || state != State.PENDING
                     || timeLeft(router.now()) < router.giveUpTimeout()) {
-                end(firstLineWritten ? reason : SetupOutcome.NO_CONNECTION, LoadReport.NONE);
+                end(firstLineWritten ? outcome : SetupOutcome.NO_CONNECTION, LoadReport.NONE);
                 return;
             }
-            pendingEnd = reason;
+            pendingEnd = outcome;
             timer.cancel();
             timer =
                     router.loop()
-                            .schedule(router.giveUpTimeout(), () -> end(reason, LoadReport.NONE));
+                            .schedule(router.giveUpTimeout(), () -> end(outcome, LoadReport.NONE));
             connection.shutdownOutput();
         }
 
-        private void end(SetupOutcome end, LoadReport report) {
+        private void end(SetupOutcome outcome, LoadReport report) {
             if (resolved) {
                 return;
             }
@@ -690,21 +692,21 @@
                 connection.close();
             }
             setNeedsHostConnection(state == State.PENDING);
-            if (isResuming() && end.neverRan() && state == State.PENDING) {
+            if (isResuming() && outcome.neverRan() && state == State.PENDING) {
                 router.resumeLater(TunnelRelay.this);
                 return;
             }
             if (isResuming()) {
                 router.tally().count("standing tunnels lost");
                 sendFinalAnswer(
-                        "ERR host " + end.name().toLowerCase(java.util.Locale.ROOT),
+                        "ERR host " + outcome.name().toLowerCase(java.util.Locale.ROOT),
                         Outcome.CLOSED_WITH_ERROR);
                 return;
             }
-            if (!end.neverRan()) {
+            if (!outcome.neverRan()) {
                 repeatableUntil = firstSetupSentAt + router.repeatWindow(openRequest.profile());
             }
-            reportSetupEnd(this, end, report, state != State.PENDING);
+            reportSetupEnd(this, outcome, report, state != State.PENDING);
         }
 
         /** Whether the tunnel was open at a host before this node started. */
@@ -774,9 +776,9 @@
 
         private void relayToClient(ByteBuffer bytes) {
             double now = router.now();
-            double since = stopReplyTimeouts();
-            if (!Double.isNaN(since)) {
-                endpoint.recordMessageDelay(now - since, now);
+            double waitingSince = stopReplyTimeouts();
+            if (!Double.isNaN(waitingSince)) {
+                endpoint.recordMessageDelay(now - waitingSince, now);
             }
             router.tally().add("bytes to clients", bytes.remaining());
             partialLineBuffer.forward(bytes, this::writeToClient);
--- a/node/src/main/java/embershift/routing/UnopenedConnections.java
+++ b/node/src/main/java/embershift/routing/UnopenedConnections.java
@@ -37,7 +37,7 @@
 
     private final EventLoop loop;
     private final Tally tally;
-    private final IntSupplier promised;
+    private final IntSupplier committedDescriptors;
     private int descriptorLimit;
 
     /**
@@ -52,9 +52,9 @@
      * {@code promised} gives the number of descriptors not taken yet that accepted tunnels will
      * need or that are reserved for probe connections.
      */
-    UnopenedConnections(EventLoop loop, Tally tally, IntSupplier promised) {
+    UnopenedConnections(EventLoop loop, Tally tally, IntSupplier committedDescriptors) {
         this.loop = loop;
-        this.promised = promised;
+        this.committedDescriptors = committedDescriptors;
         this.tally = tally;
     }
 
@@ -152,7 +152,7 @@
     }
 
     private int heldDescriptors() {
-        return loop.openDescriptors() + promised.getAsInt();
+        return loop.openDescriptors() + committedDescriptors.getAsInt();
     }
 
     private boolean makeRoomLeaving(int reserve) {
