--- a/fleet/src/main/java/embershift/fleet/lease/LeaseHolder.java
+++ b/fleet/src/main/java/embershift/fleet/lease/LeaseHolder.java
@@ -226,10 +226,7 @@
         }
     }
 
-    /**
-     * Handles the result of a command; results of commands that are no longer in flight are
-     * ignored.
-     */
+    /** Handles the result of a command; ignored if the command is no longer in flight. */
     public void commandCompleted(double now, StoreCommand command, CallResult result) {
         if (command != inFlight) {
             return;
@@ -317,9 +314,7 @@
         return Math.min(settings.maxBackoffSeconds(), settings.retrySeconds() * doublings);
     }
 
-    /**
-     * Called when the task has made progress; restarts the timeout after which it counts as stuck.
-     */
+    /** Called when the task made progress; restarts the timeout after which it counts as stuck. */
     public void progressMade(double now) {
         lastProgressAt = now;
     }
@@ -368,10 +363,7 @@
         }
     }
 
-    /**
-     * Called when the session was renewed at {@code now}, by a call that was sent at {@code
-     * sentAt}.
-     */
+    /** Called when the session was renewed at {@code now}, by a call sent at {@code sentAt}. */
     public void sessionRenewed(double now, double sentAt) {
         if (state.isHolding()) {
             // While the holder's session is open, nobody else can have been granted the lease.
--- a/fleet/src/main/java/embershift/fleet/rollout/ConfigRollout.java
+++ b/fleet/src/main/java/embershift/fleet/rollout/ConfigRollout.java
@@ -17,10 +17,7 @@
  */
 public final class ConfigRollout {
 
-    /**
-     * The actions that a rollout delegates to its owner. An implementation must not call back into
-     * the rollout from within them.
-     */
+    /** The actions that a rollout delegates to its owner, which must not call back from within. */
     public interface Environment {
 
         /**
@@ -29,10 +26,7 @@
          */
         void order(String node, ConfigRevision revision, long baseNumber);
 
-        /**
-         * Records progress in the store; {@link #progressRecorded} must be called once it is
-         * stored.
-         */
+        /** Records progress in the store; {@link #progressRecorded} must follow once stored. */
         void recordProgress(String text);
 
         /** Raises the floor: no node on an earlier revision may act for the fleet. */
@@ -126,8 +120,7 @@
 
     /** Handles a node's report. */
     public void reportReceived(double time, NodeReport report) {
-        nodes.computeIfAbsent(report.node(), none -> new ManagedNode())
-                .reportReceived(time, report);
+        nodes.computeIfAbsent(report.node(), key -> new ManagedNode()).reportReceived(time, report);
     }
 
     /** How a node answered an order. */
@@ -191,22 +184,18 @@
         if (report.isEmpty()) {
             return "no report received by this lease holder";
         }
-        long reportedRevision = report.get().revision();
+        long reported = report.get().revision();
         return switch (state) {
             case SILENT ->
-                    "was at revision "
-                            + reportedRevision
-                            + " in its last report; its current revision is unknown";
+                    "was at revision " + reported + " at last report; its current one is unknown";
             case DIVERGED ->
                     hasUnknownRevision(report.get())
-                            ? "reports revision " + reportedRevision + ", which the store never had"
-                            : "reports revision "
-                                    + reportedRevision
-                                    + ", but its effective fields differ";
-            case COMING_BACK -> "is at revision " + reportedRevision + ", below the floor " + floor;
+                            ? "reports revision " + reported + ", which the store never had"
+                            : "reports revision " + reported + ", but its effective fields differ";
+            case COMING_BACK -> "is at revision " + reported + ", below the floor " + floor;
             case BEHIND ->
                     "is at revision "
-                            + reportedRevision
+                            + reported
                             + ", target "
                             + targetOf(name)
                             + rejectionSuffix(name, report.get());
@@ -347,10 +336,7 @@
         return node == null || node.isSilent(now, settings.silentSeconds());
     }
 
-    /**
-     * Returns why the revision must not be rolled out further, judged by this canary; empty if
-     * nothing is wrong.
-     */
+    /** Returns why, by this canary, the rollout must not go on; empty if nothing is wrong. */
     private Optional<String> findCanaryFailure(String name) {
         ManagedNode node = nodes.get(name);
         Optional<NodeReport> report = Optional.ofNullable(node).flatMap(ManagedNode::report);
@@ -367,14 +353,14 @@
         if (stageSeconds > settings.canaryTimeoutSeconds() + settings.settleSeconds()) {
             return Optional.of(isSilent(node) ? "is silent" : "did not apply it in time");
         }
-        if (isRunningCanaryRevision(node)) {
+        if (isRunningRevision(node)) {
             node.startCanary(now);
             return findServiceFailure(node);
         }
         return Optional.empty();
     }
 
-    private boolean isRunningCanaryRevision(ManagedNode node) {
+    private boolean isRunningRevision(ManagedNode node) {
         return !isSilent(node)
                 && node.report()
                         .filter(each -> each.revision() == progress.revision() && each.ready())
@@ -384,21 +370,16 @@
     private Optional<String> findServiceFailure(ManagedNode node) {
         long opened = node.openedSinceCanaryStart();
         long failed = node.failedSinceCanaryStart();
-        long total = opened + failed;
-        return failed > 2 && opened < settings.minServiceRate() * total
+        long all = opened + failed;
+        return failed > 2 && opened < settings.minServiceRate() * all
                 ? Optional.of(
-                        "closed "
-                                + failed
-                                + " of "
-                                + total
-                                + " tunnels with error since it applied it")
+                        "closed " + failed + " of " + all + " tunnels with error since applying it")
                 : Optional.empty();
     }
 
     private boolean hasCanarySettled(String name) {
         ManagedNode node = nodes.get(name);
-        return isRunningCanaryRevision(node)
-                && now - node.canarySince() >= settings.settleSeconds();
+        return isRunningRevision(node) && now - node.canarySince() >= settings.settleSeconds();
     }
 
     private void orderNodes() {
@@ -419,10 +400,7 @@
         }
     }
 
-    /**
-     * Whether an order should be sent to a node now; escalates to a restart and to shutting out
-     * where orders have not helped.
-     */
+    /** Whether to order a node now; escalates to restart and shut-out if orders have not helped. */
     private boolean checkOrderDue(String name, ManagedNode node) {
         NodeReport report = node.report().orElseThrow();
         if (hasUnknownRevision(report)) {
@@ -466,10 +444,7 @@
         environment.order(name, revision, isByDifference ? report.revision() : 0);
     }
 
-    /**
-     * Shuts a node out; returns false if so many nodes are shut out already that an operator has to
-     * decide.
-     */
+    /** Shuts a node out; returns false if so many are already that an operator has to decide. */
     private boolean shutOut(String name, NodeReport report) {
         int limit = Math.max(1, (int) (settings.canaryShare() * nodes.size()));
         if (shutOutNodes.countByRollout() >= limit) {
